--- a/src/raft.c
+++ b/src/raft.c
@@ -1,100 +1,102 @@
-/* raft.c - one voter of the replicated log: Raft (Ongaro and Ousterhout 2014) with pre-vote, check
- * of the quorum, leases for reads, batched syncs and snapshots.
+/* raft.c - one voter of the replicated log: Raft (Ongaro and Ousterhout 2014) with pre-votes,
+ * leader leases for reads, batched syncs and snapshots. A leader that a majority no longer
+ * acknowledges steps down.
  *
- * Leading is in raftlead.c, elections are in raftvote.c; who votes, and how the first set forms, in
- * raftset.c.
+ * raftlead.c has the leader, raftvote.c the elections, raftset.c the voter set and how it is first
+ * created.
  *
- * Order of disk and network. Messages wait in an outbox until what they promise is synced. When a
- * write or a sync fails the outbox is dropped and the voter stops taking part. A leader's entries
- * and heartbeats and a candidate's questions promise nothing of the own disk: they leave before the
- * sync, so that disks that are slow work at the same time and a leader is heard while its own
- * waits.
+ * Order of disk writes and messages. A message that depends on unsynced data waits until the data
+ * is synced. When a write or a sync fails, the waiting messages are discarded and the voter stops
+ * taking part. A leader's entries and heartbeats and a candidate's vote requests do not depend on
+ * the local disk. They are sent before the sync, so that the voters' disks work in parallel and
+ * followers hear a leader while its own disk is busy.
  *
- * Slow disks. While a voter syncs it hears nobody, so that time does not count towards its election
- * timeout, and a leader that syncs is not heard, so the timeout grows by what own syncs have lately
- * taken. A leader gives its followers as long as disks have lately taken beyond QUORUM_LOST. A
- * leader whose disk alone is slow is replaced as before: the others' timeouts follow their own.
+ * Slow disks. A voter receives nothing while it syncs, so that time does not count towards its
+ * election timeout. A leader that syncs sends nothing, so the election timeout also grows by the
+ * voter's own recent sync time. A leader allows its followers QUORUM_TIMEOUT plus the recent disk
+ * times. A leader whose disk alone is slow is still replaced, since the other voters' timeouts
+ * depend on their own disks.
  */
 #include "raftint.h"
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define WAIT_KEPT        (20 * FT_SECOND) /* how long the longest wait for a disk counts */
-#define UNCOMMITTED_MOST 4096             /* beyond, proposers are told to come back */
-#define KEEP_TAIL        256              /* entries kept behind a snapshot for those just behind */
-#define START_LEAST      (520 * FT_MS)    /* LEASE and 4 % for the rate errors of two clocks */
-#define START_SPREAD     (100 * FT_MS)    /* voters that start together rarely stand together */
+/* Tuning. */
+#define RECENT_MAX_WINDOW (20 * FT_SECOND) /* how long the largest disk time counts */
+#define MAX_UNCOMMITTED   4096             /* entries; above it raft_propose returns FT_FULL */
+#define SNAPSHOT_TAIL     256 /* entries kept before a snapshot, for followers that lag a little */
+#define START_TIMEOUT_MIN (520 * FT_MS) /* LEASE_TIME plus 4 % for clock rate errors */
+#define START_JITTER      (100 * FT_MS) /* keeps voters from starting elections together */
 
-/* ---- Small helpers ---- */
+/* ---- Helpers ---- */
 
 static void
-post (GArray *box, uint32_t to, const Msg *msg)
+queue_message (GArray *queue, uint32_t to, const Msg *msg)
 {
-  Outgoing out = { to, codec_pack (CODEC (Msg), msg) };
+  Outgoing message = { to, codec_pack (CODEC (Msg), msg) };
 
-  if (out.bytes)
-    g_array_append_val (box, out);
+  if (message.bytes)
+    g_array_append_val (queue, message);
 }
 
 void
-raft_post (Raft *raft, uint32_t to, const Msg *msg)
+raft_queue_after_sync (Raft *raft, uint32_t to, const Msg *msg)
 {
-  post (raft->outbox, to, msg);
+  queue_message (raft->after_sync, to, msg);
 }
 
 void
-raft_post_early (Raft *raft, uint32_t to, const Msg *msg)
+raft_queue_before_sync (Raft *raft, uint32_t to, const Msg *msg)
 {
-  post (raft->early, to, msg);
+  queue_message (raft->before_sync, to, msg);
 }
 
 static void
-drop_box (GArray *box)
+discard_messages (GArray *queue)
 {
-  for (unsigned i = 0; i < box->len; i++)
-    g_byte_array_unref (g_array_index (box, Outgoing, i).bytes);
-  g_array_set_size (box, 0);
+  for (unsigned i = 0; i < queue->len; i++)
+    g_byte_array_unref (g_array_index (queue, Outgoing, i).bytes);
+  g_array_set_size (queue, 0);
 }
 
 static void
-send_box (Raft *raft, GArray *box)
+send_messages (Raft *raft, GArray *queue)
 {
-  for (unsigned i = 0; i < box->len; i++)
+  for (unsigned i = 0; i < queue->len; i++)
     {
-      Outgoing *one = &g_array_index (box, Outgoing, i);
-      raft->ops->send (raft->host, one->to, one->bytes);
+      Outgoing *message = &g_array_index (queue, Outgoing, i);
+      raft->ops->send (raft->host, message->to, message->bytes);
     }
-  g_array_set_size (box, 0);
+  g_array_set_size (queue, 0);
 }
 
 void
-raft_wait_note (Wait *wait, int64_t waited, int64_t now)
+raft_recent_max_add (RecentMax *max, int64_t value, int64_t now)
 {
-  if (waited >= raft_wait_longest (wait, now))
-    *wait = (Wait){ waited, now };
+  if (value >= raft_recent_max_get (max, now))
+    *max = (RecentMax){ value, now };
 }
 
 int64_t
-raft_wait_longest (const Wait *wait, int64_t now)
+raft_recent_max_get (const RecentMax *max, int64_t now)
 {
-  return now - wait->ended < WAIT_KEPT ? wait->longest : 0;
+  return now - max->seen_at < RECENT_MAX_WINDOW ? max->value : 0;
 }
 
 static void
 check_disk (Raft *raft, FtStatus status)
 {
-  if (status == FT_OK || raft->broken)
+  if (status == FT_OK || raft->storage_failed)
     return;
-  raft->broken = true;
+  raft->storage_failed = true;
   raft->role = ROLE_FOLLOWER;
   raft->leader = 0;
-  drop_box (raft->outbox);
-  drop_box (raft->early);
+  discard_messages (raft->after_sync);
+  discard_messages (raft->before_sync);
 }
 
 bool
-raft_in_config (const Raft *raft)
+raft_is_voter (const Raft *raft)
 {
   return rlog_config_has (rlog_config (&raft->log), raft->conf.self, raft->incarnation);
 }
@@ -106,7 +108,7 @@
 }
 
 void
-raft_enter_term (Raft *raft, uint64_t term, uint32_t voted_for)
+raft_record_vote (Raft *raft, uint64_t term, uint32_t voted_for)
 {
   raft->term = term;
   raft->voted_for = voted_for;
@@ -115,16 +117,17 @@
 }
 
 void
-raft_follow (Raft *raft, uint64_t term, uint32_t leader, int64_t now)
+raft_become_follower (Raft *raft, uint64_t term, uint32_t leader, int64_t now)
 {
   if (term > raft->term)
-    raft_enter_term (raft, term, 0);
+    raft_record_vote (raft, term, 0);
   raft->role = ROLE_FOLLOWER;
   raft->leader = leader;
   if (leader)
-    raft->fresh = false;
-  /* A newer term alone shows no leader: a voter that has just started stands as soon as it may. */
-  if (!raft->fresh)
+    raft->just_started = false;
+  /* A newer term alone does not mean that there is a leader, so a voter that has just started keeps
+   * its first election timeout. */
+  if (!raft->just_started)
     raftvote_restart_timer (raft, now);
 }
 
@@ -150,7 +153,7 @@
   memcpy (entry->op.op_val, bytes->data, bytes->len);
   g_byte_array_unref (bytes);
   append_entry (raft, entry);
-  raft->must_send = true;
+  raft->send_pending = true;
   return FT_OK;
 }
 
@@ -159,25 +162,24 @@
 static void
 take_snapshot (Raft *raft)
 {
-  uint64_t most = raft->conf.log_most ? raft->conf.log_most : RAFT_LOG_MOST;
+  uint64_t threshold = raft->conf.snapshot_after ? raft->conf.snapshot_after : RAFT_SNAPSHOT_AFTER;
+  uint64_t tail = MIN (SNAPSHOT_TAIL, threshold);
 
-  uint64_t tail = MIN (KEEP_TAIL, most);
-
-  if (raft->applied - raft->log.base < most + tail || raft->broken)
+  if (raft->applied - raft->log.base < threshold + tail || raft->storage_failed)
     return;
   GByteArray *state = state_capture (raft->state);
   if (state == NULL)
     return;
   uint64_t term = rlog_term (&raft->log, raft->applied);
-  unsigned first = (unsigned) (raft->applied - raft->log.base);
+  unsigned applied_count = (unsigned) (raft->applied - raft->log.base);
   check_disk (raft,
               wal_snapshot (raft->wal, raft->applied, term, state, raft->term, raft->voted_for,
-                            (MsgEntry *const *) raft->log.entries->pdata + first,
-                            raft->log.entries->len - first));
+                            (MsgEntry *const *) raft->log.entries->pdata + applied_count,
+                            raft->log.entries->len - applied_count));
   g_byte_array_unref (state);
   raft->synced = rlog_last (&raft->log);
-  if (first > tail)
-    rlog_cut (&raft->log, raft->applied - tail);
+  if (applied_count > tail)
+    rlog_drop_prefix (&raft->log, raft->applied - tail);
 }
 
 void
@@ -187,15 +189,15 @@
     {
       MsgEntry *entry = rlog_entry (&raft->log, raft->applied + 1);
       MsgOp op = { 0 };
-      StateVerdict verdict;
+      StateResult result;
 
       if (entry == NULL)
         return;
       raft->applied++;
       if (codec_unpack (CODEC (MsgOp), entry->op.op_val, entry->op.op_len, &op, NULL) == FT_OK)
         {
-          state_apply (raft->state, entry->index, &op, &verdict);
-          raft->ops->apply (raft->host, entry->index, &op, &verdict);
+          state_apply (raft->state, entry->index, &op, &result);
+          raft->ops->apply (raft->host, entry->index, &op, &result);
         }
       codec_clear (CODEC (MsgOp), &op);
     }
@@ -205,7 +207,7 @@
 /* ---- Following ---- */
 
 static void
-answer_append (Raft *raft, uint32_t to, uint64_t round, bool ok, uint64_t match)
+reply_to_append (Raft *raft, uint32_t to, uint64_t round, bool ok, uint64_t match)
 {
   Msg msg = { .kind = MSG_APPENDED };
   MsgAppended *out = &msg.Msg_u.appended;
@@ -215,11 +217,11 @@
   out->incarnation = raft->incarnation;
   out->ok = ok;
   out->match = match;
-  raft_post (raft, to, &msg);
+  raft_queue_after_sync (raft, to, &msg);
 }
 
 static void
-take_entries (Raft *raft, const MsgAppend *append)
+store_entries (Raft *raft, const MsgAppend *append)
 {
   for (unsigned i = 0; i < append->entries.entries_len; i++)
     {
@@ -231,7 +233,7 @@
       if (entry->index <= last && rlog_term (&raft->log, entry->index) == entry->term)
         continue;
       if (entry->index <= raft->commit || entry->index > last + 1)
-        return; /* breaks the protocol: never overwrite what is committed, never leave a hole */
+        return; /* protocol violation: would overwrite a committed entry or leave a gap */
       if (entry->index <= last)
         {
           check_disk (raft, wal_truncate (raft->wal, entry->index));
@@ -247,27 +249,27 @@
 {
   if (append->term < raft->term)
     {
-      answer_append (raft, from, append->round, false, 0);
+      reply_to_append (raft, from, append->round, false, 0);
       return;
     }
-  raft_follow (raft, append->term, from, now);
-  raft->leader_heard = now;
+  raft_become_follower (raft, append->term, from, now);
+  raft->leader_heard_at = now;
   uint64_t prev = append->prev_index;
-  bool fits
+  bool matches
       = prev <= raft->log.base
         || (prev <= rlog_last (&raft->log) && rlog_term (&raft->log, prev) == append->prev_term);
-  if (!fits)
+  if (!matches)
     {
       uint64_t hint = MIN (prev - 1, rlog_last (&raft->log));
-      answer_append (raft, from, append->round, false, MAX (hint, raft->commit));
+      reply_to_append (raft, from, append->round, false, MAX (hint, raft->commit));
       return;
     }
-  take_entries (raft, append);
+  store_entries (raft, append);
   uint64_t match = MIN (prev + append->entries.entries_len, rlog_last (&raft->log));
-  uint64_t known = MIN (append->commit, match);
-  if (known > raft->commit)
-    raft->commit = known;
-  answer_append (raft, from, append->round, true, match);
+  uint64_t commit = MIN (append->commit, match);
+  if (commit > raft->commit)
+    raft->commit = commit;
+  reply_to_append (raft, from, append->round, true, match);
   raft_apply_committed (raft);
 }
 
@@ -278,16 +280,16 @@
 
   if (snapshot->term < raft->term)
     {
-      answer_append (raft, from, snapshot->round, false, 0);
+      reply_to_append (raft, from, snapshot->round, false, 0);
       return;
     }
-  raft_follow (raft, snapshot->term, from, now);
-  raft->leader_heard = now;
-  /* Failure: a late snapshot replaces a log that holds more. Symptom: entries that this voter has
-   * acknowledged are gone and a majority no longer holds them. A log that has the snapshot's last
-   * entry holds all of it, so it is kept. */
-  bool held = rlog_term (&raft->log, snapshot->index) == snapshot->index_term;
-  if (held && snapshot->index > raft->commit)
+  raft_become_follower (raft, snapshot->term, from, now);
+  raft->leader_heard_at = now;
+  /* If the log has the snapshot's last entry it holds everything in the snapshot, and is kept. A
+   * late snapshot could otherwise remove newer entries that this voter has acknowledged, and a
+   * majority would no longer hold them. */
+  bool have_entry = rlog_term (&raft->log, snapshot->index) == snapshot->index_term;
+  if (have_entry && snapshot->index > raft->commit)
     {
       raft->commit = snapshot->index;
       raft_apply_committed (raft);
@@ -301,48 +303,52 @@
       check_disk (raft, wal_snapshot (raft->wal, snapshot->index, snapshot->index_term, &bytes,
                                       raft->term, raft->voted_for, NULL, 0));
     }
-  answer_append (raft, from, snapshot->round, true, snapshot->index);
+  reply_to_append (raft, from, snapshot->round, true, snapshot->index);
 }
 
 /* ---- Interface ---- */
 
 static void
-load (Raft *raft, WalState *from, FtError *error, FtStatus *status)
+load_saved (Raft *raft, WalState *saved, FtError *error, FtStatus *status)
 {
-  raft->term = from->term;
-  raft->voted_for = from->voted_for;
-  raft->incarnation = from->incarnation;
-  if (from->snapshot)
+  raft->term = saved->term;
+  raft->voted_for = saved->voted_for;
+  raft->incarnation = saved->incarnation;
+  if (saved->snapshot)
     {
-      *status = state_restore (raft->state, from->snapshot->data, from->snapshot->len);
+      *status = state_restore (raft->state, saved->snapshot->data, saved->snapshot->len);
       if (*status != FT_OK)
         {
-          ft_error_set (error, *status, 0, "snap", "does not hold a valid state");
+          ft_error_set (error, *status, 0, "snap", "snapshot does not contain a valid state");
           return;
         }
-      rlog_reset (&raft->log, from->snapshot_index, from->snapshot_term,
+      rlog_reset (&raft->log, saved->snapshot_index, saved->snapshot_term,
                   state_voters (raft->state));
-      raft->commit = raft->applied = from->snapshot_index;
+      raft->commit = raft->applied = saved->snapshot_index;
     }
-  for (unsigned i = 0; i < from->entries->len; i++)
-    rlog_append (&raft->log, wal_entry_copy (from->entries->pdata[i]));
+  for (unsigned i = 0; i < saved->entries->len; i++)
+    rlog_append (&raft->log, wal_entry_copy (saved->entries->pdata[i]));
   raft->synced = rlog_last (&raft->log);
-  raft->commit = raft->noted = MAX (raft->commit, MIN (from->commit, rlog_last (&raft->log)));
+  raft->commit = raft->commit_logged
+      = MAX (raft->commit, MIN (saved->commit, rlog_last (&raft->log)));
   raft_apply_committed (raft);
 }
 
-/* Failure: a voter confirms a leader's round, starts again and votes for another at once. Symptom:
- * the leader's lease, which counts from the sending of that round, still holds, and two lead. A
- * voter with a new data folder has confirmed nothing. */
+/* A voter that restarts may have acknowledged a leader's round just before. If it voted at once, a
+ * second leader could be elected while that leader's lease, which counts from the sending of the
+ * round, is still valid. So it waits START_TIMEOUT_MIN first. A voter with an empty data folder has
+ * acknowledged nothing and waits only LEASE_TIME. */
 static void
-begin_timers (Raft *raft, bool new_folder, int64_t now)
+start_timers (Raft *raft, bool empty_folder, int64_t now)
 {
-  int64_t least = new_folder ? LEASE : START_LEAST;
-  int64_t spread = new_folder ? PREVOTE_SPREAD : START_SPREAD;
+  int64_t timeout = empty_folder ? LEASE_TIME : START_TIMEOUT_MIN;
+  int64_t jitter = empty_folder ? PREVOTE_JITTER : START_JITTER;
 
-  raft->fresh = true;
-  raft->leader_heard = now - (ELECTION_LEAST - least); /* votes are given from least on */
-  raft->election_at = now + least + (int64_t) (ft_random_next (raft->random) % (uint64_t) spread);
+  raft->just_started = true;
+  /* Lets this voter grant votes once timeout has passed. */
+  raft->leader_heard_at = now - (ELECTION_TIMEOUT_MIN - timeout);
+  raft->election_due
+      = now + timeout + (int64_t) (ft_random_next (raft->random) % (uint64_t) jitter);
 }
 
 FtStatus
@@ -350,7 +356,7 @@
           const RaftOps *ops, void *host, Raft **out, FtError *error)
 {
   Raft *raft = g_new0 (Raft, 1);
-  WalState from;
+  WalState saved;
   int64_t now = ft_clock_now (clock);
 
   raft->conf = *conf;
@@ -361,26 +367,26 @@
   raft->state = state;
   raft->ops = ops;
   raft->host = host;
-  raft->outbox = g_array_new (FALSE, FALSE, sizeof (Outgoing));
-  raft->early = g_array_new (FALSE, FALSE, sizeof (Outgoing));
+  raft->after_sync = g_array_new (FALSE, FALSE, sizeof (Outgoing));
+  raft->before_sync = g_array_new (FALSE, FALSE, sizeof (Outgoing));
   raft->vote_synced = true;
   rlog_init (&raft->log);
   for (unsigned i = 0; i < conf->count; i++)
-    raftset_meet (raft, conf->voters[i]);
-  FtStatus status = wal_open (disk, &raft->wal, &from, error);
+    raftset_add_peer (raft, conf->voters[i]);
+  FtStatus status = wal_open (disk, &raft->wal, &saved, error);
   if (status == FT_OK)
-    load (raft, &from, error, &status);
-  wal_state_clear (&from);
-  bool new_folder = raft->incarnation == 0;
-  if (status == FT_OK && new_folder)
+    load_saved (raft, &saved, error, &status);
+  wal_state_clear (&saved);
+  bool empty_folder = raft->incarnation == 0;
+  if (status == FT_OK && empty_folder)
     {
       raft->incarnation = ft_random_next (random) | 1;
-      status = wal_identify (raft->wal, raft->incarnation);
+      status = wal_write_identity (raft->wal, raft->incarnation);
       if (status != FT_OK)
-        ft_error_set (error, status, 0, "ident", "cannot be written");
+        ft_error_set (error, status, 0, "ident", "cannot write the identity file");
     }
-  raftset_meet_voters (raft);
-  begin_timers (raft, new_folder, now);
+  raftset_add_voters (raft);
+  start_timers (raft, empty_folder, now);
   *out = raft;
   if (status != FT_OK)
     {
@@ -395,10 +401,10 @@
 {
   if (raft == NULL)
     return;
-  drop_box (raft->outbox);
-  drop_box (raft->early);
-  g_array_unref (raft->outbox);
-  g_array_unref (raft->early);
+  discard_messages (raft->after_sync);
+  discard_messages (raft->before_sync);
+  g_array_unref (raft->after_sync);
+  g_array_unref (raft->before_sync);
   rlog_clear (&raft->log);
   wal_free (raft->wal);
   g_free (raft);
@@ -408,24 +414,24 @@
 raft_receive (Raft *raft, uint32_t from, const Msg *msg)
 {
   int64_t now = ft_clock_now (raft->clock);
-  Peer *peer = raft->conf.found ? raftset_meet (raft, from) : raftset_find (raft, from);
+  Peer *peer = raft->conf.discover ? raftset_add_peer (raft, from) : raftset_find_peer (raft, from);
 
-  if (peer == NULL || raft->broken)
+  if (peer == NULL || raft->storage_failed)
     return;
-  peer->heard = now;
+  peer->heard_at = now;
   switch (msg->kind)
     {
     case MSG_VOTE:
-      raftvote_on_vote (raft, from, &msg->Msg_u.vote, now);
+      raftvote_on_request (raft, from, &msg->Msg_u.vote, now);
       break;
     case MSG_VOTED:
-      raftvote_on_voted (raft, peer, &msg->Msg_u.voted, now);
+      raftvote_on_reply (raft, peer, &msg->Msg_u.voted, now);
       break;
     case MSG_APPEND:
       on_append (raft, from, &msg->Msg_u.append, now);
       break;
     case MSG_APPENDED:
-      raftlead_on_appended (raft, peer, &msg->Msg_u.appended, now);
+      raftlead_on_append_reply (raft, peer, &msg->Msg_u.appended, now);
       break;
     case MSG_SNAPSHOT:
       on_snapshot (raft, from, &msg->Msg_u.snapshot, now);
@@ -434,8 +440,8 @@
       raftset_on_blank (raft, peer, &msg->Msg_u.blank, now);
       break;
     case MSG_STAND:
-      if (raft_in_config (raft) && raft->role == ROLE_FOLLOWER && from == raft->leader)
-        raftvote_stand (raft, false, true, now);
+      if (raft_is_voter (raft) && raft->role == ROLE_FOLLOWER && from == raft->leader)
+        raftvote_start_election (raft, false, true, now);
       break;
     default:
       break;
@@ -447,17 +453,17 @@
 {
   int64_t now = ft_clock_now (raft->clock);
 
-  if (raft->broken)
+  if (raft->storage_failed)
     return;
-  raftset_meet_voters (raft);
+  raftset_add_voters (raft);
   if (rlog_last (&raft->log) == 0)
     raftset_tick_blank (raft, now);
   else if (raft->role == ROLE_LEADER)
     raftlead_tick (raft, now);
-  else if (now >= raft->election_at && raft_in_config (raft))
-    raftvote_stand (raft, true, false, now);
-  else if (now >= raft->election_at)
-    raftset_tick_blank (raft, now); /* a learner that nobody feeds makes itself known */
+  else if (now >= raft->election_due && raft_is_voter (raft))
+    raftvote_start_election (raft, true, false, now);
+  else if (now >= raft->election_due)
+    raftset_tick_blank (raft, now); /* not a voter and no leader heard */
 }
 
 FtStatus
@@ -465,66 +471,68 @@
 {
   if (!raft_leading (raft))
     return FT_NOT_LEADER;
-  if (rlog_last (&raft->log) - raft->commit > UNCOMMITTED_MOST)
+  if (rlog_last (&raft->log) - raft->commit > MAX_UNCOMMITTED)
     return FT_FULL;
   FtStatus status = raft_append_op (raft, raft->term, op);
   *index = rlog_last (&raft->log);
-  return raft->broken ? FT_IO : status;
+  return raft->storage_failed ? FT_IO : status;
 }
 
-/* Syncs what was written; the time that this takes is none in which a leader could be heard. */
+/* Syncs the log file. No leader could be heard meanwhile, so the election timeout is extended by
+ * the time taken. */
 static void
 sync_log (Raft *raft)
 {
-  int64_t began = ft_clock_now (raft->clock);
+  int64_t started = ft_clock_now (raft->clock);
 
   check_disk (raft, wal_sync (raft->wal));
   int64_t now = ft_clock_now (raft->clock);
-  raft->election_at += now - began;
-  raft_wait_note (&raft->own_syncs, now - began, now);
+  raft->election_due += now - started;
+  raft_recent_max_add (&raft->sync_times, now - started, now);
 }
 
 static void
 flush_once (Raft *raft)
 {
-  if (raft->role == ROLE_LEADER && raft->must_send)
+  if (raft->role == ROLE_LEADER && raft->send_pending)
     raftlead_broadcast (raft, ft_clock_now (raft->clock));
-  /* Failure: all voters start anew. Symptom: what is committed is known only after an election, a
-   * second later. The index of it, synced with whatever comes next, tells it at once. */
-  if (raft->conf.found && raft->commit > raft->noted)
+  /* When all voters restart, the commit index is otherwise known only after an election, about a
+   * second later. Writing it with the next sync makes it known at once. */
+  if (raft->conf.discover && raft->commit > raft->commit_logged)
     {
-      raft->noted = raft->commit;
+      raft->commit_logged = raft->commit;
       check_disk (raft, wal_commit (raft->wal, raft->commit));
     }
-  send_box (raft, raft->early);
+  send_messages (raft, raft->before_sync);
   sync_log (raft);
-  if (raft->broken)
+  if (raft->storage_failed)
     return;
   raft->vote_synced = true;
   raft->synced = rlog_last (&raft->log);
   raftvote_on_synced (raft, ft_clock_now (raft->clock));
-  raftlead_advance (raft); /* counts the own copy, alone enough when there is one voter */
-  if (raft->broken)
+  /* This voter's own copy counts too, and is a majority if it is the only voter. */
+  raftlead_advance_commit (raft);
+  if (raft->storage_failed)
     return;
-  send_box (raft, raft->outbox);
+  send_messages (raft, raft->after_sync);
 }
 
 void
 raft_flush (Raft *raft)
 {
-  if (raft->broken)
+  if (raft->storage_failed)
     return;
   flush_once (raft);
-  /* An own vote that lasts may have won the election: the others are told at once. */
-  if (!raft->broken && raft->role == ROLE_LEADER && raft->must_send)
+  /* Its own synced vote may have made this voter leader: its first entry is sent at once. */
+  if (!raft->storage_failed && raft->role == ROLE_LEADER && raft->send_pending)
     flush_once (raft);
 }
 
 void
-raft_meet (Raft *raft, uint32_t id)
+raft_add_peer (Raft *raft, uint32_t id)
 {
-  if (raft->conf.found)
-    raftset_meet (raft, id);
+  if (raft->conf.discover)
+    raftset_add_peer (raft, id);
 }
 
 unsigned
@@ -540,7 +548,7 @@
 int64_t
 raft_leading_since (const Raft *raft)
 {
-  return raft->led_since;
+  return raft->leader_since;
 }
 
 uint32_t
@@ -568,13 +576,13 @@
 }
 
 bool
-raft_broken (const Raft *raft)
+raft_storage_failed (const Raft *raft)
 {
-  return raft->broken;
+  return raft->storage_failed;
 }
 
 bool
 raft_is_member (const Raft *raft)
 {
-  return raft_in_config (raft);
+  return raft_is_voter (raft);
 }
--- a/src/raft.h
+++ b/src/raft.h
@@ -1,4 +1,4 @@
-/* raft.h - one control voter: the replicated log; private to the library. */
+/* raft.h - one voter of the replicated log; private to the library. */
 #ifndef RAFT_H
 #define RAFT_H
 
@@ -8,59 +8,62 @@
 
 typedef struct
 {
-  /* The packed Msg is the receiver's to unref. Called from raft_flush only. */
+  /* Sends a packed Msg, which the callee must unref. Called from raft_flush only. */
   void (*send) (void *host, uint32_t to, GByteArray *msg);
-  /* An operation was committed and applied to the state. */
-  void (*apply) (void *host, uint64_t index, const MsgOp *op, const StateVerdict *verdict);
+  /* Called after a committed operation has been applied to the state. */
+  void (*apply) (void *host, uint64_t index, const MsgOp *op, const StateResult *result);
 } RaftOps;
 
 typedef struct
 {
   uint32_t self;
-  const uint32_t *voters; /* ids of all voters, self among them; copied */
-  unsigned count;         /* 1 to FT_VOTERS_MOST */
-  uint64_t log_most;      /* entries applied before a snapshot is taken; 0: RAFT_LOG_MOST */
-  bool found;             /* members are found while running: voters names only those that form
-                             the first set, and any instance that asks may join */
-  bool may_form;          /* with found: the whole deployment starts for the first time */
-  unsigned least;         /* with found: a voter that is gone is dropped while more than so many are
-                             left; 0: never */
+  const uint32_t *voters;  /* ids of all voters, including self; copied */
+  unsigned count;          /* 1 to FT_VOTERS_MOST */
+  uint64_t snapshot_after; /* entries applied before a snapshot is taken; 0: RAFT_SNAPSHOT_AFTER */
+  bool discover;           /* voters lists only the first voter set; other instances may join the
+                              set while it runs */
+  bool may_bootstrap;      /* with discover: the whole deployment starts for the first time, so this
+                              voter may create the first voter set */
+  unsigned min_voters; /* with discover: a voter that is silent for long is removed while the set
+                          has more than this many; 0: never */
 } RaftConf;
 
-#define RAFT_LOG_MOST 8192
+#define RAFT_SNAPSHOT_AFTER 8192
 
-/* Reads the voter's files. Fails with FT_CORRUPT and the place of the damage, or FT_IO. */
+/* Loads the voter's files. Fails with FT_CORRUPT and the place of the damage, or with FT_IO. */
 FtStatus raft_new (const RaftConf *conf, FtClock *clock, FtRandom *random, FtDisk *disk,
                    State *state, const RaftOps *ops, void *host, Raft **raft, FtError *error);
 void raft_free (Raft *raft);
-/* A message of another voter, of the kinds MSG_VOTE to MSG_BLANK. */
+/* Handles a Raft message of another voter; other kinds of message are ignored. */
 void raft_receive (Raft *raft, uint32_t from, const Msg *msg);
-/* Call every 20 ms or so. */
+/* Runs the timers; call it about every 20 ms. */
 void raft_tick (Raft *raft);
-/* With found: id takes part, or wants to. */
-void raft_meet (Raft *raft, uint32_t id);
-/* A leader steps down in favour of the voter that holds most; others do nothing. */
-void raft_hand_over (Raft *raft);
-/* Until when raft_leading stays true if nothing more is heard; 0: not leading. */
-int64_t raft_leads_until (Raft *raft);
-/* Ids of the voters that the log names, at most FT_VOTERS_MOST. Returns how many. */
+/* With discover: adds instance id as a peer, which may become a voter. */
+void raft_add_peer (Raft *raft, uint32_t id);
+/* If this voter leads, it steps down and asks the most up-to-date voter to start an election. */
+void raft_transfer_leadership (Raft *raft);
+/* When raft_leading turns false if no more acknowledgements arrive; 0: not leading. */
+int64_t raft_lease_until (Raft *raft);
+/* Writes the ids of the newest voter set, at most FT_VOTERS_MOST. Returns how many. */
 unsigned raft_voters (const Raft *raft, uint32_t *ids);
-/* FT_NOT_LEADER, FT_FULL while too much is uncommitted, or FT_OK with the operation's index. */
+/* Appends an operation to the log and sets *index to its index. FT_NOT_LEADER; FT_FULL while too
+ * many entries are uncommitted. */
 FtStatus raft_propose (Raft *raft, const MsgOp *op, uint64_t *index);
-/* Syncs what was written and only then sends what promises it. Call after each batch of events. */
+/* Syncs pending writes, then sends the messages that depend on them. Call after each batch of
+ * events. */
 void raft_flush (Raft *raft);
-/* In charge, and proved so lately enough that nobody else can be. */
+/* Is this voter the leader with a valid lease, so that no other voter can lead now? */
 bool raft_leading (Raft *raft);
-/* Since when, microseconds; meaningful while raft_leading. */
+/* When it became leader, microseconds; meaningful while raft_leading. */
 int64_t raft_leading_since (const Raft *raft);
-/* Whom this voter believes to lead; 0: unknown. */
+/* The leader as far as this voter knows; 0: unknown. */
 uint32_t raft_leader (const Raft *raft);
 uint64_t raft_term (const Raft *raft);
 uint64_t raft_commit (const Raft *raft);
 uint64_t raft_incarnation (const Raft *raft);
-/* Storage failed: the voter takes no part until it is restarted. */
-bool raft_broken (const Raft *raft);
-/* A voter whose memory the log vouches for. */
+/* Storage has failed; the voter takes no part until it is restarted. */
+bool raft_storage_failed (const Raft *raft);
+/* Does the newest voter set name this id with the incarnation of its data folder? */
 bool raft_is_member (const Raft *raft);
 
 #endif
--- a/src/raftint.h
+++ b/src/raftint.h
@@ -1,5 +1,5 @@
-/* raftint.h - one voter's record, shared by raft.c (the log), raftlead.c (leading), raftvote.c
- * (elections) and raftset.c (who votes) only. */
+/* raftint.h - the internal state of a voter; included only by raft.c (log and interface),
+ * raftlead.c (leader), raftvote.c (elections) and raftset.c (voter set). */
 #ifndef RAFTINT_H
 #define RAFTINT_H
 
@@ -7,12 +7,13 @@
 #include "rlog.h"
 #include "wal.h"
 
-/* Tuning that these files share; each row with its reason. */
-#define ELECTION_LEAST (600 * FT_MS) /* a new leader within about 1.5 s, of 6 s for a change */
-#define PREVOTE_SPREAD (150 * FT_MS) /* voters ask at different times */
-#define LEASE          (500 * FT_MS) /* ELECTION_LEAST less clock-rate error and a tick */
-#define ROUNDS         128           /* heartbeats whose sending time is remembered: 12 s */
-#define PEERS_MOST     16            /* voters, and as many that come in their place */
+/* Tuning shared by these files. */
+#define ELECTION_TIMEOUT_MIN                                                                       \
+  (600 * FT_MS) /* elects a new leader within about 1.5 s; a change may take 6 s */
+#define PREVOTE_JITTER (150 * FT_MS) /* keeps voters from asking at the same time */
+#define LEASE_TIME     (500 * FT_MS) /* ELECTION_TIMEOUT_MIN less the clock rate error and one tick */
+#define ROUND_HISTORY  128           /* heartbeats whose sending time is kept: 12 s */
+#define MAX_PEERS      16            /* the voters, and as many that replace them */
 
 typedef enum
 {
@@ -25,15 +26,15 @@
 typedef struct
 {
   uint32_t id;
-  uint64_t incarnation; /* as it last said; 0: unknown */
-  uint64_t next, match;
-  int64_t heard;      /* when its last message came */
-  int64_t acked_sent; /* when the newest round that it acknowledged was sent */
-  bool granted;       /* would vote, of the pre-vote that is open */
-  uint64_t vote_term; /* newest term in which it voted for this voter */
-  bool blank_known;   /* said that it is blank */
-  int64_t blank_at;
-  uint64_t blank_incarnation;
+  uint64_t incarnation;       /* from its last reply; 0: unknown */
+  uint64_t next, match;       /* Raft's nextIndex and matchIndex */
+  int64_t heard_at;           /* when its last message arrived */
+  int64_t acked_sent_at;      /* when the newest round that it acknowledged was sent */
+  bool prevote_granted;       /* in the current pre-vote */
+  uint64_t granted_term;      /* newest term in which it voted for this voter */
+  bool is_blank;              /* its last MSG_BLANK said that its log is empty */
+  int64_t blank_at;           /* when that message arrived */
+  uint64_t blank_incarnation; /* the incarnation that it named */
 } Peer;
 
 typedef struct
@@ -42,11 +43,11 @@
   GByteArray *bytes;
 } Outgoing;
 
-/* The longest wait of a kind lately. */
+/* The largest of the recent durations of a kind. */
 typedef struct
 {
-  int64_t longest, ended;
-} Wait;
+  int64_t value, seen_at;
+} RecentMax;
 
 struct Raft
 {
@@ -60,85 +61,88 @@
   Wal *wal;
   Rlog log;
   uint64_t incarnation;
-  bool broken;
+  bool storage_failed;
   Role role;
   uint64_t term;
   uint32_t voted_for, leader;
-  bool vote_synced; /* term and voted_for last */
-  bool fresh;       /* has heard no leader and given no vote since its start */
+  bool vote_synced;  /* term and voted_for are on disk */
+  bool just_started; /* has followed no leader and cast no vote since it started */
   uint64_t commit, applied, synced;
-  uint64_t noted;      /* commit index in the log's file */
-  uint64_t term_start; /* index of the leader's first entry */
-  uint64_t round;
-  int64_t round_sent[ROUNDS];
-  int64_t election_at, leader_heard, heartbeat_at, blank_at, led_since;
-  int64_t stood_at;        /* when votes were last asked for */
-  Wait own_syncs, answers; /* of others' answers, which wait for their disks */
-  uint64_t led_term;       /* newest term that this voter has led */
-  bool must_send;          /* new entries wait to be sent */
-  Peer peers[PEERS_MOST];
+  uint64_t commit_logged; /* commit index last written to the log file */
+  uint64_t term_start;    /* index of the first entry of the term that this voter leads */
+  uint64_t round;         /* number of the last heartbeat or broadcast */
+  int64_t round_sent[ROUND_HISTORY];
+  int64_t election_due, leader_heard_at, heartbeat_due, blank_due, leader_since;
+  int64_t votes_requested_at;
+  RecentMax sync_times;   /* of this voter's disk */
+  RecentMax reply_times;  /* of other voters, which sync before they reply */
+  uint64_t last_led_term; /* newest term in which this voter was leader */
+  bool send_pending;      /* a broadcast is due at the next flush */
+  Peer peers[MAX_PEERS];
   unsigned peer_count;
-  GArray *outbox; /* Outgoing; behind the next sync */
-  GArray *early;  /* Outgoing; before it */
+  GArray *after_sync;  /* Outgoing; sent after the next sync */
+  GArray *before_sync; /* Outgoing; sent before it */
 };
 
 /* ---- raft.c ---- */
 
-/* Puts a message behind what the next sync makes lasting. */
-void raft_post (Raft *raft, uint32_t to, const Msg *msg);
-/* Puts a message that promises nothing of what is not synced yet before the next sync. */
-void raft_post_early (Raft *raft, uint32_t to, const Msg *msg);
-void raft_wait_note (Wait *wait, int64_t waited, int64_t now);
-/* 0: none lately. */
-int64_t raft_wait_longest (const Wait *wait, int64_t now);
+/* Queues a message that depends on what the next sync makes durable. */
+void raft_queue_after_sync (Raft *raft, uint32_t to, const Msg *msg);
+/* Queues a message that does not depend on unsynced data; it is sent before the next sync. */
+void raft_queue_before_sync (Raft *raft, uint32_t to, const Msg *msg);
+void raft_recent_max_add (RecentMax *max, int64_t value, int64_t now);
+/* 0: none recently. */
+int64_t raft_recent_max_get (const RecentMax *max, int64_t now);
 FtStatus raft_append_op (Raft *raft, uint64_t term, const MsgOp *op);
-/* Writes the term and the vote down. */
-void raft_enter_term (Raft *raft, uint64_t term, uint32_t voted_for);
+/* Sets the term and the vote, and writes both to the log file. */
+void raft_record_vote (Raft *raft, uint64_t term, uint32_t voted_for);
 /* leader 0: unknown. */
-void raft_follow (Raft *raft, uint64_t term, uint32_t leader, int64_t now);
+void raft_become_follower (Raft *raft, uint64_t term, uint32_t leader, int64_t now);
 unsigned raft_majority (const RlogConfig *config);
-/* Is this voter, with the memory that it has, named in the newest set? */
-bool raft_in_config (const Raft *raft);
-/* Applies what is committed, and takes a snapshot when it is time. */
+/* Does the newest voter set name this voter with its incarnation? */
+bool raft_is_voter (const Raft *raft);
+/* Applies committed entries, then takes a snapshot if enough were applied. */
 void raft_apply_committed (Raft *raft);
 
-/* ---- Leading (raftlead.c) ---- */
+/* ---- Leader (raftlead.c) ---- */
 
-/* The election is won. */
-void raftlead_begin (Raft *raft, int64_t now);
-/* Entries and heartbeats to all. */
+/* Called when the election is won. */
+void raftlead_become_leader (Raft *raft, int64_t now);
+/* Queues new entries, or an empty heartbeat, for every peer. */
 void raftlead_broadcast (Raft *raft, int64_t now);
-/* Commits what a majority has synced. */
-void raftlead_advance (Raft *raft);
-void raftlead_on_appended (Raft *raft, Peer *peer, const MsgAppended *appended, int64_t now);
+/* Commits the entries that a majority has synced. */
+void raftlead_advance_commit (Raft *raft);
+void raftlead_on_append_reply (Raft *raft, Peer *peer, const MsgAppended *appended, int64_t now);
 void raftlead_tick (Raft *raft, int64_t now);
 
 /* ---- Elections (raftvote.c) ---- */
 
 void raftvote_restart_timer (Raft *raft, int64_t now);
-/* pre: asks whether it would win, without a new term. handed_over: the leader asked it to stand. */
-void raftvote_stand (Raft *raft, bool pre, bool handed_over, int64_t now);
-void raftvote_on_vote (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now);
-void raftvote_on_voted (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now);
-/* The own vote lasts: it may decide. */
+/* pre: a pre-vote, which asks whether it would win and starts no new term. handed_over: the leader
+ * asked this voter to start the election. */
+void raftvote_start_election (Raft *raft, bool pre, bool handed_over, int64_t now);
+void raftvote_on_request (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now);
+void raftvote_on_reply (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now);
+/* Called after a sync: this voter's vote for itself is durable now and may win the election. */
 void raftvote_on_synced (Raft *raft, int64_t now);
 
-/* ---- Who votes (raftset.c) ---- */
+/* ---- Voter set (raftset.c) ---- */
 
 /* NULL: unknown. */
-Peer *raftset_find (const Raft *raft, uint32_t id);
-/* Does the newest set of voters name id? */
-bool raftset_names (const Raft *raft, uint32_t id);
-/* The peer of that id, made if there is room; NULL: this voter itself, or no room. */
-Peer *raftset_meet (Raft *raft, uint32_t id);
-/* Meets all voters that the log names. */
-void raftset_meet_voters (Raft *raft);
-/* A leader's steps, at most one open at a time: the incarnations that are there are named, ... */
-void raftset_adjust (Raft *raft, int64_t now);
-/* ... and one that is gone is dropped when enough others are heard. */
-void raftset_drop_gone (Raft *raft, int64_t now);
+Peer *raftset_find_peer (const Raft *raft, uint32_t id);
+/* Does the newest voter set name id? */
+bool raftset_is_voter (const Raft *raft, uint32_t id);
+/* Returns the peer of that id, added if there is room; NULL: this voter itself, or no room. */
+Peer *raftset_add_peer (Raft *raft, uint32_t id);
+/* Adds a peer for every voter that the log names. */
+void raftset_add_voters (Raft *raft);
+/* On the leader: proposes one change of the voter set, if none is open, so that it names the
+ * current incarnations of the peers that have caught up. */
+void raftset_reconcile (Raft *raft, int64_t now);
+/* On the leader: removes a voter that has been silent for long if enough others are heard. */
+void raftset_remove_dead (Raft *raft, int64_t now);
 void raftset_on_blank (Raft *raft, Peer *peer, const MsgBlank *blank, int64_t now);
-/* A voter without a log makes itself known, and forms the first set when it may. */
+/* Sends MSG_BLANK to all peers, and creates the first voter set if this voter may. */
 void raftset_tick_blank (Raft *raft, int64_t now);
 
 #endif
--- a/src/raftvote.c
+++ b/src/raftvote.c
@@ -1,29 +1,30 @@
-/* raftvote.c - elections of a voter: asking for votes, first without a new term (pre-vote), and
- * giving them.
+/* raftvote.c - elections: requesting votes, first in a pre-vote that starts no new term, and
+ * granting them.
  *
- * A vote is written down before it is said (raft_enter_term), and given only to a log that is no
- * older than the own one; votes count for a pair of voter and incarnation of its data folder.
+ * A vote is synced before it is sent (raft_record_vote, raft_queue_after_sync), and is granted only
+ * to a candidate whose log is at least as up to date as the voter's. A vote counts for a voter id
+ * together with the incarnation of its data folder.
  *
- * Votes are asked for before the own one is synced, so that voters sync at the same time, but the
- * own one counts once it lasts: a candidate that loses it has won nothing. Votes of the newest term
- * in which this voter stood count until it enters another, also while it asks for a pre-vote again:
- * disks that take longer than an election timeout would otherwise have no votes arrive in time.
+ * Votes are requested before the candidate's own vote is synced, so that the voters' disks work in
+ * parallel. The candidate counts its own vote only once it is synced. Votes for the current term
+ * still count while the candidate runs another pre-vote; otherwise a disk that takes longer than an
+ * election timeout would make every vote arrive too late.
  */
 #include "raftint.h"
 
-/* Tuning; each row with its reason. */
-#define ELECTION_SPREAD (400 * FT_MS) /* voters rarely stand together */
-#define PREVOTE_LEAST   (150 * FT_MS) /* asking again costs messages only, no term */
+/* Tuning. */
+#define ELECTION_JITTER     (400 * FT_MS) /* keeps voters from starting elections together */
+#define PREVOTE_TIMEOUT_MIN (150 * FT_MS) /* short: another pre-vote costs only messages */
 
 void
 raftvote_restart_timer (Raft *raft, int64_t now)
 {
-  raft->election_at = now + ELECTION_LEAST + raft_wait_longest (&raft->own_syncs, now)
-                      + (int64_t) (ft_random_next (raft->random) % (uint64_t) ELECTION_SPREAD);
+  raft->election_due = now + ELECTION_TIMEOUT_MIN + raft_recent_max_get (&raft->sync_times, now)
+                       + (int64_t) (ft_random_next (raft->random) % (uint64_t) ELECTION_JITTER);
 }
 
 static void
-ask_votes (Raft *raft, bool pre, bool handed_over)
+request_votes (Raft *raft, bool pre, bool handed_over)
 {
   Msg msg = { .kind = MSG_VOTE };
   MsgVote *out = &msg.Msg_u.vote;
@@ -36,22 +37,22 @@
   out->handed_over = handed_over;
   for (unsigned i = 0; i < raft->peer_count; i++)
     {
-      raft->peers[i].granted = false;
-      raft_post_early (raft, raft->peers[i].id, &msg);
+      raft->peers[i].prevote_granted = false;
+      raft_queue_before_sync (raft, raft->peers[i].id, &msg);
     }
 }
 
 static bool
-has_vote_of (const Raft *raft, const MsgVoter *voter, bool pre)
+has_vote_from (const Raft *raft, const MsgVoter *voter, bool pre)
 {
   const Peer *peer;
 
   if (voter->id == raft->conf.self)
     return voter->incarnation == raft->incarnation
            && (pre || (raft->vote_synced && raft->voted_for == raft->conf.self));
-  peer = raftset_find (raft, voter->id);
+  peer = raftset_find_peer (raft, voter->id);
   return peer && peer->incarnation == voter->incarnation
-         && (pre ? peer->granted : peer->vote_term == raft->term);
+         && (pre ? peer->prevote_granted : peer->granted_term == raft->term);
 }
 
 static bool
@@ -61,28 +62,28 @@
   unsigned granted = 0;
 
   for (unsigned i = 0; i < config->count; i++)
-    granted += has_vote_of (raft, &config->voters[i], pre);
+    granted += has_vote_from (raft, &config->voters[i], pre);
   return granted >= raft_majority (config);
 }
 
 static void count_votes (Raft *raft, int64_t now);
 
 void
-raftvote_stand (Raft *raft, bool pre, bool handed_over, int64_t now)
+raftvote_start_election (Raft *raft, bool pre, bool handed_over, int64_t now)
 {
   raftvote_restart_timer (raft, now);
   if (pre)
-    raft->election_at = now + PREVOTE_LEAST
-                        + (int64_t) (ft_random_next (raft->random) % (uint64_t) PREVOTE_SPREAD);
+    raft->election_due = now + PREVOTE_TIMEOUT_MIN
+                         + (int64_t) (ft_random_next (raft->random) % (uint64_t) PREVOTE_JITTER);
   raft->leader = 0;
   raft->role = pre ? ROLE_PRECANDIDATE : ROLE_CANDIDATE;
   if (!pre)
     {
-      raft->fresh = false;
-      raft_enter_term (raft, raft->term + 1, raft->conf.self);
-      raft->stood_at = now;
+      raft->just_started = false;
+      raft_record_vote (raft, raft->term + 1, raft->conf.self);
+      raft->votes_requested_at = now;
     }
-  ask_votes (raft, pre, handed_over);
+  request_votes (raft, pre, handed_over);
   count_votes (raft, now);
 }
 
@@ -91,10 +92,10 @@
 {
   if (raft->role != ROLE_PRECANDIDATE && raft->role != ROLE_CANDIDATE)
     return;
-  if (raft->led_term < raft->term && has_majority (raft, false))
-    raftlead_begin (raft, now);
+  if (raft->last_led_term < raft->term && has_majority (raft, false))
+    raftlead_become_leader (raft, now);
   else if (raft->role == ROLE_PRECANDIDATE && has_majority (raft, true))
-    raftvote_stand (raft, false, false, now);
+    raftvote_start_election (raft, false, false, now);
 }
 
 void
@@ -104,7 +105,7 @@
 }
 
 static bool
-log_is_current (const Raft *raft, const MsgVote *vote)
+log_is_up_to_date (const Raft *raft, const MsgVote *vote)
 {
   uint64_t last_term = rlog_last_term (&raft->log);
 
@@ -113,58 +114,58 @@
 }
 
 void
-raftvote_on_vote (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now)
+raftvote_on_request (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now)
 {
   Msg msg = { .kind = MSG_VOTED };
   MsgVoted *out = &msg.Msg_u.voted;
   bool granted = false;
 
-  /* Failure: a voter that was cut off returns and stands. Symptom: it would depose a leader that
-   * serves everyone else. While the leader is heard nobody votes, which also makes the leader's
-   * lease hold; a voter that has just started may have heard one, so it waits as long. */
-  bool led = !vote->handed_over
-             && (now - raft->leader_heard < ELECTION_LEAST
-                 || (raft->role == ROLE_LEADER && raft_leading (raft)));
-  if (!led && vote->term > raft->term && !vote->pre)
-    raft_follow (raft, vote->term, 0, now);
-  if (led)
+  /* A voter that was disconnected and starts an election on its return must not replace a working
+   * leader. So nobody votes while the leader is heard, which also guarantees the leader's lease. A
+   * voter that has just started may have heard a leader before, so it waits too (start_timers). */
+  bool leader_alive = !vote->handed_over
+                      && (now - raft->leader_heard_at < ELECTION_TIMEOUT_MIN
+                          || (raft->role == ROLE_LEADER && raft_leading (raft)));
+  if (!leader_alive && vote->term > raft->term && !vote->pre)
+    raft_become_follower (raft, vote->term, 0, now);
+  if (leader_alive)
     granted = false;
   else if (vote->pre)
-    granted = vote->term > raft->term && log_is_current (raft, vote);
+    granted = vote->term > raft->term && log_is_up_to_date (raft, vote);
   else if (vote->term == raft->term && raft->role == ROLE_FOLLOWER
-           && (raft->voted_for == 0 || raft->voted_for == from) && log_is_current (raft, vote))
+           && (raft->voted_for == 0 || raft->voted_for == from) && log_is_up_to_date (raft, vote))
     {
       granted = true;
-      raft->fresh = false;
-      raft_enter_term (raft, raft->term, from);
+      raft->just_started = false;
+      raft_record_vote (raft, raft->term, from);
       raftvote_restart_timer (raft, now);
     }
   out->pre = vote->pre;
   out->term = granted && vote->pre ? vote->term : raft->term;
   out->incarnation = raft->incarnation;
   out->granted = granted;
-  raft_post (raft, from, &msg);
+  raft_queue_after_sync (raft, from, &msg);
 }
 
 void
-raftvote_on_voted (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now)
+raftvote_on_reply (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now)
 {
-  uint64_t wanted = voted->pre ? raft->term + 1 : raft->term;
+  uint64_t expected_term = voted->pre ? raft->term + 1 : raft->term;
 
   peer->incarnation = voted->incarnation;
   if (!voted->granted && voted->term > raft->term)
     {
-      raft_follow (raft, voted->term, 0, now);
+      raft_become_follower (raft, voted->term, 0, now);
       return;
     }
-  if (!voted->granted || voted->term != wanted)
+  if (!voted->granted || voted->term != expected_term)
     return;
   if (voted->pre)
-    peer->granted = true;
+    peer->prevote_granted = true;
   else
     {
-      peer->vote_term = voted->term;
-      raft_wait_note (&raft->answers, now - raft->stood_at, now);
+      peer->granted_term = voted->term;
+      raft_recent_max_add (&raft->reply_times, now - raft->votes_requested_at, now);
     }
   count_votes (raft, now);
 }
--- a/test/rollout.c
+++ b/test/rollout.c
@@ -81,7 +81,7 @@
 {
   State *state = state_new (), *later = state_new ();
   MsgOp start = { .kind = MSG_OP_ROLLOUT_START }, step = { .kind = MSG_OP_ROLLOUT_STEP };
-  StateVerdict verdict;
+  StateResult verdict;
 
   start.MsgOp_u.rollout_start
       = (MsgRolloutStart){ (char *) "s", (char *) "v2", (char *) "v1", 12000, 0 };
@@ -115,7 +115,7 @@
   State *state = state_new (), *later = state_new ();
   MsgOp op = { .kind = MSG_OP_ENDED };
   uint64_t content = 77;
-  StateVerdict verdict;
+  StateResult verdict;
 
   op.MsgOp_u.ended.server = (char *) "i";
   op.MsgOp_u.ended.contents.contents_len = 1;
--- a/test/stall.c
+++ b/test/stall.c
@@ -145,7 +145,7 @@
 }
 
 static void
-on_apply (void *host, uint64_t index, const MsgOp *op, const StateVerdict *verdict)
+on_apply (void *host, uint64_t index, const MsgOp *op, const StateResult *verdict)
 {
   (void) host;
   (void) index;
@@ -162,9 +162,9 @@
   RaftConf conf = { .self = voter->id,
                     .voters = ids,
                     .count = voter_count,
-                    .found = true,
-                    .may_form = true,
-                    .least = voter_count };
+                    .discover = true,
+                    .may_bootstrap = true,
+                    .min_voters = voter_count };
   FtError error = { 0 };
 
   for (unsigned i = 0; i < voter_count; i++)
@@ -226,7 +226,7 @@
   receive (voter);
   raft_tick (voter->raft);
   raft_flush (voter->raft);
-  voter->proved_until = raft_leads_until (voter->raft);
+  voter->proved_until = raft_lease_until (voter->raft);
 }
 
 static void
