--- a/src/codec.c
+++ b/src/codec.c
@@ -1,4 +1,4 @@
-/* codec.c - between generated types and bytes, over libtirpc's memory streams. */
+/* codec.c - encodes and decodes generated types with the memory streams of libtirpc. */
 #include "codec.h"
 
 #include <string.h>
--- a/src/rlog.c
+++ b/src/rlog.c
@@ -1,4 +1,4 @@
-/* rlog.c - the replicated log's entries in memory, and the stack of voter sets that they name. */
+/* rlog.c - the replicated log's entries in memory, and the voter sets that they name. */
 #include "rlog.h"
 #include "wal.h"
 
@@ -51,7 +51,7 @@
   g_ptr_array_add (log->entries, entry);
   if (entry->op.op_len < 4)
     return;
-  memcpy (&kind, entry->op.op_val, 4);
+  memcpy (&kind, entry->op.op_val, 4); /* a packed union starts with its kind */
   if (GUINT32_FROM_BE (kind) != MSG_OP_VOTERS)
     return;
   if (codec_unpack (CODEC (MsgOp), entry->op.op_val, entry->op.op_len, &op, NULL) == FT_OK)
--- a/src/wal.c
+++ b/src/wal.c
@@ -1,14 +1,14 @@
-/* wal.c - the voter's write-ahead log, after the usual rules (Mohan et al., ARIES 1992; Ongaro,
- * 2014, chapter 3).
+/* wal.c - the voter's write-ahead log (Mohan et al., ARIES 1992; Ongaro, 2014, chapter 3).
  *
- * A record is: magic, length, type, checksum (XXH3 over type and payload), payload; numbers
- * little-endian. Files: "ident" (the folder's incarnation), "snap" (one record), "log" (records).
- * "ident" and "snap" are replaced whole by rename, "log" is appended to.
+ * A record is: magic, length, type, checksum (XXH3 over type and payload), payload; numbers are
+ * little-endian. Files: "ident" (the folder's incarnation), "snap" (one record) and "log"
+ * (records). "ident" and "snap" are replaced as a whole by rename, "log" is appended to, and
+ * replaced when a snapshot is taken.
  *
- * A crash can leave the log's last record short or unwritten in parts: nothing valid follows it, it
- * was never synced, so nothing was promised on it and it is cut. A bad record with a valid one
- * behind it lies in the middle of what was promised: the voter must not go on, since it would
- * forget a vote or an entry that others count on.
+ * A crash can leave the last batch of the log incomplete. It was never synced, so no message
+ * depends on it, and the log is truncated before its first bad record. A bad record with a valid
+ * batch after it means that synced data is damaged: the voter must not start, since it would forget
+ * a vote or an entry that others count on.
  */
 #include "wal.h"
 
@@ -16,9 +16,9 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#define MAGIC       0x4c415746u
-#define HEADER_SIZE 20u
-#define RECORD_MOST (64u << 20)
+#define MAGIC           0x4c415746u
+#define HEADER_SIZE     20u
+#define RECORD_MAX_SIZE (64u << 20)
 
 enum
 {
@@ -27,16 +27,16 @@
   RECORD_VOTE = 3,
   RECORD_SNAPSHOT = 4,
   RECORD_IDENT = 5,
-  RECORD_BATCH = 6, /* starts a batch; the number of the batch */
-  RECORD_COMMIT = 7 /* entries up to this index are known to be committed */
+  RECORD_BATCH = 6, /* first record of a batch: the number of the batch */
+  RECORD_COMMIT = 7 /* entries up to this index are committed */
 };
 
 struct Wal
 {
   FtDisk *disk;
-  GByteArray *pending; /* records not yet handed to the disk */
-  uint64_t batch;      /* number of the next one */
-  bool dirty, broken;
+  GByteArray *pending; /* records not yet written to the file */
+  uint64_t batch;      /* number of the next batch */
+  bool dirty, failed;
 };
 
 static void
@@ -79,16 +79,17 @@
   g_byte_array_append (out, payload, (guint) size);
 }
 
-/* Size of the valid record at offset, header included; 0: there is none. */
+/* Returns the size of the valid record at offset, header included; 0: there is none. */
 static size_t
-record_at (const GByteArray *file, size_t offset, uint32_t *type, const guint8 **payload,
-           size_t *size)
+parse_record (const GByteArray *file, size_t offset, uint32_t *type, const guint8 **payload,
+              size_t *size)
 {
   if (offset + HEADER_SIZE > file->len)
     return 0;
   const guint8 *head = file->data + offset;
   uint32_t length = get_u32 (head + 4);
-  if (get_u32 (head) != MAGIC || length > RECORD_MOST || offset + HEADER_SIZE + length > file->len)
+  if (get_u32 (head) != MAGIC || length > RECORD_MAX_SIZE
+      || offset + HEADER_SIZE + length > file->len)
     return 0;
   *type = get_u32 (head + 8);
   *payload = head + HEADER_SIZE;
@@ -99,14 +100,14 @@
 }
 
 static bool
-valid_batch_behind (const GByteArray *file, size_t offset)
+has_valid_batch_after (const GByteArray *file, size_t offset)
 {
   uint32_t type;
   const guint8 *payload;
   size_t size;
 
   for (size_t at = offset + 1; at + HEADER_SIZE <= file->len; at++)
-    if (record_at (file, at, &type, &payload, &size) && type == RECORD_BATCH)
+    if (parse_record (file, at, &type, &payload, &size) && type == RECORD_BATCH)
       return true;
   return false;
 }
@@ -130,14 +131,14 @@
 }
 
 static void
-drop_from (GPtrArray *entries, uint64_t from)
+remove_entries_from (GPtrArray *entries, uint64_t from)
 {
   while (entries->len > 0 && ((MsgEntry *) entries->pdata[entries->len - 1])->index >= from)
     g_ptr_array_set_size (entries, (int) entries->len - 1);
 }
 
 static FtStatus
-replay (WalState *state, uint32_t type, const guint8 *payload, size_t size)
+replay_record (WalState *state, uint32_t type, const guint8 *payload, size_t size)
 {
   if (type == RECORD_VOTE && size == 12)
     {
@@ -147,7 +148,7 @@
     }
   if (type == RECORD_TRUNCATE && size == 8)
     {
-      drop_from (state->entries, get_u64 (payload));
+      remove_entries_from (state->entries, get_u64 (payload));
       return FT_OK;
     }
   if (type == RECORD_BATCH && size == 8)
@@ -171,7 +172,8 @@
   uint64_t last = state->entries->len
                       ? ((MsgEntry *) state->entries->pdata[state->entries->len - 1])->index
                       : state->snapshot_index;
-  if (entry->index <= state->snapshot_index) /* the crash came between snapshot and new log */
+  if (entry->index
+      <= state->snapshot_index) /* crashed after the snapshot was replaced, before the log was */
     wal_entry_free (entry);
   else if (entry->index != last + 1)
     {
@@ -194,25 +196,25 @@
     {
       uint32_t type;
       const guint8 *payload;
-      size_t size, step = record_at (file, offset, &type, &payload, &size);
-      if (step == 0 && valid_batch_behind (file, offset))
+      size_t size, step = parse_record (file, offset, &type, &payload, &size);
+      if (step == 0 && has_valid_batch_after (file, offset))
         {
           status = ft_error_set (error, FT_CORRUPT, 0, "log",
-                                 "damaged record at offset %zu with valid ones behind it; replace "
+                                 "damaged record at offset %zu, followed by valid records; replace "
                                  "this voter's data folder with an empty one",
                                  offset);
           break;
         }
       if (step == 0)
         {
-          state->cut = file->len - offset;
+          state->truncated = file->len - offset;
           status = disk->ops->truncate (disk, "log", offset);
           break;
         }
-      status = replay (state, type, payload, size);
+      status = replay_record (state, type, payload, size);
       if (status != FT_OK)
-        ft_error_set (error, status, 0, "log", "record at offset %zu does not fit the ones before",
-                      offset);
+        ft_error_set (error, status, 0, "log",
+                      "record at offset %zu does not follow from the records before it", offset);
       offset += step;
     }
   if (status == FT_NOT_FOUND)
@@ -221,10 +223,10 @@
   return status;
 }
 
-/* Reads a file that holds exactly one record. FT_NOT_FOUND: there is none. */
+/* Reads a file that holds exactly one record. FT_NOT_FOUND: there is no such file. */
 static FtStatus
-read_single (FtDisk *disk, const char *name, uint32_t wanted, size_t least, GByteArray **out,
-             FtError *error)
+read_single_record (FtDisk *disk, const char *name, uint32_t expected_type, size_t min_size,
+                    GByteArray **out, FtError *error)
 {
   GByteArray *file = g_byte_array_new ();
   uint32_t type = 0;
@@ -233,9 +235,9 @@
   FtStatus status = disk->ops->read (disk, name, file);
 
   if (status == FT_OK
-      && (record_at (file, 0, &type, &payload, &size) != file->len || type != wanted
-          || size < least))
-    status = ft_error_set (error, FT_CORRUPT, 0, name, "damaged at offset 0");
+      && (parse_record (file, 0, &type, &payload, &size) != file->len || type != expected_type
+          || size < min_size))
+    status = ft_error_set (error, FT_CORRUPT, 0, name, "damaged record at offset 0");
   if (status == FT_OK)
     {
       *out = g_byte_array_new ();
@@ -249,7 +251,7 @@
 read_snapshot (FtDisk *disk, WalState *state, FtError *error)
 {
   GByteArray *body = NULL;
-  FtStatus status = read_single (disk, "snap", RECORD_SNAPSHOT, 16, &body, error);
+  FtStatus status = read_single_record (disk, "snap", RECORD_SNAPSHOT, 16, &body, error);
 
   if (status == FT_NOT_FOUND)
     return FT_OK;
@@ -266,7 +268,7 @@
 read_ident (FtDisk *disk, WalState *state, FtError *error)
 {
   GByteArray *body = NULL;
-  FtStatus status = read_single (disk, "ident", RECORD_IDENT, 8, &body, error);
+  FtStatus status = read_single_record (disk, "ident", RECORD_IDENT, 8, &body, error);
 
   if (status == FT_NOT_FOUND)
     return FT_OK;
@@ -294,9 +296,9 @@
   (*out)->disk = disk;
   (*out)->pending = g_byte_array_new ();
   (*out)->batch = state->batch + 1;
-  /* Failure: a process ends while it syncs; what it wrote is read back, promised again by the next
-   * one and lost with power. Symptom: an entry that a majority acknowledged is gone. So the first
-   * sync is done even when nothing has been added. */
+  /* If the process died before its last sync was done, data that has been read back may not be on
+   * disk. The voter may acknowledge it and then lose it in a power failure. So the first wal_sync
+   * syncs even if nothing was appended. */
   (*out)->dirty = state->term > 0 || state->entries->len > 0;
   return FT_OK;
 }
@@ -318,13 +320,13 @@
 }
 
 static FtStatus
-remember (Wal *wal, FtStatus status)
+note_failure (Wal *wal, FtStatus status)
 {
-  /* Failure: a write or sync failed. Symptom: pages may be marked clean though they never reached
-   * the disk, so a later sync that succeeds proves nothing. Refusing every later write suffices:
-   * the voter neither votes nor acknowledges until a restart has read back what is there. */
+  /* After a failed write or sync the kernel may mark pages clean that never reached the disk, so a
+   * later successful sync proves nothing. Refusing all later writes is enough: the voter neither
+   * votes nor acknowledges until a restart has read the files again. */
   if (status != FT_OK)
-    wal->broken = true;
+    wal->failed = true;
   return status;
 }
 
@@ -338,7 +340,7 @@
   FtStatus status = wal->disk->ops->replace (wal->disk, "ident", file->data, file->len);
   g_byte_array_unref (payload);
   g_byte_array_unref (file);
-  return remember (wal, status);
+  return note_failure (wal, status);
 }
 
 static void
@@ -369,18 +371,18 @@
 {
   put_vote (wal->pending, term, voted_for);
   wal->dirty = true;
-  return wal->broken ? FT_IO : FT_OK;
+  return wal->failed ? FT_IO : FT_OK;
 }
 
 FtStatus
 wal_entry (Wal *wal, const MsgEntry *entry)
 {
   wal->dirty = true;
-  return wal->broken ? FT_IO : put_entry (wal->pending, entry);
+  return wal->failed ? FT_IO : put_entry (wal->pending, entry);
 }
 
 static void
-put_number (GByteArray *out, uint32_t type, uint64_t number)
+put_number_record (GByteArray *out, uint32_t type, uint64_t number)
 {
   GByteArray *payload = g_byte_array_new ();
 
@@ -392,25 +394,25 @@
 FtStatus
 wal_truncate (Wal *wal, uint64_t from)
 {
-  put_number (wal->pending, RECORD_TRUNCATE, from);
+  put_number_record (wal->pending, RECORD_TRUNCATE, from);
   wal->dirty = true;
-  return wal->broken ? FT_IO : FT_OK;
+  return wal->failed ? FT_IO : FT_OK;
 }
 
 FtStatus
 wal_commit (Wal *wal, uint64_t index)
 {
-  put_number (wal->pending, RECORD_COMMIT, index);
+  put_number_record (wal->pending, RECORD_COMMIT, index);
   wal->dirty = true;
-  return wal->broken ? FT_IO : FT_OK;
+  return wal->failed ? FT_IO : FT_OK;
 }
 
 static FtStatus
-append_batch (Wal *wal)
+append_pending (Wal *wal)
 {
   GByteArray *batch = g_byte_array_sized_new (wal->pending->len + 64);
 
-  put_number (batch, RECORD_BATCH, wal->batch++);
+  put_number_record (batch, RECORD_BATCH, wal->batch++);
   g_byte_array_append (batch, wal->pending->data, wal->pending->len);
   FtStatus status = wal->disk->ops->append (wal->disk, "log", batch->data, batch->len);
   g_byte_array_unref (batch);
@@ -422,17 +424,17 @@
 {
   FtStatus status = FT_OK;
 
-  if (wal->broken)
+  if (wal->failed)
     return FT_IO;
   if (!wal->dirty)
     return FT_OK;
   if (wal->pending->len)
-    status = append_batch (wal);
+    status = append_pending (wal);
   if (status == FT_OK)
     status = wal->disk->ops->sync (wal->disk, "log");
   g_byte_array_set_size (wal->pending, 0);
   wal->dirty = false;
-  return remember (wal, status);
+  return note_failure (wal, status);
 }
 
 FtStatus
@@ -440,7 +442,7 @@
               uint32_t voted_for, MsgEntry *const *entries, unsigned count)
 {
   GByteArray *payload = g_byte_array_new (), *file = g_byte_array_new ();
-  FtStatus status = wal->broken ? FT_IO : FT_OK;
+  FtStatus status = wal->failed ? FT_IO : FT_OK;
 
   put_u64 (payload, index);
   put_u64 (payload, term);
@@ -454,9 +456,9 @@
     status = put_entry (file, entries[i]);
   if (status == FT_OK)
     status = wal->disk->ops->replace (wal->disk, "log", file->data, file->len);
-  g_byte_array_set_size (wal->pending, 0); /* all of it is in the new log */
+  g_byte_array_set_size (wal->pending, 0); /* the new log holds all of it */
   wal->dirty = false;
   g_byte_array_unref (payload);
   g_byte_array_unref (file);
-  return remember (wal, status);
+  return note_failure (wal, status);
 }
