--- a/src/state.c
+++ b/src/state.c
@@ -1,40 +1,42 @@
 /* state.c - the state that every voter derives from the replicated log.
  *
- * Catalogue changes: a change names the revision it was made against. If that is still the current
- * one and the text passes every check, it becomes the next revision; otherwise it is refused and
- * told which change took the place. Accepted and refused verdicts are kept by change id, so that a
- * change that is sent again gets its first verdict, from any voter and after any restart.
+ * Catalogue changes: a change names the revision that it is based on. If that is still the current
+ * one and the text passes every check, it becomes the next revision. Otherwise it is rejected, and
+ * the result names the change that came first. Results are kept by change id, so that a change that
+ * is sent again gets its first result, from any voter and after any restart.
  *
- * Claims: the first claim of a key wins. It ends as released (it provably did not run; the key is
- * free again), answered, or unknown. Ended claims are kept for CLAIM_KEPT_MS and running ones for
- * CLAIM_LOST_MS, by the wall times that the operations carry, so that all voters agree on them.
+ * Claims: the first claim of a key wins. It ends as released (the request provably did not run; the
+ * key is free again), answered, or unknown. Ended claims are kept for ENDED_CLAIM_TTL_MS and
+ * running ones for RUNNING_CLAIM_TTL_MS. These ages are computed from the wall times in the
+ * operations, so that all voters drop the same claims.
  *
- * Blame: which contents ran on servers that ended (blame.c).
- * Roll-outs: which versions of servers were ordered (rollout.c).
+ * Contents that ran on servers that ended, and ordered versions of servers, have their own modules
+ * (blame.c, rollout.c).
  */
 #include "state.h"
 
 #include <string.h>
 
-#define HISTORY_MOST  20000                          /* verdicts; 13 days at 1,500 changes a day */
-#define REFUSALS_MOST 20000                          /* records; 40 bytes to 400 bytes each */
-#define CLAIM_KEPT_MS (G_GINT64_CONSTANT (86400000)) /* a day: longer than any caller retries */
-#define CLAIM_LOST_MS (7 * CLAIM_KEPT_MS)
-#define ACCOUNT_BYTES                                                                              \
-  12 /* of an empty account in a snapshot: its index and the number of records */
+#define MAX_HISTORY  20000 /* results; 13 days at 1,500 changes a day */
+#define MAX_REFUSALS 20000 /* records of 40 to 400 bytes each */
+#define ENDED_CLAIM_TTL_MS                                                                         \
+  (G_GINT64_CONSTANT (86400000)) /* a day, longer than any caller retries */
+#define RUNNING_CLAIM_TTL_MS (7 * ENDED_CLAIM_TTL_MS)
+#define EMPTY_SECTION_BYTES                                                                        \
+  12 /* of an empty section in a snapshot: its index and its number of records */
 
 struct State
 {
   uint64_t revision, epoch;
   char *catalogue;
   FtCat *cat;
-  GPtrArray *history;    /* MsgRevision * */
-  GHashTable *by_change; /* change id -> MsgRevision * */
-  GHashTable *leases;    /* pool -> MsgLease * */
-  GHashTable *claims;    /* key -> MsgClaimState * */
-  GQueue ended;          /* MsgClaimState *, in the order of their ends */
-  GQueue refusals;       /* MsgRecord *, oldest first */
-  GHashTable *by_refusal;
+  GPtrArray *history;              /* MsgRevision * */
+  GHashTable *revisions_by_change; /* change id -> MsgRevision * */
+  GHashTable *leases;              /* pool -> MsgLease * */
+  GHashTable *claims;              /* key -> MsgClaimState * */
+  GQueue ended_claims;             /* MsgClaimState *, in the order in which they ended */
+  GQueue refusals;                 /* MsgRecord *, oldest first */
+  GHashTable *refusals_by_id;      /* refusal id -> MsgRecord * */
   MsgVoters voters;
   MsgDocument document;
   Blame *blame;
@@ -53,17 +55,17 @@
 FREE_FUNC (MsgRecord, record_free)
 
 static void
-clear (State *state)
+clear_state (State *state)
 {
   state->revision = state->epoch = 0;
   g_clear_pointer (&state->catalogue, g_free);
   g_clear_pointer (&state->cat, ft_cat_unref);
-  g_hash_table_remove_all (state->by_change);
+  g_hash_table_remove_all (state->revisions_by_change);
   g_ptr_array_set_size (state->history, 0);
   g_hash_table_remove_all (state->leases);
-  g_queue_clear (&state->ended);
+  g_queue_clear (&state->ended_claims);
   g_hash_table_remove_all (state->claims);
-  g_hash_table_remove_all (state->by_refusal);
+  g_hash_table_remove_all (state->refusals_by_id);
   g_queue_clear_full (&state->refusals, record_free);
   codec_clear (CODEC (MsgVoters), &state->voters);
   memset (&state->voters, 0, sizeof state->voters);
@@ -79,11 +81,11 @@
   State *state = g_new0 (State, 1);
 
   state->history = g_ptr_array_new_with_free_func (revision_free);
-  state->by_change = g_hash_table_new (g_str_hash, g_str_equal);
+  state->revisions_by_change = g_hash_table_new (g_str_hash, g_str_equal);
   state->leases = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, lease_free);
   state->claims = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, claim_free);
-  state->by_refusal = g_hash_table_new (g_str_hash, g_str_equal);
-  g_queue_init (&state->ended);
+  state->refusals_by_id = g_hash_table_new (g_str_hash, g_str_equal);
+  g_queue_init (&state->ended_claims);
   g_queue_init (&state->refusals);
   state->blame = blame_new ();
   state->rollouts = roll_new ();
@@ -95,18 +97,18 @@
 {
   if (state == NULL)
     return;
-  clear (state);
+  clear_state (state);
   g_ptr_array_unref (state->history);
-  g_hash_table_unref (state->by_change);
+  g_hash_table_unref (state->revisions_by_change);
   g_hash_table_unref (state->leases);
   g_hash_table_unref (state->claims);
-  g_hash_table_unref (state->by_refusal);
+  g_hash_table_unref (state->refusals_by_id);
   blame_free (state->blame);
   roll_free (state->rollouts);
   g_free (state);
 }
 
-/* Copies through XDR, so that no bound or pointer of a decoded message is shared. */
+/* Deep copy through XDR, so that the copy shares no memory with value. */
 static void *
 copy_of (xdrproc_t proc, const void *value, size_t size)
 {
@@ -114,11 +116,12 @@
   GByteArray *bytes = codec_pack (proc, value);
 
   if (bytes == NULL || codec_unpack (proc, bytes->data, bytes->len, copy, NULL) != FT_OK)
-    g_error ("a value that was decoded cannot be encoded");
+    g_error ("cannot copy a decoded message: encoding or decoding failed");
   g_byte_array_unref (bytes);
   return copy;
 }
 
+/* Digest of what the change says, to tell a repeated change from another one with the same id. */
 static char *
 change_digest (const MsgChange *change)
 {
@@ -131,53 +134,56 @@
   return digest;
 }
 
-static void say (StateResult *verdict, FtStatus status, uint64_t revision, const char *format, ...)
-    G_GNUC_PRINTF (4, 5);
+static void set_result (StateResult *result, FtStatus status, uint64_t revision, const char *format,
+                        ...) G_GNUC_PRINTF (4, 5);
 
 static void
-say (StateResult *verdict, FtStatus status, uint64_t revision, const char *format, ...)
+set_result (StateResult *result, FtStatus status, uint64_t revision, const char *format, ...)
 {
   va_list args;
 
-  verdict->status = status;
-  verdict->revision = revision;
+  result->status = status;
+  result->revision = revision;
   va_start (args, format);
-  g_vsnprintf (verdict->text, sizeof verdict->text, format, args);
+  g_vsnprintf (result->text, sizeof result->text, format, args);
   va_end (args);
 }
 
+/* The accepted change that followed revision base; NULL: no longer in the history. */
 static const MsgRevision *
-accepted_after (const State *state, uint64_t base)
+find_successor (const State *state, uint64_t base)
 {
   for (unsigned i = 0; i < state->history->len; i++)
     {
-      const MsgRevision *one = state->history->pdata[i];
-      if (one->status == FT_OK && one->revision == base + 1)
-        return one;
+      const MsgRevision *revision = state->history->pdata[i];
+      if (revision->status == FT_OK && revision->revision == base + 1)
+        return revision;
     }
   return NULL;
 }
 
+/* The texts are stored in the history. Voters of different versions must produce the same ones. */
 static void
-judge_change (State *state, const MsgChange *change, StateResult *verdict)
+apply_new_change (State *state, const MsgChange *change, StateResult *result)
 {
   FtError error;
   FtCat *cat = NULL;
 
   if (change->base != state->revision)
     {
-      const MsgRevision *winner = accepted_after (state, change->base);
-      say (verdict, FT_CONFLICT, state->revision,
-           "made against revision %" G_GUINT64_FORMAT ", but revision %" G_GUINT64_FORMAT
-           " is in its place, by change %s of %s; make the change again against it",
-           (uint64_t) change->base, state->revision, winner ? winner->change_id : "unknown",
-           winner ? winner->author : "unknown");
+      const MsgRevision *successor = find_successor (state, change->base);
+      set_result (result, FT_CONFLICT, state->revision,
+                  "made against revision %" G_GUINT64_FORMAT ", but revision %" G_GUINT64_FORMAT
+                  " is in its place, by change %s of %s; make the change again against it",
+                  (uint64_t) change->base, state->revision,
+                  successor ? successor->change_id : "unknown",
+                  successor ? successor->author : "unknown");
       return;
     }
   if (ft_cat_new (change->catalogue, state->revision + 1, &cat, &error) != FT_OK)
     {
-      say (verdict, FT_INVALID, state->revision, "line %u, %s: %s", error.line,
-           *error.field ? error.field : "document", error.text);
+      set_result (result, FT_INVALID, state->revision, "line %u, %s: %s", error.line,
+                  *error.field ? error.field : "document", error.text);
       return;
     }
   char *diff = ft_cat_diff (state->cat, cat);
@@ -186,41 +192,43 @@
   g_free (state->catalogue);
   state->catalogue = g_strdup (change->catalogue);
   state->revision++;
-  say (verdict, FT_OK, state->revision, "%s", diff);
+  set_result (result, FT_OK, state->revision, "%s", diff);
   g_free (diff);
 }
 
 static void
-apply_change (State *state, const MsgChange *change, StateResult *verdict)
+apply_change (State *state, const MsgChange *change, StateResult *result)
 {
   char *digest = change_digest (change);
-  MsgRevision *known = g_hash_table_lookup (state->by_change, change->change_id);
+  MsgRevision *known = g_hash_table_lookup (state->revisions_by_change, change->change_id);
 
   if (known)
     {
       if (strcmp (known->digest, digest) == 0)
-        say (verdict, known->status, known->revision, "%s", known->text);
+        set_result (result, known->status, known->revision, "%s", known->text);
       else
-        say (verdict, FT_CONFLICT, state->revision,
-             "change id %s was used before, with another text or revision", change->change_id);
+        set_result (result, FT_CONFLICT, state->revision,
+                    "change id %s was used before, with another text or revision",
+                    change->change_id);
       g_free (digest);
       return;
     }
-  judge_change (state, change, verdict);
+  apply_new_change (state, change, result);
   known = g_new0 (MsgRevision, 1);
-  known->revision = verdict->revision;
+  known->revision = result->revision;
   known->change_id = strdup (change->change_id);
   known->author = strdup (change->author);
   known->wall_ms = change->wall_ms;
   known->digest = strdup (digest);
-  known->status = verdict->status;
-  known->text = strdup (verdict->text);
+  known->status = result->status;
+  known->text = strdup (result->text);
   g_free (digest);
   g_ptr_array_add (state->history, known);
-  g_hash_table_insert (state->by_change, known->change_id, known);
-  if (state->history->len > HISTORY_MOST)
+  g_hash_table_insert (state->revisions_by_change, known->change_id, known);
+  if (state->history->len > MAX_HISTORY)
     {
-      g_hash_table_remove (state->by_change, ((MsgRevision *) state->history->pdata[0])->change_id);
+      g_hash_table_remove (state->revisions_by_change,
+                           ((MsgRevision *) state->history->pdata[0])->change_id);
       g_ptr_array_remove_index (state->history, 0);
     }
 }
@@ -230,10 +238,10 @@
 {
   MsgClaimState *claim;
 
-  while ((claim = g_queue_peek_head (&state->ended)) != NULL
-         && claim->ended_ms + CLAIM_KEPT_MS < wall_ms)
+  while ((claim = g_queue_peek_head (&state->ended_claims)) != NULL
+         && claim->ended_ms + ENDED_CLAIM_TTL_MS < wall_ms)
     {
-      g_queue_pop_head (&state->ended);
+      g_queue_pop_head (&state->ended_claims);
       g_hash_table_remove (state->claims, claim->claim.key);
     }
 }
@@ -246,11 +254,11 @@
 }
 
 static void
-apply_claim (State *state, const MsgClaim *claim, StateResult *verdict)
+apply_claim (State *state, const MsgClaim *claim, StateResult *result)
 {
   expire_claims (state, claim->wall_ms);
   MsgClaimState *known = g_hash_table_lookup (state->claims, claim->key);
-  if (known && !known->ended && known->claim.wall_ms + CLAIM_LOST_MS < claim->wall_ms)
+  if (known && !known->ended && known->claim.wall_ms + RUNNING_CLAIM_TTL_MS < claim->wall_ms)
     {
       g_hash_table_remove (state->claims, claim->key);
       known = NULL;
@@ -262,32 +270,33 @@
       memcpy (&known->claim, copy, sizeof known->claim);
       g_free (copy);
       g_hash_table_insert (state->claims, known->claim.key, known);
-      say (verdict, FT_OK, state->revision, "%s", claim->request_id);
+      set_result (result, FT_OK, state->revision, "%s", claim->request_id);
     }
   else if (strcmp (known->claim.digest, claim->digest) != 0)
-    say (verdict, FT_INVALID, state->revision, "%s", known->claim.request_id);
+    set_result (result, FT_INVALID, state->revision, "%s", known->claim.request_id);
   else if (!known->ended)
-    say (verdict, same_owner (&known->claim, claim) ? FT_OK : FT_CONFLICT, state->revision, "%s",
-         known->claim.request_id);
+    set_result (result, same_owner (&known->claim, claim) ? FT_OK : FT_CONFLICT, state->revision,
+                "%s", known->claim.request_id);
   else
-    say (verdict, known->end == MSG_CLAIM_ANSWERED ? FT_REPEAT : FT_STALE, state->revision, "%s",
-         known->claim.request_id);
+    set_result (result, known->end == MSG_CLAIM_ANSWERED ? FT_REPEAT : FT_STALE, state->revision,
+                "%s", known->claim.request_id);
 }
 
 static void
 end_claim (State *state, MsgClaimState *claim, MsgClaimEnd end, int64_t wall_ms)
 {
   if (claim->ended)
-    g_queue_remove (&state->ended, claim);
+    g_queue_remove (&state->ended_claims, claim);
   claim->ended = true;
   claim->end = end;
   claim->ended_ms = wall_ms;
-  g_queue_push_tail (&state->ended, claim);
+  g_queue_push_tail (&state->ended_claims, claim);
 }
 
-/* All running claims of an incarnation that has died: nobody can tell whether they ran. */
+/* Ends all running claims of an incarnation that has died as unknown: whether their requests ran
+ * cannot be known. */
 static void
-end_claims_of (State *state, const MsgClaimDone *done)
+end_claims_of_incarnation (State *state, const MsgClaimDone *done)
 {
   GHashTableIter iter;
   void *data;
@@ -303,12 +312,12 @@
 }
 
 static void
-apply_claim_done (State *state, const MsgClaimDone *done, StateResult *verdict)
+apply_claim_done (State *state, const MsgClaimDone *done, StateResult *result)
 {
-  say (verdict, FT_OK, state->revision, "%s", done->key);
+  set_result (result, FT_OK, state->revision, "%s", done->key);
   if (done->key[0] == '\0')
     {
-      end_claims_of (state, done);
+      end_claims_of_incarnation (state, done);
       return;
     }
   MsgClaimState *claim = g_hash_table_lookup (state->claims, done->key);
@@ -316,7 +325,7 @@
       || claim->claim.incarnation != done->incarnation
       || strcmp (claim->claim.request_id, done->request_id) != 0)
     {
-      say (verdict, FT_NOT_FOUND, state->revision, "%s", done->key);
+      set_result (result, FT_NOT_FOUND, state->revision, "%s", done->key);
       return;
     }
   if (done->end != MSG_CLAIM_RELEASED)
@@ -324,41 +333,41 @@
   else
     {
       if (claim->ended)
-        g_queue_remove (&state->ended, claim);
+        g_queue_remove (&state->ended_claims, claim);
       g_hash_table_remove (state->claims, done->key);
     }
 }
 
 static void
-apply_lease (State *state, uint64_t index, const MsgLease *lease, StateResult *verdict)
+apply_lease (State *state, uint64_t index, const MsgLease *lease, StateResult *result)
 {
   MsgLease *copy = copy_of (CODEC (MsgLease), lease, sizeof *lease);
 
   copy->epoch = index;
   state->epoch = index;
   g_hash_table_replace (state->leases, copy->pool, copy);
-  say (verdict, FT_OK, state->revision, "%s", lease->pool);
+  set_result (result, FT_OK, state->revision, "%s", lease->pool);
 }
 
 static void
-keep_refusal (State *state, const MsgRecord *record)
+store_refusal (State *state, const MsgRecord *record)
 {
-  if (g_hash_table_contains (state->by_refusal, record->id))
+  if (g_hash_table_contains (state->refusals_by_id, record->id))
     return;
   MsgRecord *copy = copy_of (CODEC (MsgRecord), record, sizeof *record);
   g_queue_push_tail (&state->refusals, copy);
-  g_hash_table_insert (state->by_refusal, copy->id, copy);
-  if (g_queue_get_length (&state->refusals) <= REFUSALS_MOST)
+  g_hash_table_insert (state->refusals_by_id, copy->id, copy);
+  if (g_queue_get_length (&state->refusals) <= MAX_REFUSALS)
     return;
   MsgRecord *oldest = g_queue_pop_head (&state->refusals);
-  g_hash_table_remove (state->by_refusal, oldest->id);
+  g_hash_table_remove (state->refusals_by_id, oldest->id);
   record_free (oldest);
 }
 
-/* Failure: a lower number arrives late, sent again or by another operator. Symptom: what is in
- * force reverts. The highest number wins, in whatever order they come. */
+/* The document with the highest number wins, in whatever order they arrive. Otherwise an older one
+ * that arrives late, because it is sent again or by another operator, would replace a newer one. */
 static void
-apply_document (State *state, const MsgDocument *document, StateResult *verdict)
+apply_document (State *state, const MsgDocument *document, StateResult *result)
 {
   if (document->number > state->document.number)
     {
@@ -367,26 +376,26 @@
       state->document = *copy;
       g_free (copy);
     }
-  say (verdict, FT_OK, state->document.number, "%s", "");
+  set_result (result, FT_OK, state->document.number, "%s", "");
 }
 
 void
-state_apply (State *state, uint64_t index, const MsgOp *op, StateResult *verdict)
+state_apply (State *state, uint64_t index, const MsgOp *op, StateResult *result)
 {
-  say (verdict, FT_OK, state->revision, "%s", "");
+  set_result (result, FT_OK, state->revision, "%s", "");
   switch (op->kind)
     {
     case MSG_OP_CHANGE:
-      apply_change (state, &op->MsgOp_u.change, verdict);
+      apply_change (state, &op->MsgOp_u.change, result);
       break;
     case MSG_OP_LEASE:
-      apply_lease (state, index, &op->MsgOp_u.lease, verdict);
+      apply_lease (state, index, &op->MsgOp_u.lease, result);
       break;
     case MSG_OP_CLAIM:
-      apply_claim (state, &op->MsgOp_u.claim, verdict);
+      apply_claim (state, &op->MsgOp_u.claim, result);
       break;
     case MSG_OP_CLAIM_END:
-      apply_claim_done (state, &op->MsgOp_u.claim_done, verdict);
+      apply_claim_done (state, &op->MsgOp_u.claim_done, result);
       break;
     case MSG_OP_VOTERS:
       {
@@ -397,11 +406,11 @@
         break;
       }
     case MSG_OP_DOCUMENT:
-      apply_document (state, &op->MsgOp_u.document, verdict);
+      apply_document (state, &op->MsgOp_u.document, result);
       break;
     case MSG_OP_REFUSALS:
       for (unsigned i = 0; i < op->MsgOp_u.refusals.records.records_len; i++)
-        keep_refusal (state, &op->MsgOp_u.refusals.records.records_val[i]);
+        store_refusal (state, &op->MsgOp_u.refusals.records.records_val[i]);
       break;
     case MSG_OP_ENDED:
       blame_ended (state->blame, index, &op->MsgOp_u.ended);
@@ -443,8 +452,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &data))
     if (!((MsgClaimState *) data)->ended)
       g_array_append_vals (claims, data, 1);
-  for (GList *item = state->ended.head; item; item = item->next)
-    g_array_append_vals (claims, item->data, 1); /* in the order of their ends */
+  for (GList *item = state->ended_claims.head; item; item = item->next)
+    g_array_append_vals (claims, item->data, 1); /* in the order in which they ended */
   for (GList *item = state->refusals.head; item; item = item->next)
     g_array_append_vals (refusals, item->data, 1);
   out.revision = state->revision;
@@ -473,34 +482,35 @@
   return bytes;
 }
 
-#define TAKE(type, source) g_memdup2 (source, sizeof (type)) /* moves the record's pointers */
+#define MOVE(type, source)                                                                         \
+  g_memdup2 (source, sizeof (type)) /* shallow copy that takes over the pointers */
 
 static void
-take_parts (State *state, MsgState *in)
+move_sections (State *state, MsgState *in)
 {
   for (unsigned i = 0; i < in->history.history_len; i++)
     {
-      MsgRevision *one = TAKE (MsgRevision, &in->history.history_val[i]);
-      g_ptr_array_add (state->history, one);
-      g_hash_table_insert (state->by_change, one->change_id, one);
+      MsgRevision *revision = MOVE (MsgRevision, &in->history.history_val[i]);
+      g_ptr_array_add (state->history, revision);
+      g_hash_table_insert (state->revisions_by_change, revision->change_id, revision);
     }
   for (unsigned i = 0; i < in->leases.leases_len; i++)
     {
-      MsgLease *one = TAKE (MsgLease, &in->leases.leases_val[i]);
-      g_hash_table_replace (state->leases, one->pool, one);
+      MsgLease *lease = MOVE (MsgLease, &in->leases.leases_val[i]);
+      g_hash_table_replace (state->leases, lease->pool, lease);
     }
   for (unsigned i = 0; i < in->claims.claims_len; i++)
     {
-      MsgClaimState *one = TAKE (MsgClaimState, &in->claims.claims_val[i]);
-      g_hash_table_replace (state->claims, one->claim.key, one);
-      if (one->ended)
-        g_queue_push_tail (&state->ended, one);
+      MsgClaimState *claim = MOVE (MsgClaimState, &in->claims.claims_val[i]);
+      g_hash_table_replace (state->claims, claim->claim.key, claim);
+      if (claim->ended)
+        g_queue_push_tail (&state->ended_claims, claim);
     }
   for (unsigned i = 0; i < in->refusals.refusals_len; i++)
     {
-      MsgRecord *one = TAKE (MsgRecord, &in->refusals.refusals_val[i]);
-      g_queue_push_tail (&state->refusals, one);
-      g_hash_table_insert (state->by_refusal, one->id, one);
+      MsgRecord *record = MOVE (MsgRecord, &in->refusals.refusals_val[i]);
+      g_queue_push_tail (&state->refusals, record);
+      g_hash_table_insert (state->refusals_by_id, record->id, record);
     }
   state->voters.voters.voters_len = in->voters.voters_len;
   state->voters.voters.voters_val = in->voters.voters_val;
@@ -509,19 +519,20 @@
   roll_restore (state->rollouts, &in->rollouts);
 }
 
-/* A snapshot written before an account was kept ends without it. Zeros behind it read as none. */
+/* Unpacks a snapshot of an older version, which lacks the last sections: zeros appended in their
+ * place decode as empty sections. */
 static FtStatus
-unpack_older (const void *data, size_t size, unsigned accounts, MsgState *in)
+unpack_with_empty_sections (const void *data, size_t size, unsigned missing, MsgState *in)
 {
-  static const guint8 none[2 * ACCOUNT_BYTES];
-  GByteArray *bytes = g_byte_array_sized_new ((guint) (size + sizeof none));
+  static const guint8 zeros[2 * EMPTY_SECTION_BYTES];
+  GByteArray *bytes = g_byte_array_sized_new ((guint) (size + sizeof zeros));
 
   g_byte_array_append (bytes, data, (guint) size);
-  g_byte_array_append (bytes, none, accounts * ACCOUNT_BYTES);
-  size_t all = size + accounts * ACCOUNT_BYTES, used = 0;
-  FtStatus status = codec_unpack (CODEC (MsgState), bytes->data, all, in, &used);
+  g_byte_array_append (bytes, zeros, missing * EMPTY_SECTION_BYTES);
+  size_t padded_size = size + missing * EMPTY_SECTION_BYTES, used = 0;
+  FtStatus status = codec_unpack (CODEC (MsgState), bytes->data, padded_size, in, &used);
   g_byte_array_unref (bytes);
-  return status == FT_OK && used != all ? FT_CORRUPT : status;
+  return status == FT_OK && used != padded_size ? FT_CORRUPT : status;
 }
 
 static FtStatus
@@ -529,11 +540,11 @@
 {
   FtStatus status = codec_unpack (CODEC (MsgState), data, size, in, NULL);
 
-  for (unsigned accounts = 1; status != FT_OK && accounts <= 2; accounts++)
+  for (unsigned missing = 1; status != FT_OK && missing <= 2; missing++)
     {
       codec_clear (CODEC (MsgState), in);
       memset (in, 0, sizeof *in);
-      status = unpack_older (data, size, accounts, in);
+      status = unpack_with_empty_sections (data, size, missing, in);
     }
   return status;
 }
@@ -552,12 +563,12 @@
       codec_clear (CODEC (MsgState), &in);
       return FT_CORRUPT;
     }
-  clear (state);
+  clear_state (state);
   state->revision = in.revision;
   state->epoch = in.epoch;
   state->catalogue = g_strdup (in.catalogue);
   state->cat = cat;
-  take_parts (state, &in);
+  move_sections (state, &in);
   free (in.catalogue);
   free (in.history.history_val);
   free (in.leases.leases_val);
@@ -648,7 +659,7 @@
 }
 
 bool
-state_claim_of_other (const State *state, uint32_t entry, uint64_t incarnation, uint64_t *older)
+state_claim_of_other (const State *state, uint32_t entry, uint64_t incarnation, uint64_t *other)
 {
   GHashTableIter iter;
   void *data;
@@ -659,7 +670,7 @@
       const MsgClaimState *claim = data;
       if (claim->ended || claim->claim.entry != entry || claim->claim.incarnation == incarnation)
         continue;
-      *older = claim->claim.incarnation;
+      *other = claim->claim.incarnation;
       return true;
     }
   return false;
@@ -668,7 +679,7 @@
 const MsgRecord *
 state_refusal (const State *state, const char *id)
 {
-  return g_hash_table_lookup (state->by_refusal, id);
+  return g_hash_table_lookup (state->refusals_by_id, id);
 }
 
 const GPtrArray *
--- a/src/wal.c
+++ b/src/wal.c
@@ -172,8 +172,8 @@
   uint64_t last = state->entries->len
                       ? ((MsgEntry *) state->entries->pdata[state->entries->len - 1])->index
                       : state->snapshot_index;
-  if (entry->index
-      <= state->snapshot_index) /* crashed after the snapshot was replaced, before the log was */
+  /* Crashed after the snapshot was replaced and before the log was. */
+  if (entry->index <= state->snapshot_index)
     wal_entry_free (entry);
   else if (entry->index != last + 1)
     {
