--- a/src/delta.c
+++ b/src/delta.c
@@ -1,39 +1,40 @@
-/* delta.c - a document as runs of the one before and of new bytes.
+/* delta.c - encodes a document as copies from a base document and literal bytes.
  *
- * Blocks of the base, at multiples of BLOCK, are known by a hash that rolls over the text byte by
- * byte (Karp and Rabin 1987). Where it meets one the run is extended both ways as far as the two
- * agree, and the scan goes on behind it. So the cost is one look at the base and one at what
- * changed, and a change of a few fields is told in some dozens of bytes wherever they stand.
+ * The blocks of the base at multiples of BLOCK_SIZE are indexed by a rolling hash (Karp and Rabin
+ * 1987), which then moves over the text byte by byte. Where a block matches, the match is extended
+ * in both directions as far as the two agree, and the scan continues after it. The cost is one pass
+ * over the base and one over the parts that changed, and a change of a few fields takes some dozens
+ * of bytes wherever they stand.
  *
- * Form, numbers with seven bits a byte, the lowest first: length of the text, its digest (8 bytes),
- * then runs: twice the length, plus one for a run of the base, which is followed by its offset
- * there; the bytes of a new run follow it.
+ * Format; numbers are written with seven bits a byte, lowest bits first: length of the text, its
+ * digest (8 bytes), then runs. A run starts with twice its length, plus one if it is a copy. A copy
+ * is followed by its offset in the base, a literal by its bytes.
  */
 #include "delta.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-#define BLOCK  24 /* bytes: shorter runs cost nearly as much as they save */
-#define FACTOR 0x9e3779b97f4a7c15u
-#define SEED   0x666f7874u
-#define DIGEST 8  /* bytes */
-#define VARINT 10 /* bytes at most */
+#define BLOCK_SIZE      24 /* bytes; a shorter copy takes nearly as much as it saves */
+#define HASH_FACTOR     0x9e3779b97f4a7c15u
+#define DIGEST_SEED     0x666f7874u
+#define DIGEST_SIZE     8  /* bytes */
+#define VARINT_MAX_SIZE 10 /* bytes */
 
 typedef struct
 {
   const uint8_t *base, *text;
   size_t base_size, size;
-  GHashTable *blocks; /* hash of a block: its offset in the base + 1 */
+  GHashTable *blocks; /* hash of a block -> its offset in the base + 1 */
   GByteArray *out;
-} Maker;
+} Encoder;
 
-/* ---- Writing ---- */
+/* ---- Encoding ---- */
 
 static void
 put_number (GByteArray *out, uint64_t number)
 {
-  uint8_t bytes[VARINT];
+  uint8_t bytes[VARINT_MAX_SIZE];
   unsigned count = 0;
 
   do
@@ -47,73 +48,75 @@
 }
 
 static void
-put_new (Maker *maker, size_t from, size_t to)
+put_literal (Encoder *encoder, size_t from, size_t to)
 {
   if (from == to)
     return;
-  put_number (maker->out, (to - from) * 2);
-  g_byte_array_append (maker->out, maker->text + from, (guint) (to - from));
+  put_number (encoder->out, (to - from) * 2);
+  g_byte_array_append (encoder->out, encoder->text + from, (guint) (to - from));
 }
 
 static void
-put_copy (Maker *maker, size_t offset, size_t size)
+put_copy (Encoder *encoder, size_t offset, size_t size)
 {
-  put_number (maker->out, size * 2 + 1);
-  put_number (maker->out, offset);
+  put_number (encoder->out, size * 2 + 1);
+  put_number (encoder->out, offset);
 }
 
-/* ---- Finding runs ---- */
+/* ---- Finding copies ---- */
 
 static uint64_t
 hash_block (const uint8_t *at)
 {
   uint64_t hash = 0;
 
-  for (unsigned i = 0; i < BLOCK; i++)
-    hash = hash * FACTOR + at[i];
+  for (unsigned i = 0; i < BLOCK_SIZE; i++)
+    hash = hash * HASH_FACTOR + at[i];
   return hash;
 }
 
-/* FACTOR to the power of BLOCK: weight of the byte that leaves. */
+/* HASH_FACTOR to the power of BLOCK_SIZE: the weight of the byte that leaves the rolling hash. */
 static uint64_t
-leaving_weight (void)
+oldest_byte_weight (void)
 {
   uint64_t weight = 1;
 
-  for (unsigned i = 0; i < BLOCK; i++)
-    weight *= FACTOR;
+  for (unsigned i = 0; i < BLOCK_SIZE; i++)
+    weight *= HASH_FACTOR;
   return weight;
 }
 
 static gpointer
-key_of (uint64_t hash)
+hash_key (uint64_t hash)
 {
   return GSIZE_TO_POINTER (hash ^ hash >> 32);
 }
 
 static void
-index_base (Maker *maker)
+index_base (Encoder *encoder)
 {
-  maker->blocks = g_hash_table_new (NULL, NULL);
-  for (size_t at = 0; at + BLOCK <= maker->base_size; at += BLOCK)
-    g_hash_table_insert (maker->blocks, key_of (hash_block (maker->base + at)),
+  encoder->blocks = g_hash_table_new (NULL, NULL);
+  for (size_t at = 0; at + BLOCK_SIZE <= encoder->base_size; at += BLOCK_SIZE)
+    g_hash_table_insert (encoder->blocks, hash_key (hash_block (encoder->base + at)),
                          GSIZE_TO_POINTER (at + 1));
 }
 
-/* The run that the block at text[at] belongs to, not before text[from]. False: there is none. */
+/* Finds the copy around the block at text[*at] with this hash. Sets *at to its start, not before
+ * text[from], *offset to its place in the base, and *size. False: no block of the base matches. */
 static bool
-find_run (const Maker *maker, uint64_t hash, size_t from, size_t *at, size_t *offset, size_t *size)
+find_copy (const Encoder *encoder, uint64_t hash, size_t from, size_t *at, size_t *offset,
+           size_t *size)
 {
-  size_t found = GPOINTER_TO_SIZE (g_hash_table_lookup (maker->blocks, key_of (hash)));
+  size_t found = GPOINTER_TO_SIZE (g_hash_table_lookup (encoder->blocks, hash_key (hash)));
 
-  if (found == 0 || memcmp (maker->base + found - 1, maker->text + *at, BLOCK) != 0)
+  if (found == 0 || memcmp (encoder->base + found - 1, encoder->text + *at, BLOCK_SIZE) != 0)
     return false;
   *offset = found - 1;
-  *size = BLOCK;
-  while (*at + *size < maker->size && *offset + *size < maker->base_size
-         && maker->text[*at + *size] == maker->base[*offset + *size])
+  *size = BLOCK_SIZE;
+  while (*at + *size < encoder->size && *offset + *size < encoder->base_size
+         && encoder->text[*at + *size] == encoder->base[*offset + *size])
     (*size)++;
-  while (*at > from && *offset > 0 && maker->text[*at - 1] == maker->base[*offset - 1])
+  while (*at > from && *offset > 0 && encoder->text[*at - 1] == encoder->base[*offset - 1])
     {
       (*at)--;
       (*offset)--;
@@ -123,53 +126,53 @@
 }
 
 static void
-put_runs (Maker *maker)
+encode_runs (Encoder *encoder)
 {
-  uint64_t weight = leaving_weight (), hash = 0;
-  size_t done = 0, at = 0;
-  bool hashed = false;
+  uint64_t weight = oldest_byte_weight (), hash = 0;
+  size_t encoded = 0, at = 0;
+  bool hash_valid = false;
 
-  while (at + BLOCK <= maker->size)
+  while (at + BLOCK_SIZE <= encoder->size)
     {
       size_t start = at, offset, size;
-      if (!hashed)
-        hash = hash_block (maker->text + at);
-      hashed = true;
-      if (find_run (maker, hash, done, &start, &offset, &size))
+      if (!hash_valid)
+        hash = hash_block (encoder->text + at);
+      hash_valid = true;
+      if (find_copy (encoder, hash, encoded, &start, &offset, &size))
         {
-          put_new (maker, done, start);
-          put_copy (maker, offset, size);
-          done = at = start + size;
-          hashed = false;
+          put_literal (encoder, encoded, start);
+          put_copy (encoder, offset, size);
+          encoded = at = start + size;
+          hash_valid = false;
           continue;
         }
-      if (at + BLOCK < maker->size)
-        hash = hash * FACTOR + maker->text[at + BLOCK] - weight * maker->text[at];
+      if (at + BLOCK_SIZE < encoder->size)
+        hash = hash * HASH_FACTOR + encoder->text[at + BLOCK_SIZE] - weight * encoder->text[at];
       at++;
     }
-  put_new (maker, done, maker->size);
+  put_literal (encoder, encoded, encoder->size);
 }
 
 GBytes *
 delta_make (GBytes *base, GBytes *text)
 {
   gsize base_size, size;
-  Maker maker = { .base = g_bytes_get_data (base, &base_size),
-                  .text = g_bytes_get_data (text, &size),
-                  .out = g_byte_array_new () };
-  uint64_t digest = XXH64 (maker.text, size, SEED);
-
-  maker.base_size = base_size;
-  maker.size = size;
-  put_number (maker.out, size);
-  g_byte_array_append (maker.out, (const guint8 *) &digest, DIGEST);
-  index_base (&maker);
-  put_runs (&maker);
-  g_hash_table_unref (maker.blocks);
-  return g_byte_array_free_to_bytes (maker.out);
+  Encoder encoder = { .base = g_bytes_get_data (base, &base_size),
+                      .text = g_bytes_get_data (text, &size),
+                      .out = g_byte_array_new () };
+  uint64_t digest = XXH64 (encoder.text, size, DIGEST_SEED);
+
+  encoder.base_size = base_size;
+  encoder.size = size;
+  put_number (encoder.out, size);
+  g_byte_array_append (encoder.out, (const guint8 *) &digest, DIGEST_SIZE);
+  index_base (&encoder);
+  encode_runs (&encoder);
+  g_hash_table_unref (encoder.blocks);
+  return g_byte_array_free_to_bytes (encoder.out);
 }
 
-/* ---- Reading ---- */
+/* ---- Decoding ---- */
 
 typedef struct
 {
@@ -177,7 +180,7 @@
 } Cursor;
 
 static bool
-take_number (Cursor *cursor, uint64_t *number)
+read_number (Cursor *cursor, uint64_t *number)
 {
   *number = 0;
   for (unsigned shift = 0; shift < 63 && cursor->at < cursor->end; shift += 7)
@@ -191,18 +194,18 @@
 }
 
 static bool
-take_run (Cursor *cursor, GBytes *base, size_t size, GByteArray *out)
+decode_run (Cursor *cursor, GBytes *base, size_t size, GByteArray *out)
 {
-  uint64_t head, offset = 0;
+  uint64_t header, offset = 0;
   gsize base_size;
   const uint8_t *from = g_bytes_get_data (base, &base_size);
 
-  if (!take_number (cursor, &head))
+  if (!read_number (cursor, &header))
     return false;
-  uint64_t length = head / 2;
+  uint64_t length = header / 2;
   if (length == 0 || length > size - out->len)
     return false;
-  if (head % 2 == 0)
+  if (header % 2 == 0)
     {
       if (length > (uint64_t) (cursor->end - cursor->at))
         return false;
@@ -210,28 +213,29 @@
       cursor->at += length;
       return true;
     }
-  if (!take_number (cursor, &offset) || offset > base_size || length > base_size - offset)
+  if (!read_number (cursor, &offset) || offset > base_size || length > base_size - offset)
     return false;
   g_byte_array_append (out, from + offset, (guint) length);
   return true;
 }
 
 GBytes *
-delta_apply (GBytes *base, const void *delta, size_t size, size_t most)
+delta_apply (GBytes *base, const void *delta, size_t size, size_t max_size)
 {
   Cursor cursor = { delta, (const uint8_t *) delta + size };
   uint64_t length, digest;
-  bool sound = take_number (&cursor, &length) && length <= most && cursor.end - cursor.at >= DIGEST;
+  bool valid = read_number (&cursor, &length) && length <= max_size
+               && cursor.end - cursor.at >= DIGEST_SIZE;
 
-  if (!sound)
+  if (!valid)
     return NULL;
-  memcpy (&digest, cursor.at, DIGEST);
-  cursor.at += DIGEST;
+  memcpy (&digest, cursor.at, DIGEST_SIZE);
+  cursor.at += DIGEST_SIZE;
   GByteArray *out = g_byte_array_sized_new ((guint) length);
-  while (sound && cursor.at < cursor.end)
-    sound = take_run (&cursor, base, length, out);
-  sound = sound && out->len == length && XXH64 (out->data, out->len, SEED) == digest;
-  if (sound)
+  while (valid && cursor.at < cursor.end)
+    valid = decode_run (&cursor, base, length, out);
+  valid = valid && out->len == length && XXH64 (out->data, out->len, DIGEST_SEED) == digest;
+  if (valid)
     return g_byte_array_free_to_bytes (out);
   g_byte_array_unref (out);
   return NULL;
--- a/src/delta.h
+++ b/src/delta.h
@@ -1,13 +1,15 @@
-/* delta.h - what changes one document into another, as a few bytes; private to the library and its
- * shells. */
+/* delta.h - the difference between two documents as a few bytes; private to the library and the
+ * programs that embed it. */
 #ifndef DELTA_H
 #define DELTA_H
 
 #include "foxtail.h"
 
-/* What makes text of base. Never NULL; may be longer than text if they have little in common. */
+/* Encodes text as a delta against base. Never NULL; may be longer than text if the two share
+ * little. */
 GBytes *delta_make (GBytes *base, GBytes *text);
-/* The text again; NULL: delta is none, is against another base, or makes more than most bytes. */
-GBytes *delta_apply (GBytes *base, const void *delta, size_t size, size_t most);
+/* Returns the text; NULL: delta is malformed, belongs to another base, or its text is longer than
+ * max_size bytes. */
+GBytes *delta_apply (GBytes *base, const void *delta, size_t size, size_t max_size);
 
 #endif
--- a/src/events.c
+++ b/src/events.c
@@ -1,22 +1,22 @@
-/* events.c - only whole events pass, each once.
+/* events.c - filters a text/event-stream so that only complete events pass, each once.
  *
- * Failure: a server stops in the middle of an event, and another goes on behind the last whole one.
- * Symptom: the caller would get the first half of one event joined to another, or an event twice.
- * The half is held back until its end comes, and dropped when the stream goes on elsewhere; an
- * event whose number is not above the last one's is dropped too.
+ * When a server stops in the middle of an event, another server continues after the last complete
+ * one. The caller must not receive the first half of one event joined to another, or an event
+ * twice. So a partial event is buffered until it is complete, and dropped when the stream continues
+ * on another server. An event whose number is not above that of the last one is dropped too.
  */
 #include "events.h"
 
 #include <string.h>
 
-#define EVENT_MOST (1u << 20) /* an event that never ends does not fill the memory, bytes */
+#define MAX_EVENT_BYTES (1u << 20) /* a longer partial event is dropped, to bound the memory */
 
 struct Events
 {
-  GString *held; /* from the start of an event that is not whole yet */
+  GString *partial; /* the incomplete event at the end of the data so far */
   char *last_id;
   uint64_t last_number;
-  bool numbered;
+  bool has_number; /* last_id is a number: last_number */
 };
 
 Events *
@@ -24,7 +24,7 @@
 {
   Events *events = g_new0 (Events, 1);
 
-  events->held = g_string_new (NULL);
+  events->partial = g_string_new (NULL);
   return events;
 }
 
@@ -33,16 +33,16 @@
 {
   if (events == NULL)
     return;
-  g_string_free (events->held, TRUE);
+  g_string_free (events->partial, TRUE);
   g_free (events->last_id);
   g_free (events);
 }
 
-/* Length of the first whole event of text, its blank line included; 0: none is whole. */
+/* Length of the first event of text, including the blank line that ends it; 0: none is complete. */
 static size_t
-whole_event (const char *text, size_t size)
+complete_event_length (const char *text, size_t size)
 {
-  bool blank = false; /* the line so far is empty */
+  bool blank = false; /* the current line is empty so far */
 
   for (size_t i = 0; i < size; i++)
     {
@@ -56,7 +56,7 @@
   return 0;
 }
 
-/* The id line of an event; *length its value's. NULL: it has none. */
+/* Returns the value of the event's id line and its length; NULL: the event has none. */
 static const char *
 find_id (const char *event, size_t size, size_t *length)
 {
@@ -80,9 +80,10 @@
   return NULL;
 }
 
-/* False: the event was passed on before. */
+/* Notes the id of an event. False: its number is not above the last one, so it has passed before.
+ */
 static bool
-advance (Events *events, const char *event, size_t size)
+record_event (Events *events, const char *event, size_t size)
 {
   size_t length;
   const char *id = find_id (event, size, &length);
@@ -93,12 +94,12 @@
   char *copy = g_strndup (id, length);
   uint64_t number = g_ascii_strtoull (copy, &end, 10);
   bool is_number = end != copy && *end == '\0';
-  if (is_number && events->numbered && number <= events->last_number)
+  if (is_number && events->has_number && number <= events->last_number)
     {
       g_free (copy);
       return false;
     }
-  events->numbered = is_number;
+  events->has_number = is_number;
   events->last_number = number;
   g_free (events->last_id);
   events->last_id = copy;
@@ -111,26 +112,27 @@
   unsigned count = 0;
   size_t at = 0, length;
 
-  g_string_append_len (events->held, data, (gssize) size);
-  while ((length = whole_event (events->held->str + at, events->held->len - at)) > 0)
+  g_string_append_len (events->partial, data, (gssize) size);
+  while ((length = complete_event_length (events->partial->str + at, events->partial->len - at))
+         > 0)
     {
-      if (advance (events, events->held->str + at, length))
+      if (record_event (events, events->partial->str + at, length))
         {
-          g_string_append_len (out, events->held->str + at, (gssize) length);
+          g_string_append_len (out, events->partial->str + at, (gssize) length);
           count++;
         }
       at += length;
     }
-  g_string_erase (events->held, 0, (gssize) at);
-  if (events->held->len > EVENT_MOST)
-    g_string_truncate (events->held, 0);
+  g_string_erase (events->partial, 0, (gssize) at);
+  if (events->partial->len > MAX_EVENT_BYTES)
+    g_string_truncate (events->partial, 0);
   return count;
 }
 
 void
 events_drop_partial (Events *events)
 {
-  g_string_truncate (events->held, 0);
+  g_string_truncate (events->partial, 0);
 }
 
 const char *
@@ -142,5 +144,5 @@
 bool
 events_has_partial (const Events *events)
 {
-  return events->held->len > 0;
+  return events->partial->len > 0;
 }
--- a/src/events.h
+++ b/src/events.h
@@ -1,5 +1,5 @@
-/* events.h - the events of a text/event-stream as they pass through; private to the library and its
- * shells. */
+/* events.h - filters a text/event-stream so that only complete events pass, each once; private to
+ * the library and the programs that embed it. */
 #ifndef EVENTS_H
 #define EVENTS_H
 
@@ -9,14 +9,14 @@
 
 Events *events_new (void);
 void events_free (Events *events);
-/* Takes bytes of the stream. Appends the whole events among them to out, without those at or before
- * the last one that was passed on before. Returns how many whole events were appended. */
+/* Processes bytes of the stream. Appends the events that are complete now to out, except those
+ * whose id is a number not above that of the event before. Returns how many were appended. */
 unsigned events_feed (Events *events, const char *data, size_t size, GString *out);
-/* The rest of the stream comes from another server: the half event held is dropped. */
+/* Drops a partial event, because another server continues the stream. */
 void events_drop_partial (Events *events);
-/* Id of the last event passed on; NULL: none had one. */
+/* Id of the last event with an id that was appended; NULL: there was none. */
 const char *events_last_id (const Events *events);
-/* Is part of an event held? */
+/* Is a partial event buffered? */
 bool events_has_partial (const Events *events);
 
 #endif
