--- a/src/delta.c
+++ b/src/delta.c
@@ -4,7 +4,7 @@
  * 1987), which then moves over the text byte by byte. Where a block matches, the match is extended
  * in both directions as far as the two agree, and the scan continues after it. The cost is one pass
  * over the base and one over the parts that changed, and a change of a few fields takes some dozens
- * of bytes wherever they stand.
+ * of bytes wherever they are.
  *
  * Format; numbers are written with seven bits a byte, lowest bits first: length of the text, its
  * digest (8 bytes), then runs. A run starts with twice its length, plus one if it is a copy. A copy
--- a/src/events.c
+++ b/src/events.c
@@ -80,8 +80,7 @@
   return NULL;
 }
 
-/* Notes the id of an event. False: its number is not above the last one, so it has passed before.
- */
+/* Records the id of an event. False: its number is not above the last one. */
 static bool
 record_event (Events *events, const char *event, size_t size)
 {
--- a/src/raft.c
+++ b/src/raft.c
@@ -523,7 +523,7 @@
   if (raft->storage_failed)
     return;
   flush_once (raft);
-  /* Its own synced vote may have made this voter leader: its first entry is sent at once. */
+  /* The sync may have won an election (raftvote_on_synced): the first entry is sent at once. */
   if (!raft->storage_failed && raft->role == ROLE_LEADER && raft->send_pending)
     flush_once (raft);
 }
--- a/src/raftset.c
+++ b/src/raftset.c
@@ -4,8 +4,8 @@
  * id and incarnation; votes and acknowledgements carry the incarnation and count only for that
  * pair. So an instance whose disk was replaced, and which has forgotten its votes and entries,
  * counts as a different voter. The leader first copies the log to it, then removes the old pair,
- * then adds the new one, one change at a time. Replacing the pair in one step would be unsafe: {A,
- * B1, C} and {A, B2, C} have the majorities {B1, C} and {A, B2}, which share no member.
+ * then adds the new one, one change at a time. Replacing the pair in one step would be unsafe:
+ * {A, B1, C} and {A, B2, C} have the majorities {B1, C} and {A, B2}, which share no member.
  *
  * Creation. A voter whose log is empty is blank, and tells the others so with MSG_BLANK. Only the
  * lowest configured id may create the voter set, and only if every other configured voter has
--- a/src/rlog.h
+++ b/src/rlog.h
@@ -11,7 +11,7 @@
   GArray *configs;          /* RlogConfig, by index; the first is the voter set at base */
 } Rlog;
 
-/* A voter set. */
+/* A voter set (Raft calls it a configuration). */
 typedef struct
 {
   uint64_t index; /* of the entry that names it */
