--- a/node/try.c
+++ b/node/try.c
@@ -328,7 +328,7 @@
   const GByteArray *body = hcall_body (req->call);
   bool once = !rt_route_repeatable (req->route);
   HCliTarget target = { server->addr, server->id, CONNECT_MOST,
-                        once ? grant->rest_most : MAX (IDLE_MOST, grant->rest_most),
+                        once ? grant->max_idle_us : MAX (IDLE_MOST, grant->max_idle_us),
                         strcmp (hmsg_method (hcall_msg (req->call)), "HEAD") == 0 };
   SeamForward forward = { .server = server->name,
                           .org = req->org ? req->org->name : NULL,
--- a/src/admit.c
+++ b/src/admit.c
@@ -1,28 +1,34 @@
-/* admit.c - which requests are refused, when, and with what advice.
+/* admit.c - admission control: which requests are refused, when, and with what Retry-After.
  *
- * The load that this answers is more than the servers can do, for seconds or for good. The queue
- * ahead in slot time, divided by the places left over by higher tiers, says when a request would
- * start. If that is too late for its caller it is refused at once, with that time as the advice
- * when to come back: a caller that learns early has time left to be served later. Nothing is
- * refused while a usable place is free, and nobody who can be on time for the sake of those who
- * cannot.
+ * This handles load above the capacity of the servers, for seconds or permanently. The slot time
+ * queued ahead of a request, divided by the places that higher tiers leave over, is its expected
+ * wait. If that is too long for its caller, the request is refused at once with the wait as advice
+ * when to retry, so that the caller has time left to be served later. Nothing is refused while a
+ * usable place is free, and no request that can be on time is refused in favour of late ones.
  */
 #include "schedint.h"
 
 #include <stdio.h>
 
-/* Tuning; each row with its reason. */
-#define CAUTION_LEAST 1.15 /* times an estimate at arrival where no higher tier takes places */
-#define CAUTION       2.5 /* the same where higher tiers take CAUTION_PART of them, and more may come */
-#define CAUTION_PART  0.3
-#define HOPELESS      1.3 /* a queued request is given up when its estimate is so far off */
-#define ADVICE_LEAST  (100 * FT_MS)
-#define FIRST_CAUTION                                                                              \
-  2.5                 /* times the best server's first event: a promised request gets any server */
-#define PART_MOST 0.9 /* of the places that promises are taken to use: others wait for the rest */
+/* Tuning constants. */
+
+/* factor on the estimated wait at arrival if higher tiers take no places */
+#define CAUTION_MIN 1.15
+/* the same if higher tiers take CAUTION_SHARE of the places, since more may arrive */
+#define CAUTION_MAX   2.5
+#define CAUTION_SHARE 0.3
+/* a queued request is refused when its estimated wait, less this factor - 1 of it as tolerance,
+ * ends after limit_at */
+#define HOPELESS_FACTOR 1.3
+#define RETRY_AFTER_MIN (100 * FT_MS)
+/* factor on the best server's time to the first event, since a reservation is for any server */
+#define FIRST_EVENT_FACTOR 2.5
+/* of the places: most that reservations are assumed to use when the wait of other requests is
+ * estimated */
+#define RESERVED_SHARE_MAX 0.9
 
 static void
-refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t promised_at, RetWord word,
+refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t reserved_at, RetWord word,
         int64_t now)
 {
   SchedRefusal refusal = { .reason = reason };
@@ -30,17 +36,17 @@
   Key key = job->key;
 
   refusal.retry_after_us = MIN ((int64_t) MIN (wait, 1e9), left / ADVICE_PART);
-  refusal.retry_after_us = MAX (refusal.retry_after_us, ADVICE_LEAST);
+  refusal.retry_after_us = MAX (refusal.retry_after_us, RETRY_AFTER_MIN);
   if (word == RET_PROMISED)
-    refusal.retry_after_us = promised_at - now;
-  if (job->promised)
+    refusal.retry_after_us = reserved_at - now;
+  if (job->reserved)
     ret_note (sched->returns, false);
   snprintf (refusal.rule, sizeof refusal.rule,
-            "tier %u: %u waiting, start in %.0f ms, of use for %.0f ms", job->ask.tier,
+            "tier %u: %u waiting, start in %.0f ms, useful for %.0f ms", job->ask.tier,
             wait_tier (job->service, job->ask.tier)->count, MIN (wait, 1e9) / 1e3,
             (double) (job->ask.limit_at - now) / 1e3);
   ret_explain (word, refusal.retry_after_us, refusal.rule, sizeof refusal.rule);
-  sched_forget (sched, job, now);
+  sched_remove_job (sched, job, now);
   sched->ops->refuse (sched->host, key.owner, key.request, &refusal);
 }
 
@@ -50,59 +56,60 @@
   refuse (sched, job, reason, wait, 0, RET_PLAIN, now);
 }
 
-/* ---- Times that are promised ---- */
+/* ---- Reservations ---- */
 
 static uint64_t
-line_of (const Job *job)
+resource_of (const Job *job)
 {
   return ret_line (job->service->name, job->ask.tier);
 }
 
-/* Where higher tiers leave no places none are promised: the caller would come and wait in vain. */
+/* Reserves nothing where higher tiers take all places: the caller would come back in vain. */
 static bool
-promise (Sched *sched, const Job *job, RetOffer *offer, int64_t now, int64_t *at)
+reserve (Sched *sched, const Job *job, RetOffer *offer, int64_t now, int64_t *at)
 {
-  offer->rate = est_left_places (sched, job->service, job->ask.tier, false, now);
+  offer->rate = est_places_left (sched, job->service, job->ask.tier, false, now);
   *at = INT64_MAX;
-  return est_part_above (sched, job->service, job->ask.tier, now) < 1
+  return est_share_above (sched, job->service, job->ask.tier, now) < 1
          && ret_promise (sched->returns, offer, at);
 }
 
-/* Refuses for want of places, with a time at which it is served if there is one. A time that leads
- * to a late answer is not promised: its place would be taken from a newcomer that can be on time.
+/* Refuses a job for lack of places, with a reservation if one can be made. No time is reserved that
+ * would lead to a late answer, since its place would be taken from a new request that can be on
+ * time.
  */
 static void
-refuse_short (Sched *sched, Job *job, double wait, int64_t now)
+refuse_for_shortage (Sched *sched, Job *job, double wait, int64_t now)
 {
-  RetOffer offer
-      = { .line = line_of (job),
-          .content = job->ask.content,
-          .cost = job->work_us,
-          .tell_from = now + ADVICE_LEAST,
-          .use_until = job->ask.aim_at
-                       - (int64_t) (FIRST_CAUTION * est_first_us (sched, job->service, &job->ask)),
-          .end_at = job->ask.end_at };
+  RetOffer offer = { .line = resource_of (job),
+                     .content = job->ask.content,
+                     .cost = job->work_us,
+                     .tell_from = now + RETRY_AFTER_MIN,
+                     .use_until = job->ask.aim_at
+                                  - (int64_t) (FIRST_EVENT_FACTOR
+                                               * est_first_us (sched, job->service, &job->ask)),
+                     .end_at = job->ask.end_at };
   RetWord word = RET_PLAIN;
   int64_t at = INT64_MAX;
 
   if (sched->returns && ret_part_of (sched->returns) > 0 && offer.content)
     {
-      word = promise (sched, job, &offer, now, &at) ? RET_PROMISED : RET_BEYOND;
+      word = reserve (sched, job, &offer, now, &at) ? RET_PROMISED : RET_BEYOND;
       if (at < INT64_MAX)
         wait = MAX (wait, (double) (at - now));
     }
   if (word == RET_BEYOND)
-    ret_tell (sched->returns, &offer, (int64_t) CLAMP (wait, ADVICE_LEAST, 1e9));
+    ret_tell (sched->returns, &offer, (int64_t) CLAMP (wait, RETRY_AFTER_MIN, 1e9));
   refuse (sched, job, FT_REASON_SHORTAGE, wait, at, word, now);
 }
 
 static RetState
-state_of (const Sched *sched, const Job *job, int64_t *at, bool *promised)
+return_state (const Sched *sched, const Job *job, int64_t *at, bool *reserved)
 {
   *at = 0;
-  *promised = false;
-  return sched->returns ? ret_state (sched->returns, line_of (job), job->ask.content,
-                                     job->ask.end_at, at, promised)
+  *reserved = false;
+  return sched->returns ? ret_state (sched->returns, resource_of (job), job->ask.content,
+                                     job->ask.end_at, at, reserved)
                         : RET_NONE;
 }
 
@@ -110,41 +117,42 @@
 admit_note_return (Sched *sched, Job *job)
 {
   int64_t at;
-  bool promised;
+  bool reserved;
 
-  job->promised = state_of (sched, job, &at, &promised) == RET_DUE;
-  if (job->promised)
-    ret_redeem (sched->returns, line_of (job), job->ask.content);
+  job->reserved = return_state (sched, job, &at, &reserved) == RET_DUE;
+  if (job->reserved)
+    ret_redeem (sched->returns, resource_of (job), job->ask.content);
 }
 
 void
 admit_note_grant (Sched *sched, const Job *job)
 {
   int64_t at;
-  bool promised;
+  bool reserved;
 
-  if (job->promised
-      || (state_of (sched, job, &at, &promised) == RET_EARLY
-          && ret_redeem (sched->returns, line_of (job), job->ask.content)))
+  if (job->reserved
+      || (return_state (sched, job, &at, &reserved) == RET_EARLY
+          && ret_redeem (sched->returns, resource_of (job), job->ask.content)))
     ret_note (sched->returns, true);
 }
 
-/* A caller that comes before the time that it was told gets a free place, as anybody does, but
- * joins no queue. */
+/* Refuses a caller that comes back before the time it was told. It may take a free place, but may
+ * not join a queue. */
 static bool
 refuse_early (Sched *sched, Job *job, int64_t now)
 {
   int64_t at;
-  bool promised;
+  bool reserved;
 
-  if (state_of (sched, job, &at, &promised) != RET_EARLY || boff_any_place (sched, job, now))
+  if (return_state (sched, job, &at, &reserved) != RET_EARLY || boff_any_place (sched, job, now))
     return false;
   refuse (sched, job, FT_REASON_SHORTAGE, (double) (at - now), at,
-          promised ? RET_PROMISED : RET_BEYOND, now);
+          reserved ? RET_PROMISED : RET_BEYOND, now);
   return true;
 }
 
-/* Those that come back at their promised times meanwhile go before the job. */
+/* Estimated wait of the job, including callers that come back for reservations and go before it.
+ */
 static double
 wait_us (const Sched *sched, const Job *job, double ahead_us, int64_t now)
 {
@@ -152,43 +160,44 @@
 
   if (sched->returns == NULL)
     return wait;
-  double part = MIN (ret_part_of (sched->returns), PART_MOST);
-  double promised = (double) (ret_until (sched->returns, line_of (job)) - now);
-  return wait + part * CLAMP (promised, 0, wait / (1 - part));
+  double part = MIN (ret_part_of (sched->returns), RESERVED_SHARE_MAX);
+  double reserved = (double) (ret_until (sched->returns, resource_of (job)) - now);
+  return wait + part * CLAMP (reserved, 0, wait / (1 - part));
 }
 
 /* ---- Decisions ---- */
 
-/* Can a request that finds ahead_us of slot time before it be on time? A backlog of late ones does
- * not stand before it. */
+/* True if a request with ahead_us of slot time before it can be on time. Late requests do not
+ * count, since they go after it. */
 static bool
 can_be_timely (const Sched *sched, const Job *job, double ahead_us, int64_t now)
 {
   double wait = wait_us (sched, job, ahead_us, now);
   double first = est_first_us (sched, job->service, &job->ask);
-  double above = est_part_above (sched, job->service, job->ask.tier, now) / CAUTION_PART;
-  double caution = CAUTION_LEAST + (CAUTION - CAUTION_LEAST) * MIN (1, above);
+  double above = est_share_above (sched, job->service, job->ask.tier, now) / CAUTION_SHARE;
+  double caution = CAUTION_MIN + (CAUTION_MAX - CAUTION_MIN) * MIN (1, above);
 
-  return (double) now + caution * wait_caution (job) * wait + first <= (double) job->ask.aim_at;
+  return (double) now + caution * wait_size_factor (job) * wait + first <= (double) job->ask.aim_at;
 }
 
-/* Refuses the request if it cannot be served while it is of use. Returns true when it is queued. */
+/* Refuses the request if it cannot start before limit_at. Returns true if it stays queued. */
 static bool
 queue_or_refuse (Sched *sched, Job *job, double ahead_us, int64_t now)
 {
   double wait = est_wait_us (sched, job->service, job->ask.tier, true, ahead_us, now);
   double first = est_first_us (sched, job->service, &job->ask);
 
-  if ((double) now + CAUTION * wait + first <= (double) job->ask.limit_at
+  if ((double) now + CAUTION_MAX * wait + first <= (double) job->ask.limit_at
       || boff_any_place (sched, job, now))
     return true;
-  refuse_short (sched, job, wait, now);
+  refuse_for_shortage (sched, job, wait, now);
   return false;
 }
 
-/* Would it be on time in a queue by due time, behind all that waits beside it? */
+/* True if the job would be on time in a queue without fair order, behind all other waiting
+ * requests. */
 static bool
-timely_unfair (const Sched *sched, const Job *job, int64_t now)
+is_timely_by_due (const Sched *sched, const Job *job, int64_t now)
 {
   double waits = wait_ahead_us (job->service, job->ask.tier, false);
 
@@ -196,20 +205,20 @@
 }
 
 bool
-admit_new (Sched *sched, Job *job, const Ahead *ahead, int64_t now)
+admit_new (Sched *sched, Job *job, const WaitAhead *ahead, int64_t now)
 {
-  if (job->promised)
+  if (job->reserved)
     return true;
   if (refuse_early (sched, job, now))
     return false;
   bool timely = can_be_timely (sched, job, ahead->timely_us, now);
-  bool unfair = sched->fair ? timely_unfair (sched, job, now) : timely;
+  bool timely_by_due = sched->fair ? is_timely_by_due (sched, job, now) : timely;
 
-  wait_note_verdict (job, timely);
-  sched->counts.queued += timely && !unfair;
+  wait_note_timely (job, timely);
+  sched->counts.queued += timely && !timely_by_due;
   if (timely || queue_or_refuse (sched, job, ahead->all_us, now))
     return true;
-  sched->counts.refused += unfair;
+  sched->counts.refused += timely_by_due;
   return false;
 }
 
@@ -224,27 +233,28 @@
   return false;
 }
 
-/* Failure: the queue grows while a request waits, by higher tiers or lost servers. Symptom: it is
- * held until its time is over and then refused, too late to come back. So what cannot start in time
- * any more is refused as soon as that is known. */
+/* Refuses queued requests as soon as it is known that they cannot start in time. Higher tiers or
+ * lost servers may lengthen the queue after admission. A request that was held until its deadline
+ * would be refused too late to retry elsewhere or later. */
 static void
-refuse_hopeless (Sched *sched, Service *service, const Tier *tier, struct cds_list_head *queue,
-                 double *ahead, int64_t now)
+refuse_unservable (Sched *sched, Service *service, const Tier *tier, struct cds_list_head *queue,
+                   double *ahead, int64_t now)
 {
   Job *job, *next;
 
   cds_list_for_each_entry_safe (job, next, queue, link)
   {
     double first = est_first_us (sched, service, &job->ask);
-    int64_t opens_at = boff_opens_at (service, job->key.owner, now);
+    int64_t opens_at = boff_earliest_end (service, job->key.owner, now);
     double wait = MAX (est_wait_us (sched, service, tier->tier, job->late, *ahead, now),
                        (double) (opens_at - now));
     bool over = (double) opens_at + first > (double) job->ask.limit_at;
-    bool hopeless = (double) now + wait > (double) job->ask.limit_at + (HOPELESS - 1) * wait;
+    bool too_late = (double) now + wait > (double) job->ask.limit_at + (HOPELESS_FACTOR - 1) * wait;
     if (over)
       admit_refuse (sched, job, FT_REASON_SHORTAGE, wait, now);
-    else if (hopeless && sched->listed && (service->open == 0 || !boff_any_place (sched, job, now)))
-      refuse_short (sched, job, wait, now);
+    else if (too_late && sched->listed
+             && (service->open_servers == 0 || !boff_any_place (sched, job, now)))
+      refuse_for_shortage (sched, job, wait, now);
     else
       *ahead += job->work_us;
   }
@@ -255,12 +265,12 @@
 {
   double ahead = 0;
 
-  wait_sort_all (sched, service, now);
+  wait_move_all_late (sched, service, now);
   for (unsigned i = 0; i < service->tiers->len; i++)
     {
       Tier *tier = service->tiers->pdata[i];
-      refuse_hopeless (sched, service, tier, &tier->promised, &ahead, now);
-      refuse_hopeless (sched, service, tier, &tier->timely, &ahead, now);
-      refuse_hopeless (sched, service, tier, &tier->late, &ahead, now);
+      refuse_unservable (sched, service, tier, &tier->reserved, &ahead, now);
+      refuse_unservable (sched, service, tier, &tier->timely, &ahead, now);
+      refuse_unservable (sched, service, tier, &tier->late, &ahead, now);
     }
 }
--- a/src/curve.c
+++ b/src/curve.c
@@ -1,36 +1,39 @@
-/* curve.c - how long a prompt takes, learned: a part that is the same for each, and one that grows.
+/* curve.c - learns the prefill time of prompts: a fixed latency and a part that grows with length.
  *
- * Failure: the time of a prompt is taken to be in proportion to its length. Symptom: short prompts
- * seem to keep a server busy five times as long as they do, since each first event has a latency of
- * its own, and long ones half as long, since each of their tokens attends to all before it. Long
- * prompts then go to servers where they are late by their own length, and whoever is sent there
- * meanwhile waits behind them.
+ * A model in proportion to length fails at both ends. It estimates short prompts at five times
+ * their prefill time, since each first event includes a fixed latency. It estimates long ones at
+ * half of it, since each token attends to all tokens before it: long prompts then go to servers
+ * where they are late, and requests placed behind them wait.
  *
  * A prompt of n tokens takes
  *     latency + unit x n x (1 + growth x n)
- * with a unit for each server and the rest in common. Each sample moves the three by normalized
- * least mean squares on their logarithms: all by its relative error, each as far as it has a part
- * in the time. So short prompts teach the latency, middling ones the unit, long ones the growth,
- * and nothing becomes negative.
+ * with a unit for each server, and latency and growth common to all. Each sample updates the
+ * logarithms of the three parameters by normalized least mean squares, in proportion to the
+ * relative error and to the parameter's share of the expected time. So short prompts determine the
+ * latency, medium ones the unit, long ones the growth, and no parameter becomes negative.
  */
 #include "curve.h"
 
 #include <math.h>
 
-/* Tuning; each row with its reason. */
-#define LATENCY_FIRST 10000.0 /* microseconds, before anything was seen */
-#define GROWTH_FIRST  5e-6    /* a token: 50,000 of them take a quarter more than in proportion */
-#define LATENCY_LEAST 500.0   /* both move by a part of themselves, and do not come back from 0 */
-#define GROWTH_LEAST  2e-7    /* likewise: 50,000 tokens take a hundredth more */
-#define EACH_FIRST    0.003   /* of an output token's time */
-#define STEP          0.25    /* of a sample's error: four samples replace most of the past */
-#define STEP_COMMON   0.1     /* the same for what all servers teach */
-#define ERROR_MOST    1.0 /* a sample that waited for something else is no more wrong than that */
+/* Tuning constants. */
+#define LATENCY_INITIAL_US 10000.0 /* initial value, microseconds */
+/* initial value per token; 50,000 tokens take a quarter more than in proportion */
+#define GROWTH_INITIAL 5e-6
+/* lower bound, since a parameter that reached 0 could not grow again */
+#define LATENCY_MIN_US     500.0
+#define GROWTH_MIN         2e-7  /* lower bound; 50,000 tokens take a hundredth more */
+#define UNIT_RATIO_INITIAL 0.003 /* initial unit, relative to the time of an output token */
+#define UNIT_STEP          0.25 /* weight of a sample's error; four samples replace most of the history */
+#define COMMON_STEP        0.1 /* the same for parameters common to all servers */
+#define ERROR_MAX          1.0 /* bound of the relative error, for samples that include other waiting */
 
 void
 curve_init (Curve *curve)
 {
-  *curve = (Curve){ .latency_us = LATENCY_FIRST, .growth = GROWTH_FIRST, .each = EACH_FIRST };
+  *curve = (Curve){ .latency_us = LATENCY_INITIAL_US,
+                    .growth = GROWTH_INITIAL,
+                    .unit_ratio = UNIT_RATIO_INITIAL };
 }
 
 double
@@ -40,7 +43,7 @@
 }
 
 double
-curve_last (const Curve *curve, unsigned tokens)
+curve_marginal_units (const Curve *curve, unsigned tokens)
 {
   return 1 + 2 * curve->growth * tokens;
 }
@@ -51,18 +54,18 @@
   if (tokens == 0 || !(token_us > 0) || !(took_us > 0) || !isfinite (took_us))
     return;
   if (!(*unit_us > 0))
-    *unit_us = curve->each * token_us;
+    *unit_us = curve->unit_ratio * token_us;
   double flat = *unit_us * tokens, grown = flat * curve->growth * tokens;
   double expected = curve->latency_us + flat + grown;
-  double error = CLAMP (took_us / expected - 1, -ERROR_MOST, ERROR_MOST);
+  double error = CLAMP (took_us / expected - 1, -ERROR_MAX, ERROR_MAX);
   double of_latency = curve->latency_us / expected;
   double of_unit = (flat + grown) / expected;
   double of_growth = grown / expected;
   double norm = of_latency * of_latency + of_unit * of_unit + of_growth * of_growth;
 
   curve->latency_us
-      = MAX (LATENCY_LEAST, curve->latency_us * exp (STEP_COMMON * error * of_latency / norm));
-  curve->growth = MAX (GROWTH_LEAST, curve->growth * exp (STEP_COMMON * error * of_growth / norm));
-  *unit_us *= exp (STEP * error * of_unit / norm);
-  curve->each += STEP_COMMON * of_unit * (*unit_us / token_us - curve->each);
+      = MAX (LATENCY_MIN_US, curve->latency_us * exp (COMMON_STEP * error * of_latency / norm));
+  curve->growth = MAX (GROWTH_MIN, curve->growth * exp (COMMON_STEP * error * of_growth / norm));
+  *unit_us *= exp (UNIT_STEP * error * of_unit / norm);
+  curve->unit_ratio += COMMON_STEP * of_unit * (*unit_us / token_us - curve->unit_ratio);
 }
--- a/src/curve.h
+++ b/src/curve.h
@@ -1,22 +1,25 @@
-/* curve.h - how long engines take for a prompt of some length; private to the library. */
+/* curve.h - model of an engine's prefill time by prompt length; private to the library. */
 #ifndef CURVE_H
 #define CURVE_H
 
 #include "foxtail.h"
 
-/* A prompt of n tokens takes latency_us + unit x n x (1 + growth x n), unit being one server's. */
+/* The prefill of n tokens takes latency_us + unit x n x (1 + growth x n). Each server has its own
+ * unit; the rest is common to a service. */
 typedef struct
 {
   double latency_us, growth;
-  double each; /* a unit in times of an output token, for servers that have shown none yet */
+  /* mean unit relative to the output token time, used for servers without a sample */
+  double unit_ratio;
 } Curve;
 
 void curve_init (Curve *curve);
-/* The part that grows, and that of one token at its end; both in units. */
+/* The prefill time of a prompt without the latency, and that of one more token at its end, in
+ * units. */
 double curve_units (const Curve *curve, unsigned tokens);
-double curve_last (const Curve *curve, unsigned tokens);
-/* A prompt of so many tokens took took_us on the server whose unit is *unit_us, 0 before its first
- * sample, and whose output token takes token_us. What is no such time teaches nothing. */
+double curve_marginal_units (const Curve *curve, unsigned tokens);
+/* Learns from a prompt that took took_us to its first token. unit_us: the server's unit, 0 before
+ * its first sample; token_us: its time for an output token. Invalid samples are ignored. */
 void curve_learn (Curve *curve, double *unit_us, unsigned tokens, double token_us, double took_us);
 
 #endif
--- a/src/estimate.c
+++ b/src/estimate.c
@@ -1,60 +1,75 @@
-/* estimate.c - how long a request would take on each server, and which server to choose.
+/* estimate.c - estimates how long a request takes on each server, and chooses a server.
  *
- * All figures are one formula in microseconds. For each server with a free place:
- *     first  = latency + prompts ahead of ours there + our own prompt + one token
+ * For each server with a free place, in microseconds:
+ *     first  = latency + prefill of pending prompts + prefill of this prompt + one token
  *     finish = first + expected tokens at the server's time per token
- * Speeds are learned from the time of first events (curve.c) and between events, since they differ
- * more than fourfold inside one pool. A prompt is computed in chunks between the tokens of its
- * neighbours; when these chunks would stretch a neighbour's pause beyond its bound, each neighbour
- * counts as HARM_US. A request that would be late on every free server, while a busy one could
- * still serve it on time, waits for that one as long as it can.
+ * The costs below are added to finish, and the lowest sum wins.
+ *
+ * Speeds differ more than fourfold within one pool, so they are learned for each server: from the
+ * time to the first event (curve.c) and the time between events. An engine computes a prompt in
+ * chunks between the output tokens of its other requests. If that would stretch the pause between a
+ * running request's events beyond its bound, DELAY_COST_US is added for each such request. A
+ * request that would be late on every free server waits if a busy server may still serve it on
+ * time.
  */
 #include "schedint.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define TOKEN_US           6000.0 /* time of a token before any was seen; large models take 2 to 30 ms */
-#define ANSWER_US          40000.0 /* a plain service's answer before any was seen */
-#define CHUNK              1024 /* tokens of a prompt that engines compute at once, a usual setting */
-#define LEARN              0.25 /* weight of a new sample: four samples replace most of the past */
-#define HARM_US            400000.0 /* cost of making one neighbour late, as much as finishing later */
-#define LATE_US            1500000.0 /* cost of being late where another server would not be */
-#define GAP_USED           0.85 /* of a neighbour's bound that a pause may reach by our estimate */
-#define REST_ANY           (3600 * FT_SECOND) /* as long as the server says that it keeps it */
-#define REST_FEARED        (200.0 * FT_MS) /* shorter than what a server forgets in a burst of load */
-#define REST_TOGETHER      (2 * FT_SECOND) /* breaks at several servers that have one cause */
-#define REST_SERVERS       4 /* of a large service: fewer may be faults of their own */
-#define REST_SERVERS_LEAST 2 /* of a small one */
-#define NEW_BROKE_FOR      (5 * FT_SECOND) /* a fault that breaks new connections may last so long */
-#define REST_DOUBLES                                                                               \
-  2.5e6 /* microseconds: a fault of seconds is met once or twice more, and 15 s                    \
-           after it connections are kept as before */
-#define OPEN_ENGINE_US                                                                             \
-  100e3              /* worth of a connection that is there, to an engine: a tenth of an answer */
-#define OPEN_US 30e3 /* the same to a plain service: its set-up, and it holds a place meanwhile */
-#define OWN_TIER                                                                                   \
-  0.7 /* of the arrivals of a late request's tier that go before it: those on time                 \
-       */
-#define FAILED_US   2000000.0 /* cost of a lost answer, as much as finishing later by so much */
-#define FAILED_ONCE 0.2       /* share that one failure leaves ... */
-#define FAILED_SPREAD                                                                              \
-  8 /* ... which counts as the request's fault where one in so many of the servers that answered   \
-       in FAILED_FOR has met one, and more than one has */
-#define FAILED_FOR  5e6 /* microseconds over which failures are forgotten: servers restart */
-#define SUMMARY_FOR (10 * FT_MS) /* speeds change more slowly than that */
-#define LEFT_LEAST  0.05 /* of the places: what is left to a tier however much goes before it */
-#define SLOW_TIMES  1.6  /* times the best server's token: waiting for another may pay */
-
-#define PART_SPREAD                                                                                \
-  2.0 /* standard deviations of what a part of the instances runs, kept free while others may yet  \
-         report more than their part */
+/* Tuning constants. */
+
+/* assumed time of a token before the first sample; large models take 2 to 30 ms */
+#define DEFAULT_TOKEN_US 6000.0
+/* assumed answer time of a plain service before the first sample */
+#define DEFAULT_ANSWER_US 40000.0
+#define PREFILL_CHUNK     1024 /* prompt tokens that engines compute in one step; a common setting */
+#define SAMPLE_WEIGHT     0.25 /* weight of a new sample; four samples replace most of the history */
+#define DELAY_COST_US     400000.0  /* added for making one running request late */
+#define LATE_COST_US      1500000.0 /* added for being late */
+#define GAP_USABLE        0.85 /* of a running request's gap_us that an estimated pause may reach */
+/* no bound here: the server's own keep-alive time applies */
+#define IDLE_UNBOUNDED (3600 * FT_SECOND)
+/* initial bound after a break; shorter than the idle time after which servers drop connections in a
+ * burst of load */
+#define IDLE_AFTER_BREAK (200.0 * FT_MS)
+/* breaks at several servers within this time have a common cause */
+#define BREAKS_TOGETHER (2 * FT_SECOND)
+/* servers of a large service on which connections must break; fewer may be independent faults */
+#define BROKEN_SERVERS_MAX 4
+#define BROKEN_SERVERS_MIN 2 /* the same for a small service */
+/* expected duration of a fault that breaks new connections too */
+#define NEW_CONN_FAULT_TIME (5 * FT_SECOND)
+/* microseconds in which the bound doubles; a fault of seconds is met once or twice more, and 15 s
+ * after it connections are reused almost as before */
+#define IDLE_DOUBLING_US 2.5e6
+/* added for a new connection to an engine: a tenth of an answer */
+#define CONNECT_ENGINE_US 100e3
+/* the same for a plain service: the place is occupied during connection set-up */
+#define CONNECT_PLAIN_US 30e3
+/* share of arrivals of a late request's own tier that are on time and go before it */
+#define OWN_TIER_SHARE 0.7
+/* times the failure share, added for the risk of losing the answer */
+#define FAILURE_COST_US 2000000.0
+#define SINGLE_FAILURE  0.2 /* failure share after one failure, FAILURE_WEIGHT in health.c */
+/* single failures are blamed on the requests if at least two servers, and one in this many of those
+ * that answered within FAILURE_DECAY_US, have failed one */
+#define COMMON_FAILURES 8
+/* time constant, microseconds, with which failures are forgotten, since servers restart */
+#define FAILURE_DECAY_US 5e6
+#define SUMMARY_LIFETIME (10 * FT_MS) /* lifetime of a Summary; speeds change more slowly */
+/* least share of the places assumed for a tier, whatever goes before it */
+#define PLACES_LEFT_MIN 0.05
+#define SLOW_FACTOR     1.6 /* times the best server's token time; on slower ones waiting may pay */
+
+/* margin in standard deviations, since instances that have not reported yet may run more than their
+ * part of the requests */
+#define GRANT_MARGIN_SIGMAS 2.0
 
 static double
 prompt_unit (const Server *server, double token)
 {
-  return server->prompt_unit > 0 ? server->prompt_unit : token * server->service->curve.each;
+  return server->prompt_unit > 0 ? server->prompt_unit : token * server->service->curve.unit_ratio;
 }
 
 static void
@@ -67,21 +82,21 @@
 
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    if (server->token_us <= 0 || server->use == USE_TRIED)
+    if (server->token_us <= 0 || server->use == USE_ON_TRIAL)
       continue;
     total += server->token_us;
     count++;
     if (best == 0 || server->token_us < best)
       best = server->token_us;
   }
-  sum->best_token = count ? best : TOKEN_US;
-  sum->mean_token = count ? total / count : TOKEN_US;
+  sum->best_token_us = count ? best : DEFAULT_TOKEN_US;
+  sum->mean_token_us = count ? total / count : DEFAULT_TOKEN_US;
 }
 
 static bool
-is_lately (int64_t at, int64_t now)
+is_recent (int64_t at, int64_t now)
 {
-  return at > 0 && (double) (now - at) < FAILED_FOR;
+  return at > 0 && (double) (now - at) < FAILURE_DECAY_US;
 }
 
 const Summary *
@@ -94,9 +109,9 @@
 
   if (now < sum->until)
     return sum;
-  sum->until = now + SUMMARY_FOR;
+  sum->until = now + SUMMARY_LIFETIME;
   summarize_speeds (service);
-  sum->least_unit = sum->least_answer = sum->places = 0;
+  sum->min_prompt_unit = sum->min_answer_us = sum->weighted_places = 0;
   sum->slots = 0;
   sum->any_usable = false;
   cds_list_for_each_entry (server, &service->servers, link)
@@ -106,30 +121,30 @@
         sum->slots += server->running;
         continue;
       }
-    double token = server->token_us > 0 ? server->token_us : sum->mean_token;
+    double token = server->token_us > 0 ? server->token_us : sum->mean_token_us;
     double unit = prompt_unit (server, token);
-    double answer = server->answer_us > 0 ? server->answer_us : ANSWER_US;
-    if (!sum->any_usable || unit < sum->least_unit)
-      sum->least_unit = unit;
-    if (!sum->any_usable || answer < sum->least_answer)
-      sum->least_answer = answer;
+    double answer = server->answer_us > 0 ? server->answer_us : DEFAULT_ANSWER_US;
+    if (!sum->any_usable || unit < sum->min_prompt_unit)
+      sum->min_prompt_unit = unit;
+    if (!sum->any_usable || answer < sum->min_answer_us)
+      sum->min_answer_us = answer;
     sum->any_usable = true;
     sum->slots += server->slots;
-    bool fails = is_lately (server->failed_at, now);
-    used += fails || is_lately (server->answered_at, now);
+    bool fails = is_recent (server->failed_at, now);
+    used += fails || is_recent (server->answered_at, now);
     failed += fails;
     double places
-        = est_places (sched, server) * (service->conf.engine ? sum->best_token / token : 1);
-    sum->places += pace_places (sched, server, places);
+        = est_places (sched, server) * (service->conf.engine ? sum->best_token_us / token : 1);
+    sum->weighted_places += pace_places (sched, server, places);
   }
-  sum->many_failed = failed > 1 && failed * FAILED_SPREAD >= used;
+  sum->many_failed = failed > 1 && failed * COMMON_FAILURES >= used;
   return sum;
 }
 
 double
 est_token_us (const Server *server)
 {
-  return server->token_us > 0 ? server->token_us : server->service->summary.mean_token;
+  return server->token_us > 0 ? server->token_us : server->service->summary.mean_token_us;
 }
 
 double
@@ -142,22 +157,22 @@
 static double
 answer_us (const Server *server)
 {
-  return server->answer_us > 0 ? server->answer_us : ANSWER_US;
+  return server->answer_us > 0 ? server->answer_us : DEFAULT_ANSWER_US;
 }
 
 void
 est_learn (double *value, double sample)
 {
-  *value = *value > 0 ? *value + LEARN * (sample - *value) : sample;
+  *value = *value > 0 ? *value + SAMPLE_WEIGHT * (sample - *value) : sample;
 }
 
 double
 est_work_us (const Sched *sched, Service *service, const SchedAsk *ask)
 {
   if (!service->conf.engine)
-    return est_summary (sched, service)->least_answer;
-  double token = est_summary (sched, service)->best_token;
-  double prompt = curve_units (&service->curve, ask->prompt_tokens) * service->curve.each;
+    return est_summary (sched, service)->min_answer_us;
+  double token = est_summary (sched, service)->best_token_us;
+  double prompt = curve_units (&service->curve, ask->prompt_tokens) * service->curve.unit_ratio;
   return (prompt + ask->output_tokens) * token;
 }
 
@@ -180,11 +195,11 @@
   return places_of (sched, server, sched->share);
 }
 
-/* Failure: half of the instances have told what they run, so half of the places are taken; by
- * chance some servers show fewer than that. Symptom: with a bound on each server alone these get
- * more, and a tenth too many places is taken. So the part is also one of the service's places, and
- * the whole of them bounds what runs after that. What runs in less than half of the part is not at
- * full load and is not held up. */
+/* True if a grant on the server stays within grant_part, see sched_set_grant_share. When half of
+ * the instances have reported their requests, half of the places may be used, but by chance some
+ * servers show fewer requests than that. With a bound for each server alone, those would get more
+ * and a tenth too many places would be taken. So the bound holds for the whole service too. The
+ * statistical margin takes at most half of that bound, so that low load is not held up. */
 static bool
 is_within_part (const Sched *sched, const Server *server)
 {
@@ -193,21 +208,21 @@
 
   if (part > 1)
     return true;
-  if (sched->part_guessed)
-    most = MAX (most - PART_SPREAD * sqrt (most * (1 - part)), most / 2);
+  if (sched->others_unknown)
+    most = MAX (most - GRANT_MARGIN_SIGMAS * sqrt (most * (1 - part)), most / 2);
   return service->running + 1 <= most && server->running < places_of (sched, server, part);
 }
 
 bool
 est_usable (const Server *server, int64_t now)
 {
-  return server->listed && !server->leaving && server->use == USE_YES && now >= server->out_until;
+  return server->listed && !server->leaving && server->use == USE_ALL && now >= server->out_until;
 }
 
 bool
 est_has_place (const Sched *sched, const Server *server, int64_t now)
 {
-  unsigned most = server->trial ? 1 : est_places (sched, server);
+  unsigned most = server->probing ? 1 : est_places (sched, server);
 
   return est_usable (server, now) && server->running < most && is_within_part (sched, server)
          && pace_has_token (sched, server, now);
@@ -218,28 +233,29 @@
 typedef struct
 {
   double first_us, finish_us; /* from now */
-  double harm_us;             /* to neighbours */
+  double delay_cost_us;       /* cost of delaying running requests */
   bool late;
 } Estimate;
 
 static double
-harm_us (const Server *server, const SchedAsk *ask)
+delay_cost_us (const Server *server, const SchedAsk *ask)
 {
   const Service *service = server->service;
-  double chunk = CHUNK * curve_last (&service->curve, ask->prompt_tokens)
+  double chunk = PREFILL_CHUNK * curve_marginal_units (&service->curve, ask->prompt_tokens)
                  * prompt_unit (server, est_token_us (server));
-  double chunks = ceil ((double) (ask->prompt_tokens + server->pending_tokens) / CHUNK);
+  double chunks = ceil ((double) (ask->prompt_tokens + server->pending_tokens) / PREFILL_CHUNK);
   unsigned stride = service->conf.stride;
   double pause = stride * est_token_us (server) + MIN (chunks, stride) * chunk;
-  double harm = 0;
+  double cost = 0;
   const Job *job;
 
   cds_list_for_each_entry (job, &server->runs, link)
   {
-    if (job->first_seen && job->ask.gap_us > 0 && pause > GAP_USED * (double) job->ask.gap_us)
-      harm += HARM_US;
+    if (job->got_first_event && job->ask.gap_us > 0
+        && pause > GAP_USABLE * (double) job->ask.gap_us)
+      cost += DELAY_COST_US;
   }
-  return harm;
+  return cost;
 }
 
 static Estimate
@@ -250,7 +266,7 @@
   if (!server->service->conf.engine)
     {
       double over = server->running >= server->slots ? 1 : 0;
-      out.first_us = HOP_US + answer_us (server) * (1 + over);
+      out.first_us = NETWORK_US + answer_us (server) * (1 + over);
       out.finish_us = out.first_us + answer_us (server) * server->running / MAX (server->slots, 1);
     }
   else
@@ -258,119 +274,120 @@
       double ahead = (double) MAX (0, server->prompts_until - now);
       double own = est_prompt_us (server, ask->prompt_tokens);
       out.first_us
-          = HOP_US + server->service->curve.latency_us + ahead + own + est_token_us (server);
+          = NETWORK_US + server->service->curve.latency_us + ahead + own + est_token_us (server);
       out.finish_us = out.first_us + ask->output_tokens * est_token_us (server);
-      out.harm_us = harm_us (server, ask);
+      out.delay_cost_us = delay_cost_us (server, ask);
     }
   out.late = (double) now + out.first_us > (double) ask->aim_at;
   return out;
 }
 
-/* Marks the servers to which the job's owner has connections. */
+/* Marks the servers to which the job's owner has connections, by the number of this choice. */
 static void
-mark_kept (Sched *sched, const Job *job)
+mark_connected (Sched *sched, const Job *job)
 {
   sched->choices++;
   for (unsigned i = 0; i < job->ask.kept_count; i++)
     {
       Server *server = g_hash_table_lookup (sched->by_digest, GUINT_TO_POINTER (job->kept[i]));
       if (server)
-        server->kept_by = sched->choices;
+        server->connected_choice = sched->choices;
     }
 }
 
 bool
-est_kept_place (const Sched *sched, const Job *job, int64_t now)
+est_connected_place (const Sched *sched, const Job *job, int64_t now)
 {
   for (unsigned i = 0; i < job->ask.kept_count; i++)
     {
       const Server *server
           = g_hash_table_lookup (sched->by_digest, GUINT_TO_POINTER (job->kept[i]));
       if (server && server->service == job->service && est_has_place (sched, server, now)
-          && boff_may (server, job->key.owner, now))
+          && boff_permits (server, job->key.owner, now))
         return true;
     }
   return false;
 }
 
 static double
-open_us (const Sched *sched, const Server *server)
+connect_cost_us (const Sched *sched, const Server *server)
 {
-  if (server->kept_by == sched->choices)
+  if (server->connected_choice == sched->choices)
     return 0;
-  return server->service->conf.engine ? OPEN_ENGINE_US : OPEN_US;
+  return server->service->conf.engine ? CONNECT_ENGINE_US : CONNECT_PLAIN_US;
 }
 
-/* Failure: servers, or what is between, forget connections that rest for a moment, without a word.
- * Symptom: what is sent there is reset, and what may run once only is lost to its caller. From the
- * first one on only connections that have hardly rested are used for such at that server, and once
- * some servers do it at all of the service; that bound doubles while nothing breaks. */
+/* Servers or middleboxes may silently drop connections after a short idle time. A request sent on
+ * one is reset, and lost to its caller if it must not be sent twice. After the first such break
+ * only connections that were idle for at most IDLE_AFTER_BREAK carry such requests to that server,
+ * and after breaks at several servers this holds for the whole service. The bound doubles every
+ * IDLE_DOUBLING_US while nothing breaks. */
 int64_t
-est_rest_most (const Server *server, int64_t now)
+est_max_idle_us (const Server *server, int64_t now)
 {
-  int64_t broke_at = MAX (server->rest_broke_at, server->service->rest_broke_at);
+  int64_t broke_at = MAX (server->idle_broke_at, server->service->idle_broke_at);
 
   if (broke_at == 0)
-    return REST_ANY;
-  double times = exp2 ((double) (now - broke_at) / REST_DOUBLES);
-  return (int64_t) MIN ((double) REST_ANY, REST_FEARED * times);
+    return IDLE_UNBOUNDED;
+  double times = exp2 ((double) (now - broke_at) / IDLE_DOUBLING_US);
+  return (int64_t) MIN ((double) IDLE_UNBOUNDED, IDLE_AFTER_BREAK * times);
 }
 
-/* Where new connections break as well the rest is not the cause, and new ones are no cure. */
+/* If new connections break as well, idle time is not the cause, and new connections do not help. */
 static void
-forget_rests (Service *service, int64_t now)
+clear_idle_breaks (Service *service, int64_t now)
 {
   Server *server;
 
-  service->new_broke_at = now;
-  service->rest_broke_at = 0;
-  cds_list_for_each_entry (server, &service->servers, link) server->rest_broke_at = 0;
+  service->new_conn_broke_at = now;
+  service->idle_broke_at = 0;
+  cds_list_for_each_entry (server, &service->servers, link) server->idle_broke_at = 0;
 }
 
 void
-est_broke (Server *server, bool rested, int64_t now)
+est_note_broken (Server *server, bool rested, int64_t now)
 {
   Service *service = server->service;
   unsigned all = 0, lately = 0;
 
   if (!rested)
     {
-      forget_rests (service, now);
+      clear_idle_breaks (service, now);
       return;
     }
-  if (service->new_broke_at && now - service->new_broke_at < NEW_BROKE_FOR)
+  if (service->new_conn_broke_at && now - service->new_conn_broke_at < NEW_CONN_FAULT_TIME)
     return;
-  server->rest_broke_at = now;
+  server->idle_broke_at = now;
   cds_list_for_each_entry (server, &service->servers, link)
   {
     all++;
-    lately += server->rest_broke_at > 0 && now - server->rest_broke_at < REST_TOGETHER;
+    lately += server->idle_broke_at > 0 && now - server->idle_broke_at < BREAKS_TOGETHER;
   }
-  if (lately >= CLAMP (all / 4, REST_SERVERS_LEAST, REST_SERVERS))
-    service->rest_broke_at = now;
+  if (lately >= CLAMP (all / 4, BROKEN_SERVERS_MIN, BROKEN_SERVERS_MAX))
+    service->idle_broke_at = now;
 }
 
-/* Failure: many servers fail a part of what they get, and fail it fast, so their places are free
- * first. Symptom: they get more than their part, and callers lose answers that others would have
- * given. What a server fails makes it dearer, for a while; but not a single failure where many have
- * met one. Some requests fail wherever they run, and if each counts the few servers that have not
- * met one lately get nearly all, over new connections. */
+/* Cost of the server's recent failures. Servers that fail a part of their requests quickly have
+ * free places sooner. Without this cost they would attract more than their share, and callers would
+ * lose answers that other servers could have given. A single failure does not count where many
+ * servers have had one: some requests fail wherever they run, and if each counted, the few servers
+ * without a recent failure would get nearly all requests, over new connections. */
 static double
-failing_us (const Server *server, int64_t now)
+failure_cost_us (const Server *server, int64_t now)
 {
   double share = server->failures;
 
   if (server->service->summary.many_failed)
-    share -= FAILED_ONCE;
+    share -= SINGLE_FAILURE;
   if (server->failed_at == 0 || share <= 0)
     return 0;
-  return FAILED_US * share * exp ((double) (server->failed_at - now) / FAILED_FOR);
+  return FAILURE_COST_US * share * exp ((double) (server->failed_at - now) / FAILURE_DECAY_US);
 }
 
 static double
-total (const Estimate *estimate)
+total_cost_us (const Estimate *estimate)
 {
-  return estimate->finish_us + estimate->harm_us + (estimate->late ? LATE_US : 0);
+  return estimate->finish_us + estimate->delay_cost_us + (estimate->late ? LATE_COST_US : 0);
 }
 
 bool
@@ -381,7 +398,7 @@
   return service->conf.memory == 0 || tokens <= service->conf.memory;
 }
 
-/* Of a part of the places this scheduler has the same part of the memory. */
+/* A scheduler that may use a part of the places may use the same part of the KV cache. */
 bool
 est_fits_memory (const Sched *sched, const Server *server, const SchedAsk *ask)
 {
@@ -391,27 +408,27 @@
          || (double) (server->tokens + ask->prompt_tokens + ask->output_tokens) < most;
 }
 
-/* Would a server that is busy now be on time without harm to others, so that it is worth waiting?
+/* True if a busy server would be on time without delaying others, at a total cost below most, so
+ * that waiting for it pays.
  */
 static bool
-better_if_free (const Sched *sched, const Job *job, double most, int64_t now)
+worth_waiting (const Sched *sched, const Job *job, double most, int64_t now)
 {
   const Server *server;
 
   cds_list_for_each_entry (server, &job->service->servers, link)
   {
-    if (!est_usable (server, now) || server->trial || server->pace.rate > 0
-        || !boff_may (server, job->key.owner, now) || est_has_place (sched, server, now)
+    if (!est_usable (server, now) || server->probing || server->pace.rate > 0
+        || !boff_permits (server, job->key.owner, now) || est_has_place (sched, server, now)
         || (job->avoid && strcmp (job->avoid, server->id) == 0))
       continue;
     Estimate here = estimate (server, &job->ask, now);
-    if (!here.late && here.harm_us == 0 && total (&here) < most)
+    if (!here.late && here.delay_cost_us == 0 && total_cost_us (&here) < most)
       return true;
   }
   return false;
 }
 
-/* The best server with a place; NULL: none, or it is worth waiting for a busy one. */
 Server *
 est_choose (Sched *sched, const Job *job, int64_t now)
 {
@@ -419,17 +436,18 @@
   double best_total = 0;
   Estimate chosen = { 0 };
 
-  mark_kept (sched, job);
+  mark_connected (sched, job);
   cds_list_for_each_entry (server, &job->service->servers, link)
   {
     if (!est_has_place (sched, server, now) || !est_fits_memory (sched, server, &job->ask)
-        || !boff_may (server, job->key.owner, now)
+        || !boff_permits (server, job->key.owner, now)
         || (job->avoid && strcmp (job->avoid, server->id) == 0))
       continue;
-    if (server->trial && job->ask.repeatable)
+    if (server->probing && job->ask.repeatable)
       return server;
     Estimate here = estimate (server, &job->ask, now);
-    double cost = total (&here) + open_us (sched, server) + failing_us (server, now);
+    double cost
+        = total_cost_us (&here) + connect_cost_us (sched, server) + failure_cost_us (server, now);
     if (best == NULL || cost < best_total)
       {
         best = server;
@@ -437,34 +455,35 @@
         chosen = here;
       }
   }
-  if (best == NULL || (!chosen.late && chosen.harm_us == 0) || now >= job->ask.aim_at)
+  if (best == NULL || (!chosen.late && chosen.delay_cost_us == 0) || now >= job->ask.aim_at)
     return best;
   bool slow = job->service->conf.engine
-              && est_token_us (best) > SLOW_TIMES * job->service->summary.best_token;
-  return (slow || chosen.harm_us > 0) && better_if_free (sched, job, best_total, now) ? NULL : best;
+              && est_token_us (best) > SLOW_FACTOR * job->service->summary.best_token_us;
+  return (slow || chosen.delay_cost_us > 0) && worth_waiting (sched, job, best_total, now) ? NULL
+                                                                                           : best;
 }
 
-/* Least time until the first of the answer on any usable server. */
 double
 est_first_us (const Sched *sched, Service *service, const SchedAsk *ask)
 {
   const Summary *sum = est_summary (sched, service);
 
   if (!service->conf.engine)
-    return HOP_US + sum->least_answer;
-  return HOP_US + service->curve.latency_us
-         + curve_units (&service->curve, ask->prompt_tokens) * sum->least_unit + sum->best_token;
+    return NETWORK_US + sum->min_answer_us;
+  return NETWORK_US + service->curve.latency_us
+         + curve_units (&service->curve, ask->prompt_tokens) * sum->min_prompt_unit
+         + sum->best_token_us;
 }
 
-/* Places that the arrivals of one tier take, and of all tiers above it. */
+/* Places kept busy by the arrivals of one tier; places_used_above: by those of all higher tiers. */
 static double
-taken_by (const Tier *tier, int64_t now)
+places_used_by (const Tier *tier, int64_t now)
 {
-  return tier->inflow * exp (-(double) (now - tier->inflow_at) / INFLOW_US);
+  return tier->arrival_load * exp (-(double) (now - tier->arrival_load_at) / ARRIVAL_WINDOW_US);
 }
 
 static double
-taken_above (const Service *service, unsigned number, int64_t now)
+places_used_above (const Service *service, unsigned number, int64_t now)
 {
   double taken = 0;
 
@@ -473,35 +492,35 @@
       const Tier *tier = service->tiers->pdata[i];
       if (tier->tier >= number)
         break;
-      taken += taken_by (tier, now);
+      taken += places_used_by (tier, now);
     }
   return taken;
 }
 
 double
-est_part_above (const Sched *sched, Service *service, unsigned number, int64_t now)
+est_share_above (const Sched *sched, Service *service, unsigned number, int64_t now)
 {
-  double all = est_summary (sched, service)->places;
+  double all = est_summary (sched, service)->weighted_places;
 
-  return all > 0 ? MIN (1, taken_above (service, number, now) / all) : 1;
+  return all > 0 ? MIN (1, places_used_above (service, number, now) / all) : 1;
 }
 
 double
-est_left_places (const Sched *sched, Service *service, unsigned number, bool behind, int64_t now)
+est_places_left (const Sched *sched, Service *service, unsigned number, bool behind, int64_t now)
 {
-  double all = est_summary (sched, service)->places;
-  double taken = taken_above (service, number, now);
+  double all = est_summary (sched, service)->weighted_places;
+  double taken = places_used_above (service, number, now);
 
   if (behind)
-    taken += OWN_TIER * taken_by (wait_tier (service, number), now);
-  return MAX (all - taken, all * LEFT_LEAST);
+    taken += OWN_TIER_SHARE * places_used_by (wait_tier (service, number), now);
+  return MAX (all - taken, all * PLACES_LEFT_MIN);
 }
 
 double
 est_wait_us (const Sched *sched, Service *service, unsigned number, bool behind, double work_ahead,
              int64_t now)
 {
-  double left = est_left_places (sched, service, number, behind, now);
+  double left = est_places_left (sched, service, number, behind, now);
 
   return left > 0 ? work_ahead / left : 1e12;
 }
--- a/src/health.c
+++ b/src/health.c
@@ -1,21 +1,24 @@
-/* health.c - which servers are taken out, for how long, and what brings them back.
+/* health.c - which servers are taken out, for how long, and how they come back.
  *
- * Connections refused, failures and silence take a server out for a while that doubles; then one
- * request, repeatable if there is such, tries it. Only servers clearly worse than their service's
- * mean are taken out for failing, and no more than half of them: a fault that all share is not
- * cured by sending everything to the rest.
+ * Failed connections, failed requests and missing answers take a server out for a time that doubles
+ * on each repetition. Then single requests probe it, preferably repeatable ones, until one
+ * succeeds. For failed requests, only servers clearly worse than the mean of their service are
+ * taken out, and at most half of them: a common fault is not cured by sending all requests to the
+ * remaining servers.
  */
 #include "schedint.h"
 
-/* Tuning; each row with its reason. */
-#define OUT_FIRST    (300 * FT_MS)    /* first time out: a restart or a lost packet */
-#define REJECTED_OUT (40 * FT_MS)     /* a full server: until one of its places is free */
-#define GONE_OUT     (10 * FT_SECOND) /* lists show a lost server for some seconds */
-#define FAIL_LEARN   0.2              /* weight of a new outcome in the share of failures */
-#define FAIL_OUT                                                                                   \
-  0.7 /* share of failures that takes a server out: six in a row; one that fails four in ten is of \
-         use when the others are full */
-#define FAIL_TIMES 1.8 /* and so many times its service's mean */
+/* Tuning constants. */
+#define OUT_MIN (300 * FT_MS) /* first time out; covers a restart or a lost packet */
+/* time out after a rejection, until the full server has a free place */
+#define OUT_REJECTED (40 * FT_MS)
+/* time out of a replaced server; lists show it for some seconds more */
+#define OUT_GONE       (10 * FT_SECOND)
+#define FAILURE_WEIGHT 0.2 /* weight of a new outcome in the failure share */
+/* failure share above which a server is taken out, reached by six failures in a row; a server that
+ * fails four in ten is still of use when the others are full */
+#define FAILURE_SHARE_MAX   0.7
+#define FAILURE_MEAN_FACTOR 1.8 /* and only if above this multiple of its service's mean */
 
 static double
 mean_failures (const Service *service)
@@ -44,7 +47,7 @@
     if (!server->listed || server->leaving)
       continue;
     (*all)++;
-    out += server->trial; /* out, or tried by one request at a time */
+    out += server->probing; /* out, or probed by one request at a time */
   }
   return out;
 }
@@ -54,101 +57,99 @@
 {
   if (now < server->out_until)
     return;
-  server->out_for = CLAMP (server->out_for * 2, OUT_FIRST, OUT_MOST);
+  server->out_for = CLAMP (server->out_for * 2, OUT_MIN, OUT_MAX);
   server->out_at = now;
   server->out_until = now + server->out_for;
-  server->trial = true;
-  sched->ops->believes (sched->host, server->id, true, why, server->out_for);
+  server->probing = true;
+  sched->ops->server_state (sched->host, server->id, true, why, server->out_for);
 }
 
-/* Failure: a server is taken out because it fails too much, while it still runs what it was given
- * before. Symptom: the next of these answers brings it back within milliseconds, and it fails on.
- * Of one that failed only what was sent after that counts, either way; one that was unreachable or
- * silent is back with whatever it answers. */
+/* True if a result must not change the state of a server that was taken out for failing, because
+ * the request was sent before. Otherwise the next success among its running requests would bring it
+ * back within milliseconds. A server that was unreachable or silent comes back with any answer. */
 static bool
-says_nothing_new (const Server *server, int64_t granted_at)
+is_outdated (const Server *server, int64_t granted_at)
 {
-  return server->trial && server->out_failing && granted_at <= server->out_at;
+  return server->probing && server->out_for_failures && granted_at <= server->out_at;
 }
 
 static void
-judge_failure (Sched *sched, Server *server, int64_t granted_at, int64_t now)
+update_on_failure (Sched *sched, Server *server, int64_t granted_at, int64_t now)
 {
   unsigned all, out = count_out (server->service, &all);
 
-  server->failures += FAIL_LEARN * (1 - server->failures);
+  server->failures += FAILURE_WEIGHT * (1 - server->failures);
   server->failed_at = now;
-  if (says_nothing_new (server, granted_at))
+  if (is_outdated (server, granted_at))
     return;
-  if (server->trial)
-    take_out (sched, server, "failed its trial", now);
-  else if (server->failures > FAIL_OUT
-           && server->failures > FAIL_TIMES * mean_failures (server->service)
+  if (server->probing)
+    take_out (sched, server, "failed a probe request", now);
+  else if (server->failures > FAILURE_SHARE_MAX
+           && server->failures > FAILURE_MEAN_FACTOR * mean_failures (server->service)
            && (out + 1) * 2 <= all)
     {
-      server->out_failing = true;
-      take_out (sched, server, "fails more than the others", now);
+      server->out_for_failures = true;
+      take_out (sched, server, "failure rate is above the service's mean", now);
     }
 }
 
 static void
-judge_success (Sched *sched, Server *server, int64_t granted_at, int64_t now)
+update_on_success (Sched *sched, Server *server, int64_t granted_at, int64_t now)
 {
-  server->failures -= FAIL_LEARN * server->failures;
+  server->failures -= FAILURE_WEIGHT * server->failures;
   server->answered_at = now;
-  if (says_nothing_new (server, granted_at))
+  if (is_outdated (server, granted_at))
     return;
   server->out_until = 0;
-  if (!server->trial)
+  if (!server->probing)
     {
-      if (server->failures < FAIL_OUT / 4)
+      if (server->failures < FAILURE_SHARE_MAX / 4)
         server->out_for = 0;
       return;
     }
-  server->trial = server->out_failing = false;
-  sched->ops->believes (sched->host, server->id, false, "answered", 0);
+  server->probing = server->out_for_failures = false;
+  sched->ops->server_state (sched->host, server->id, false, "answered", 0);
 }
 
-/* Failure: one request takes long at a server that answers others. Symptom: the server is taken out
- * as if it were dark, and a third of a service's places are lost at worst load. Only a server that
- * has answered nothing since is taken out. */
+/* Takes the server out only if it has answered nothing since the grant. If a single slow request
+ * were enough, a third of a service's places could be lost at the highest load. */
 void
-health_silent (Sched *sched, Server *server, int64_t granted_at, int64_t now)
+health_note_silence (Sched *sched, Server *server, int64_t granted_at, int64_t now)
 {
-  server->failures += FAIL_LEARN * (1 - server->failures);
+  server->failures += FAILURE_WEIGHT * (1 - server->failures);
   if (server->answered_at <= granted_at)
-    take_out (sched, server, "does not answer", now);
+    take_out (sched, server, "no answer in time", now);
 }
 
 void
-health_judge (Sched *sched, Server *server, const SchedResult *result, int64_t granted_at,
-              int64_t now)
+health_update (Sched *sched, Server *server, const SchedResult *result, int64_t granted_at,
+               int64_t now)
 {
   switch (result->outcome)
     {
     case SCHED_OK:
-      judge_success (sched, server, granted_at, now);
+      update_on_success (sched, server, granted_at, now);
       break;
     case SCHED_FAILED:
-      judge_failure (sched, server, granted_at, now);
+      update_on_failure (sched, server, granted_at, now);
       break;
     case SCHED_UNREACHED:
-      take_out (sched, server, "takes no connection", now);
+      take_out (sched, server, "cannot connect", now);
       break;
     case SCHED_SILENT:
-      health_silent (sched, server, granted_at, now);
+      health_note_silence (sched, server, granted_at, now);
       break;
-    /* Failure: a server crashes and another starts at its address, while the list still shows the
-     * first. Symptom: its places seem free, and one request after the other is turned away there.
-     * The lifetime has ended; the list will say so. */
+    /* A server crashed and another one started at its address, but the list still shows the first.
+     * Its places seem free while each request sent there is rejected, so it is out for a time in
+     * which the list is usually updated. */
     case SCHED_GONE:
-      server->out_until = now + GONE_OUT;
-      server->trial = true;
-      sched->ops->believes (sched->host, server->id, true, "another server has its address",
-                            GONE_OUT);
+      server->out_until = now + OUT_GONE;
+      server->probing = true;
+      sched->ops->server_state (sched->host, server->id, true,
+                                "another server answers at its address", OUT_GONE);
       break;
     case SCHED_REJECTED:
-      server->out_until = MAX (server->out_until, now + REJECTED_OUT);
+      server->out_until = MAX (server->out_until, now + OUT_REJECTED);
       break;
     case SCHED_LEFT:
       break;
--- a/src/pace.c
+++ b/src/pace.c
@@ -11,7 +11,7 @@
  */
 #include "schedint.h"
 
-#define BURST_S 0.1 /* seconds of the rate that may be used at once */
+#define BURST_S 0.1 /* bucket capacity, in seconds of the rate */
 
 static double
 capacity (const Pace *pace)
@@ -20,7 +20,7 @@
 }
 
 static double
-tokens (const Sched *sched, const Pace *pace, int64_t now)
+current_tokens (const Sched *sched, const Pace *pace, int64_t now)
 {
   double refilled = (double) (now - pace->filled_at) / 1e6 * pace->rate * sched->rate_part;
 
@@ -28,16 +28,16 @@
 }
 
 static void
-fill (const Sched *sched, Pace *pace, int64_t now)
+refill (const Sched *sched, Pace *pace, int64_t now)
 {
-  pace->tokens = tokens (sched, pace, now);
+  pace->tokens = current_tokens (sched, pace, now);
   pace->filled_at = now;
 }
 
 bool
-pace_is_due (const Sched *sched, const Server *server, int64_t now)
+pace_bucket_has_token (const Sched *sched, const Server *server, int64_t now)
 {
-  return tokens (sched, &server->pace, now) >= 1;
+  return current_tokens (sched, &server->pace, now) >= 1;
 }
 
 void
@@ -45,7 +45,7 @@
 {
   if (server->pace.rate <= 0)
     return;
-  fill (sched, &server->pace, now);
+  refill (sched, &server->pace, now);
   server->pace.tokens -= 1;
 }
 
@@ -55,7 +55,7 @@
   double rate = server->pace.rate * sched->rate_part;
 
   if (server->pace.rate <= 0 || server->service->mean_us <= 0)
-    return places; /* before the first request nothing is known of its time */
+    return places; /* no slot time is known before the first request */
   return MIN (places, rate * server->service->mean_us / 1e6);
 }
 
@@ -63,7 +63,7 @@
 open_bucket (const Sched *sched, Pace *pace, double rate, double first, int64_t now)
 {
   if (pace->rate > 0)
-    fill (sched, pace, now);
+    refill (sched, pace, now);
   else
     pace->tokens = first;
   pace->rate = rate;
@@ -72,40 +72,41 @@
 }
 
 static void
-tell (const Sched *sched, const Server *server, double before)
+report_change (const Sched *sched, const Server *server, double before)
 {
   if (server->pace.rate != before)
     server->service->summary.until = 0;
-  if (sched->ops->paced && server->pace.rate != before)
-    sched->ops->paced (sched->host, server->id, before, server->pace.rate);
+  if (sched->ops->rate_changed && server->pace.rate != before)
+    sched->ops->rate_changed (sched->host, server->id, before, server->pace.rate);
 }
 
 static bool
-is_later (const Server *server, const Job *job)
+is_newer (const Server *server, const Job *job)
 {
-  return job && job->server == server && !job->adopted && job->granted_at > server->pace.named_at;
+  return job && job->server == server && !job->adopted
+         && job->granted_at > server->pace.announced_at;
 }
 
 void
-pace_named (const Sched *sched, Server *server, const Job *job, double rate, int64_t now)
+pace_apply_notice (const Sched *sched, Server *server, const Job *job, double rate, int64_t now)
 {
   Pace *pace = &server->pace;
   double before = pace->rate;
 
   if (rate <= 0 && before <= 0)
     return;
-  if (before > 0 && (rate <= 0 || rate > before) && !is_later (server, job))
+  if (before > 0 && (rate <= 0 || rate > before) && !is_newer (server, job))
     return;
   if (rate > 0)
     open_bucket (sched, pace, rate, 0, now);
   else
     pace->rate = 0;
-  pace->named_at = now;
-  tell (sched, server, before);
+  pace->announced_at = now;
+  report_change (sched, server, before);
 }
 
 void
-pace_named_before (const Sched *sched, Server *server, double rate, int64_t age, int64_t now)
+pace_apply_older_notice (const Sched *sched, Server *server, double rate, int64_t age, int64_t now)
 {
   Pace *pace = &server->pace;
   double most = (double) age / 1e6 * rate;
@@ -114,17 +115,17 @@
     return;
   if (pace->rate > 0)
     {
-      fill (sched, pace, now);
+      refill (sched, pace, now);
       pace->tokens = MIN (pace->tokens, most);
       return;
     }
   open_bucket (sched, pace, rate, most, now);
-  pace->named_at = now;
-  tell (sched, server, 0);
+  pace->announced_at = now;
+  report_change (sched, server, 0);
 }
 
 void
-sched_rate_part (Sched *sched, double part)
+sched_set_rate_share (Sched *sched, double part)
 {
   GHashTableIter iter;
   gpointer value;
@@ -140,9 +141,9 @@
       if (pace->rate <= 0)
         continue;
       server->service->summary.until = 0;
-      fill (sched, pace, now);
+      refill (sched, pace, now);
       if (part <= 0)
-        pace->tokens = 0; /* others give the rate away from now on */
+        pace->tokens = 0; /* only other schedulers use the rate from now on */
     }
   sched->rate_part = part;
 }
--- a/src/schedint.h
+++ b/src/schedint.h
@@ -1,6 +1,5 @@
-/* schedint.h - what the scheduler's own files share: its records, estimates of servers, and what is
- * believed of them; private to scheduler.c, waiting.c, admit.c, estimate.c, health.c, pace.c,
- * backoff.c, versions.c and schedview.c. */
+/* schedint.h - records and functions shared by the scheduler's files; private to scheduler.c,
+ * waiting.c, admit.c, estimate.c, health.c, pace.c, backoff.c, versions.c and schedview.c. */
 #ifndef SCHEDINT_H
 #define SCHEDINT_H
 
@@ -10,10 +9,12 @@
 
 #include <urcu/list.h>
 
-/* Tuning that several files share; each row with its reason. */
-#define INFLOW_US 2e6            /* span over which the arrivals of a tier are averaged */
-#define HOP_US    1500.0         /* sending and the first bytes back, between failure domains */
-#define OUT_MOST  (2400 * FT_MS) /* tried every few seconds at least */
+/* Tuning constants used by several files. */
+#define ARRIVAL_WINDOW_US 2e6 /* time constant of a tier's average arrival load */
+/* network time to send a request and get the first bytes, across failure domains */
+#define NETWORK_US 1500.0
+/* longest time out, so that a server is probed every few seconds at least */
+#define OUT_MAX (2400 * FT_MS)
 
 typedef struct Service Service;
 typedef struct Server Server;
@@ -27,46 +28,53 @@
 {
   union
   {
-    struct cds_list_head link; /* of one of a tier's queues or of a server's runs */
-    ShrItem item;              /* begins with it; in use while it waits in Tier.timely */
+    struct cds_list_head link; /* in one of a tier's queues or in Server.runs */
+    /* starts with the same link; used while the job waits in Tier.timely with fair shares on */
+    ShrItem item;
   };
   Key key;
   Service *service;
-  Server *server; /* NULL: waits */
-  SchedAsk ask;   /* its strings and kept are not used, but these */
+  Server *server; /* NULL while the job waits */
+  SchedAsk ask;   /* its strings and kept array are copied to the next three fields and NULL here */
   char *avoid, *org;
   uint32_t *kept;
   int64_t granted_at;
-  double prompt_us; /* predicted on its server */
-  double work_us;   /* slot time on the service's best server */
-  bool alone;       /* nothing else was pending on its server when it was granted */
-  bool first_seen;
-  bool adopted;     /* placed by another scheduler; granted_at is when this one heard of it */
-  unsigned passed;  /* by how many connected ones of its queue that were due later */
-  bool late;        /* waits, and can no longer be on time */
-  bool promised;    /* its caller came back at its promised time: waits before newcomers */
-  bool tried;       /* is to be placed on a server of the version that is tried */
-  bool judged;      /* what its answer says of the version has been told */
-  double expect_us; /* until the first of the answer, by the version before when it was placed; 0:
-                     * unknown */
-  double allow_us;  /* the same, by its answers at the same time; at least expect_us */
+  double prompt_us; /* predicted prefill time on its server */
+  double work_us;   /* slot time it would take on the service's best server */
+  bool sole_prompt; /* no other prompt was pending on its server when it was granted */
+  bool got_first_event;
+  bool adopted; /* granted by another scheduler; granted_at is when this one learned of it */
+  /* number of jobs due later that were granted first because their owner had a connection */
+  unsigned overtaken;
+  bool late;      /* waits, and can no longer start by its aim_at */
+  bool reserved;  /* its caller came back for a reservation: it goes before new requests */
+  bool for_trial; /* is to be placed on a server of the version on trial */
+  bool judged;    /* ops->judged was called for its answer */
+  /* expected time to the first event by the speeds of the previous version, estimated when the job
+   * was placed; 0: unknown */
+  double expected_us;
+  /* the same, raised if concurrent answers of the previous version are slow too; at least
+   * expected_us
+   */
+  double adjusted_us;
 } Job;
 
-/* Whether a server's version gets requests. */
+/* Which requests a server of this version gets. */
 typedef enum
 {
-  USE_YES,
-  USE_TRIED, /* those requests that are marked for it */
-  USE_NO
+  /* only requests marked for the version on trial */
+  USE_ALL,
+  USE_ON_TRIAL,
+  USE_NONE
 } VersionUse;
 
-/* Token bucket of a server's rate limit. */
+/* Token bucket that enforces a server's rate limit. */
 typedef struct
 {
-  double rate;   /* requests a second; 0: any */
-  double tokens; /* requests that it may get at once, as of ... */
+  double rate;   /* requests a second; 0: unlimited */
+  double tokens; /* requests that may be granted at once, as of filled_at */
   int64_t filled_at;
-  int64_t named_at; /* when the latest notice was applied */
+  int64_t announced_at; /* when the latest notice was applied */
 } Pace;
 
 struct Server
@@ -75,85 +83,100 @@
   Service *service;
   char *id, *domain, *version;
   VersionUse use;
-  unsigned slots, running, pending; /* pending: runs without their first event */
+  unsigned slots, running, pending; /* pending: runs that have had no first event yet */
   bool listed, leaving;
-  bool says_leaving;    /* it announced that; a list does not revoke it */
-  GHashTable *backoffs; /* owners that it asked to back off; NULL: none yet */
+  /* the server itself announced that it leaves; later server lists do not revoke it */
+  bool announced_leaving;
+  /* by owner, the backoffs that the server asked for; NULL until the first one */
+  GHashTable *backoffs;
   struct cds_list_head runs;
-  int64_t prompts_until; /* when the prompts handed over so far are computed ... */
-  double pending_us;     /* ... and their time in sum */
+  int64_t prompts_until; /* when the prefill of all pending prompts is expected to be done */
+  double pending_us;     /* sum of their prefill times */
   uint64_t pending_tokens;
-  double token_us;    /* learned, of an output token; 0: nothing seen yet */
-  double prompt_unit; /* learned, of the service's curve, microseconds; 0 likewise */
-  double answer_us;
-  double failures;     /* share, averaged */
-  int64_t failed_at;   /* when it last failed one */
-  int64_t answered_at; /* when it last answered anything */
+  double token_us; /* learned time of one output token; 0: no sample yet */
+  /* learned unit of the service's prefill curve, microseconds; 0: no sample yet */
+  double prompt_unit;
+  double answer_us;    /* learned answer time of a plain service; 0: no sample yet */
+  double failures;     /* moving average of the share of failed requests */
+  int64_t failed_at;   /* time of its latest failure */
+  int64_t answered_at; /* time of its latest answer or first event */
   int64_t out_at, out_until, out_for, cold_until;
-  bool trial;            /* was out: one request at a time until one succeeds */
-  bool out_failing;      /* it answered, but failed too much */
-  uint64_t tokens;       /* memory of its runs */
-  int64_t rest_broke_at; /* when a connection that had rested last broke as it was used */
-  uint64_t kept_by;      /* number of the latest choice whose owner has a connection there */
+  bool probing; /* it was taken out: it gets one request at a time until one succeeds */
+  /* it was taken out for its failure rate, not for being unreachable or silent */
+  bool out_for_failures;
+  uint64_t tokens;       /* prompt and expected output tokens of its runs: the KV cache they take */
+  int64_t idle_broke_at; /* when an idle connection last broke on reuse */
+  /* value of Sched.choices at the latest choice whose owner had a connection to the server */
+  uint64_t connected_choice;
   Pace pace;
-  unsigned tried; /* requests that it got as a server of a version that is tried */
+  unsigned trial_requests; /* requests it got while its version was on trial */
 };
 
 typedef struct
 {
   unsigned tier;
-  struct cds_list_head promised; /* their callers came at a promised time; in order of arrival */
-  struct cds_list_head timely;   /* can still be on time; the first that is due goes first */
-  struct cds_list_head late;     /* cannot; the one whose caller leaves first goes first */
-  unsigned count;                /* of both */
-  double timely_us, late_us;     /* slot time of each */
-  double mean_us;                /* slot time of a request, averaged */
-  double timely_part[2];         /* part that could be on time, averaged; [1]: of large ones */
-  double inflow;                 /* slot time arriving per time, averaged */
-  int64_t inflow_at;
-  Shares *shares; /* order of timely; NULL: by due time alone */
+  /* jobs whose callers came back for a reservation, in order of arrival */
+  struct cds_list_head reserved;
+  struct cds_list_head timely; /* jobs that can still be on time, by due time or in fair order */
+  struct cds_list_head late;   /* jobs that cannot; earliest end_at first */
+  unsigned count;              /* of all three queues */
+  /* total slot time of the jobs that can be on time, and of the late ones */
+  double timely_us, late_us;
+  double mean_us; /* average slot time of a request */
+  /* average share of requests that could be on time; [0]: small ones, [1]: large ones */
+  double timely_share[2];
+  double arrival_load; /* average slot time arriving per unit of time, that is, places kept busy */
+  int64_t arrival_load_at;
+  Shares *shares; /* fair order of the timely queue; NULL: order by due time only */
 } Tier;
 
-/* What a decision needs of all servers, worked out again after SUMMARY_FOR: a queue of hundreds
- * before a hundred servers must not look at all pairs of them. */
+/* Figures over all servers of a service, cached for SUMMARY_LIFETIME: with hundreds of waiting
+ * requests and a hundred servers, decisions cannot afford to visit every pair. */
 typedef struct
 {
   int64_t until;
-  double best_token, mean_token; /* time of a token: of the best server, and on average */
-  double least_unit;             /* least of prompt_unit on a usable server */
-  double least_answer;           /* of a plain service */
-  unsigned slots;                /* of usable servers, and what runs on the others */
-  double places;                 /* of usable servers, in units of the best one's speed */
+  /* time of an output token on the fastest server, and on average */
+  double best_token_us, mean_token_us;
+  double min_prompt_unit; /* lowest prompt unit of a usable server */
+  double min_answer_us;   /* lowest answer time of a usable server; plain services */
+  unsigned slots;         /* of usable servers, plus the requests running on the others */
+  double weighted_places; /* of usable servers, weighted by their speed relative to the best one */
   bool any_usable;
-  bool many_failed; /* one in FAILED_SPREAD servers in use has failed something lately */
+  /* at least two servers, and one in COMMON_FAILURES of those in use, have failed a request lately
+   */
+  bool many_failed;
 } Summary;
 
-#define PEERS_KEPT 128 /* more than come while one answer is under way, at 1,000 a second */
+#define BASELINES_MAX 128 /* more than arrive during one answer at 1,000 a second */
 
-/* An answer of the version before. */
+/* A recent answer of the previous version, that is, of a server without the ordered one. */
 typedef struct
 {
   unsigned route;
   int64_t granted_at;
-  double times; /* of expect_us until the first of it, of a plain service until its end */
-} Peer;
+  /* its time to the first event, for a plain service to the end, divided by expected_us */
+  double ratio;
+} Baseline;
 
-/* Versions of a service's servers (versions.c). */
+/* State of a service's versions (versions.c); see SchedVersions. */
 typedef struct
 {
   char *in_use, *other, *ordered;
   double share;
   unsigned left;
   bool follows, watched;
-  GHashTable *credit;       /* route: how much of a request of it is due to the other version */
-  unsigned placed, granted; /* requests, and those of them on servers of the ordered version */
-  double token_us, unit, answer_us; /* speeds of the version before */
-  bool known;                       /* its servers have shown theirs; else token_us is assumed */
-  GHashTable *usual;                /* route: how long it took for a plain answer, learned */
-  int64_t longest_us[2];            /* longest answer in the span that runs and in the one before */
-  int64_t span_at;
-  Peer peers[PEERS_KEPT]; /* the latest; while answers are judged */
-  unsigned peer_count;    /* of all so far */
+  /* by route: fraction of a request that is due to the other version; it accumulates */
+  GHashTable *credit;
+  /* requests placed so far, and how many of them on servers of the ordered version */
+  unsigned placed, granted;
+  double token_us, unit, answer_us; /* mean speeds of the previous version */
+  bool measured; /* token_us was measured on its servers; otherwise it is a default */
+  /* by route: learned time of a plain answer of the previous version */
+  GHashTable *route_answer_us;
+  int64_t longest_us[2]; /* longest answer in the current span of time and in the one before */
+  int64_t span_at;       /* when the current span started */
+  Baseline baselines[BASELINES_MAX]; /* ring buffer of the latest; filled while watched */
+  unsigned baseline_count;           /* answers recorded so far */
 } Versions;
 
 struct Service
@@ -163,15 +186,15 @@
   SchedServiceConf conf;
   struct cds_list_head servers;
   GPtrArray *tiers; /* Tier, highest first */
-  Curve curve;      /* of a prompt's time */
+  Curve curve;      /* prefill time by prompt length */
   Summary summary;
-  int64_t rest_broke_at;     /* when such last broke at several servers; 0: never */
-  int64_t new_broke_at;      /* when a new connection last did; 0 likewise */
+  int64_t idle_broke_at;     /* when idle connections last broke at several servers; 0: never */
+  int64_t new_conn_broke_at; /* when a new connection last broke; 0: never */
   unsigned running;          /* on all its servers */
-  unsigned open;             /* servers with a free place, as of the last count */
-  int64_t backoff_until;     /* no backoff at its servers lasts longer */
-  double mean_us;            /* slot time of a request on the best server, averaged */
-  const ShrWeights *weights; /* of fair shares; NULL: off */
+  unsigned open_servers;     /* servers with a free place, as of the last count */
+  int64_t backoff_until;     /* end of the latest backoff that any of its servers asked for */
+  double mean_us;            /* average slot time of a request on the best server */
+  const ShrWeights *weights; /* weights of the fair shares; NULL: fair order is off */
 };
 
 struct Sched
@@ -180,175 +203,190 @@
   const SchedOps *ops;
   void *host;
   GHashTable *services, *servers; /* by name, by id */
-  GHashTable *by_digest;          /* sched_server_digest of the id: Server */
-  GHashTable *jobs;               /* Key: Job */
-  uint64_t choices;
+  GHashTable *by_digest;          /* Server by sched_server_digest of its id */
+  GHashTable *jobs;               /* Job by its Key */
+  uint64_t choices;               /* calls of est_choose so far */
   double share, grant_part, rate_part;
-  Returns *returns; /* NULL: no times are promised */
+  Returns *returns; /* NULL: no reservations are made for refused callers */
   uint64_t salt;
-  bool part_guessed; /* see sched_grant_part */
-  bool listed;       /* a list of servers has come */
+  bool others_unknown; /* see sched_set_grant_share */
+  bool listed;         /* a list of servers has come */
   bool fair;
-  ShrWeights *weights; /* of organisations */
+  ShrWeights *weights; /* of the organisations, for fair shares */
   SchedFair counts;
 };
 
 /* ---- Estimates (estimate.c) ---- */
 
-/* What is known of all servers, at most 10 ms old. */
+/* The cached figures over all servers, at most 10 ms old. */
 const Summary *est_summary (const Sched *sched, Service *service);
-/* Expected time of one output token, and how long a prompt keeps the server busy, microseconds. */
+/* Expected time of one output token, and expected prefill time of a prompt, in microseconds. */
 double est_token_us (const Server *server);
 double est_prompt_us (const Server *server, unsigned tokens);
-/* Slot time that the ask takes on the service's best server, microseconds. */
+/* Slot time that the request would take on the service's best server, microseconds. */
 double est_work_us (const Sched *sched, Service *service, const SchedAsk *ask);
-/* Least time until the first of the answer on any usable server, microseconds. */
+/* Lowest expected time to the first event on any usable server, microseconds. */
 double est_first_us (const Sched *sched, Service *service, const SchedAsk *ask);
-/* The part of the places that arrivals of higher tiers take, 0 to 1. */
-double est_part_above (const Sched *sched, Service *service, unsigned tier, int64_t now);
-/* Time until a request of the tier would start behind work_ahead of slot time, microseconds.
- * behind: it is late, so those of its own tier that come meanwhile go before it. */
+/* The share of the places that arrivals of higher tiers keep busy, 0 to 1. */
+double est_share_above (const Sched *sched, Service *service, unsigned tier, int64_t now);
+/* Time until a request of the tier would start when work_ahead of slot time goes first,
+ * microseconds. behind: the request is late, so that new on-time requests of its own tier go before
+ * it as well. */
 double est_wait_us (const Sched *sched, Service *service, unsigned tier, bool behind,
                     double work_ahead, int64_t now);
-/* The places that arrivals of higher tiers leave over for it, and if behind those of its own. */
-double est_left_places (const Sched *sched, Service *service, unsigned number, bool behind,
+/* The places left over by arrivals of higher tiers and, with behind, by on-time arrivals of its own
+ * tier. */
+double est_places_left (const Sched *sched, Service *service, unsigned number, bool behind,
                         int64_t now);
-/* Moves a learned value towards a sample. */
+/* Updates an exponential moving average with a sample; the first sample sets it. */
 void est_learn (double *value, double sample);
 /* How many requests this scheduler may run on the server at once. */
 unsigned est_places (const Sched *sched, const Server *server);
-/* Gets requests, as far as it has places. */
+/* True if the server may get requests, free places or not. */
 bool est_usable (const Server *server, int64_t now);
 bool est_has_place (const Sched *sched, const Server *server, int64_t now);
-/* Has the server the memory for it, beside what it runs? */
+/* True if the server has KV cache left for the request besides what it runs. */
 bool est_fits_memory (const Sched *sched, const Server *server, const SchedAsk *ask);
-/* Has a server of the service the memory for it when it runs nothing else? */
+/* True if the request fits into the KV cache of an idle server of the service. */
 bool est_can_fit (const Service *service, const SchedAsk *ask);
-/* The best server with a place; NULL: none, or it is worth waiting for a busy one. */
+/* The best server with a free place; NULL: there is none, or waiting for a busy server is better.
+ */
 Server *est_choose (Sched *sched, const Job *job, int64_t now);
-/* Has a server to which the job's owner is connected a free place? */
-bool est_kept_place (const Sched *sched, const Job *job, int64_t now);
-/* How long a connection to the server may have rested to be used for what may run once only. */
-int64_t est_rest_most (const Server *server, int64_t now);
-/* A connection to the server broke as it was used, a new one or one that had rested. */
-void est_broke (Server *server, bool rested, int64_t now);
-
-/* ---- What waits (waiting.c) ---- */
-
-/* The service's queues of a tier, made when they are first asked for. */
+/* True if a server to which the job's owner has a connection has a free place. */
+bool est_connected_place (const Sched *sched, const Job *job, int64_t now);
+/* How long a connection to the server may have been idle to be used for a request that must not be
+ * sent twice, microseconds. */
+int64_t est_max_idle_us (const Server *server, int64_t now);
+/* Records that a connection to the server broke as a request was sent; rested: it was reused after
+ * being idle, not new. */
+void est_note_broken (Server *server, bool rested, int64_t now);
+
+/* ---- Queues (waiting.c) ---- */
+
+/* The service's queues for a tier, created on first use. */
 Tier *wait_tier (Service *service, unsigned number);
 void wait_tier_free (void *tier);
-/* A request has been asked for. */
+/* Counts an arriving request in the averages of its tier. */
 void wait_note_arrival (const Job *job, int64_t now);
-/* Orders what can be on time by fair shares, NULL: by due time alone, from now on. */
-void wait_fair (Service *service, const ShrWeights *weights, int64_t now);
-/* Puts the job into its tier's queue of those on time, or of the late ones if it is one. */
+/* Orders the timely queues by fair shares from now on; weights NULL: by due time only. */
+void wait_set_fair (Service *service, const ShrWeights *weights, int64_t now);
+/* Puts the job into the queue of its tier that it belongs to: reserved, timely or late. */
 void wait_add (Job *job, int64_t now);
-/* How much longer than it is the queue before the job is taken to be, for its size among those of
- * its tier of late. */
-double wait_caution (const Job *job);
-/* The job is placed or can be on time, or not. */
-void wait_note_verdict (const Job *job, bool timely);
-/* It leaves its queue unserved, or for a place. */
+/* Factor by which the estimated wait of the job is multiplied, depending on its size relative to
+ * the tier's recent mean. */
+double wait_size_factor (const Job *job);
+/* Records whether the job is on time (placed or expected to be) or not. */
+void wait_note_timely (const Job *job, bool timely);
+/* Takes the job out of its queue: unserved, or because it got a place. */
 void wait_remove (Job *job);
 void wait_serve (Job *job, int64_t now);
-/* Moves those that can no longer be on time behind those that can. */
-void wait_sort_out (const Sched *sched, Service *service, Tier *tier, int64_t now);
-/* The same for all that wait, where the order is not that of due times. */
-void wait_sort_all (const Sched *sched, Service *service, int64_t now);
-/* Slot time that goes before a request of the tier that comes now, late ones included if it is late
- * itself. */
+/* Moves jobs of the tier that can no longer be on time to the late queue. */
+void wait_move_late (const Sched *sched, Service *service, Tier *tier, int64_t now);
+/* The same for all jobs of all tiers whose queue is in fair order, not by due time. */
+void wait_move_all_late (const Sched *sched, Service *service, int64_t now);
+/* Slot time that goes before a new request of the tier; late: that request is late, so the late
+ * ones of its tier go before it too. */
 double wait_ahead_us (const Service *service, unsigned number, bool late);
 
-/* Slot time before a newcomer. */
+/* Slot time that goes before a new request. */
 typedef struct
 {
-  double timely_us; /* if it can be on time: what goes before it in fair order */
-  double all_us;    /* if it cannot: all that waits */
-} Ahead;
+  double timely_us; /* if it can be on time: on-time requests, in fair order where that is on */
+  double all_us;    /* if it cannot: late requests too */
+} WaitAhead;
 
-Ahead wait_ahead (const Sched *sched, const Job *job, int64_t now);
+WaitAhead wait_ahead (const Sched *sched, const Job *job, int64_t now);
 
 /* ---- Records (scheduler.c) ---- */
 
-/* The job is gone, from its server or from its queue. */
-void sched_forget (Sched *sched, Job *job, int64_t now);
+/* Removes the job from its server or its queue, and frees it. */
+void sched_remove_job (Sched *sched, Job *job, int64_t now);
 
 /* ---- Refusal (admit.c) ---- */
 
-/* Refuses the job, which waits; wait_us: until it would start, for the advice. */
+/* Refuses a waiting job; wait_us: estimated time until it would start, from which Retry-After
+ * follows. */
 void admit_refuse (Sched *sched, Job *job, FtReason reason, double wait_us, int64_t now);
-/* Decides on a job that found no place. Returns true when it is queued; else it is refused and
- * gone.
+/* Decides on a job that found no place. Returns true if it stays queued; otherwise it was refused
+ * and freed.
  */
-bool admit_new (Sched *sched, Job *job, const Ahead *ahead, int64_t now);
-/* Decides on a job whose owner is in backoff at all servers until then. Returns true when it is
- * queued; else it is refused and gone. */
+bool admit_new (Sched *sched, Job *job, const WaitAhead *ahead, int64_t now);
+/* Decides on a job whose owner must back off from all servers until opens_at. Returns true if it
+ * stays queued; otherwise it was refused and freed. */
 bool admit_in_backoff (Sched *sched, Job *job, int64_t opens_at, int64_t now);
-/* Marks the job if its caller comes back at its promised time; before it is queued. */
+/* Marks the job if its caller came back for a reservation that is due. Call before the job is
+ * queued. */
 void admit_note_return (Sched *sched, Job *job);
-/* The job is placed: a promise that it had is kept. */
+/* Counts the job's reservation, if any, as kept when the job is placed. */
 void admit_note_grant (Sched *sched, const Job *job);
-/* Refuses what can no longer be served in time. */
+/* Refuses waiting jobs that can no longer be served in time. */
 void admit_review (Sched *sched, Service *service, int64_t now);
 
 /* ---- Rate limits of servers (pace.c) ---- */
 
-bool pace_is_due (const Sched *sched, const Server *server, int64_t now);
+/* True if the bucket of a rate-limited server holds a token. */
+bool pace_bucket_has_token (const Sched *sched, const Server *server, int64_t now);
+/* True if the rate limit, if any, allows a request now. */
 static inline bool
 pace_has_token (const Sched *sched, const Server *server, int64_t now)
 {
-  return server->pace.rate <= 0 || pace_is_due (sched, server, now);
+  return server->pace.rate <= 0 || pace_bucket_has_token (sched, server, now);
 }
-/* A request is placed on the server. */
+/* Takes a token for a request that is placed on the server. */
 void pace_take (const Sched *sched, Server *server, int64_t now);
-/* How many of its places the rate keeps busy. */
+/* How many of the server's places its rate limit can keep busy, at most places. */
 double pace_places (const Sched *sched, const Server *server, double places);
-/* The answer to the job, NULL: it is no longer known, names the rate; 0: none. */
-void pace_named (const Sched *sched, Server *server, const Job *job, double rate, int64_t now);
-/* An instance heard of the rate age ago, when it asked another scheduler. */
-void pace_named_before (const Sched *sched, Server *server, double rate, int64_t age, int64_t now);
+/* An answer announced the server's rate limit; 0: none. job: the request that was answered, NULL if
+ * it is no longer known. */
+void pace_apply_notice (const Sched *sched, Server *server, const Job *job, double rate,
+                        int64_t now);
+/* An instance received the rate age ago, for a request that another scheduler had granted. */
+void pace_apply_older_notice (const Sched *sched, Server *server, double rate, int64_t age,
+                              int64_t now);
 
 /* ---- Backoffs (backoff.c) ---- */
 
-/* The server asked the owner to back off for so long from now on. */
+/* The server asked the owner to back off for us microseconds. */
 void boff_note (Server *server, uint64_t owner, int64_t us, int64_t now);
-/* May the server get a request of the owner's? */
-bool boff_is_over (const Server *server, uint64_t owner, int64_t now);
+/* True if the owner is not asked to back off from the server, or no longer. */
+bool boff_has_ended (const Server *server, uint64_t owner, int64_t now);
 static inline bool
-boff_may (const Server *server, uint64_t owner, int64_t now)
+boff_permits (const Server *server, uint64_t owner, int64_t now)
 {
-  return server->backoffs == NULL || boff_is_over (server, owner, now);
+  return server->backoffs == NULL || boff_has_ended (server, owner, now);
 }
-void boff_forget (Sched *sched, uint64_t owner);
-/* When the first server accepts the owner's requests again; now: one does. */
-int64_t boff_opens_at (const Service *service, uint64_t owner, int64_t now);
-/* Is a place free that the job's owner may have? */
+/* Drops all backoffs of an owner that is gone. */
+void boff_drop_owner (Sched *sched, uint64_t owner);
+/* When the owner's first backoff at a server of the service ends; now if some server accepts its
+ * requests already. */
+int64_t boff_earliest_end (const Service *service, uint64_t owner, int64_t now);
+/* True if a place is free at a server from which the job's owner need not back off. */
 bool boff_any_place (const Sched *sched, const Job *job, int64_t now);
 
 /* ---- Versions of servers (versions.c) ---- */
 
 void ver_init (Versions *versions);
 void ver_clear (Versions *versions);
-/* The list or what is known of the versions has changed: which servers get requests? */
+/* Recomputes which servers get requests, after a change of the server list or of the versions. */
 void ver_assign (Service *service);
-/* A request was asked for; marks it if it is due to the version that is tried. */
-void ver_note_ask (Job *job);
-/* A server of that version for a marked job; NULL: none has a place. */
+/* Marks a new request if it is due to the version on trial. */
+void ver_mark_request (Job *job);
+/* Chooses a server of the version on trial for a marked job; NULL: none has a place. */
 Server *ver_choose (const Sched *sched, const Job *job, int64_t now);
-/* The job is placed on the server, and not counted there yet. */
+/* Notes that the job is placed on the server. Call before the server's counts include it. */
 void ver_note_grant (Job *job, const Server *server, int64_t now);
-/* The first of its answer came; its answer ended; time passes. */
+/* Evaluate the job at its first event and at its end; ver_check_overdue, on each tick, finds
+ * overdue answers. */
 void ver_note_first (const Sched *sched, Job *job, int64_t after_us);
 void ver_note_end (const Sched *sched, Job *job, const SchedResult *result, int64_t now);
-void ver_note_time (const Sched *sched, Service *service, int64_t now);
+void ver_check_overdue (const Sched *sched, Service *service, int64_t now);
 
-/* ---- What is believed of servers (health.c) ---- */
+/* ---- Health of servers (health.c) ---- */
 
-/* Learns from the end of a request on the server. */
-void health_judge (Sched *sched, Server *server, const SchedResult *result, int64_t granted_at,
-                   int64_t now);
-/* A request that was granted at granted_at has no answer for longer than it should take. */
-void health_silent (Sched *sched, Server *server, int64_t granted_at, int64_t now);
+/* Updates the health and the speeds of a server with the result of a request. */
+void health_update (Sched *sched, Server *server, const SchedResult *result, int64_t granted_at,
+                    int64_t now);
+/* A request granted at granted_at is overdue and has had no answer. */
+void health_note_silence (Sched *sched, Server *server, int64_t granted_at, int64_t now);
 
 #endif
--- a/src/scheduler.c
+++ b/src/scheduler.c
@@ -1,26 +1,27 @@
-/* scheduler.c - placement, order and refusal for engines without priorities.
+/* scheduler.c - records of requests and servers, and dispatch of waiting requests.
  *
- * Where the queue is. An engine runs `slots` requests at once and admits the rest in order of
- * arrival, so what waits inside an engine has lost its tier. Nothing is handed over beyond the
- * places; all waiting happens here, by tier, and within a tier those that can still be on time go
- * before those that cannot.
+ * An engine runs `slots` requests at once and admits the rest in order of arrival, so a request
+ * that waits inside an engine has lost its tier. A server therefore never gets more requests than
+ * it has places. All waiting happens here, by tier, and within a tier requests that can still be on
+ * time go before those that cannot.
  *
- * Here are the records and what happens to them: a request is asked for, placed, told of and done.
- * In which order requests wait is in waiting.c, which are refused in admit.c, how long one takes
- * where and which server is chosen in estimate.c, which servers are taken out in health.c, and what
- * operators see in schedview.c.
+ * This file holds the life of a request, from sched_ask to sched_done. The order of the queues is
+ * in waiting.c, refusal in admit.c, estimates and the choice of a server in estimate.c, the health
+ * of servers in health.c, and the view for operators in schedview.c.
  */
 #include "schedint.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define SCAN_MOST 48 /* waiting requests of a queue looked at in one decision */
-#define PASSED_MOST                                                                                \
-  8 /* connected requests that may go before one that is due earlier: a few ms at the load that    \
-       makes requests wait */
-#define TEACHES_LEAST 500 /* tokens: shorter prompts are lost in the noise of sending */
+/* Tuning constants. */
+#define SCAN_MAX 48 /* waiting requests of a queue examined in one dispatch */
+/* requests of connected owners that may overtake one that is due earlier; this costs it a few ms at
+ * the load that makes requests wait */
+#define OVERTAKEN_MAX 8
+/* tokens; the prefill time of shorter prompts is lost in network jitter */
+#define LEARN_TOKENS_MIN 500
+
 /* ---- Records ---- */
 
 static guint
@@ -108,7 +109,7 @@
 }
 
 static Service *
-service_of (Sched *sched, const char *name)
+get_service (Sched *sched, const char *name)
 {
   Service *service = g_hash_table_lookup (sched->services, name);
 
@@ -126,9 +127,9 @@
 }
 
 void
-sched_service (Sched *sched, const char *name, const SchedServiceConf *conf)
+sched_set_service (Sched *sched, const char *name, const SchedServiceConf *conf)
 {
-  Service *service = service_of (sched, name);
+  Service *service = get_service (sched, name);
 
   service->conf = *conf;
   if (service->conf.stride == 0)
@@ -136,7 +137,7 @@
 }
 
 static void
-set_text (char **field, const char *text)
+replace_string (char **field, const char *text)
 {
   char *copy = g_strdup (text);
 
@@ -145,20 +146,20 @@
 }
 
 void
-sched_versions (Sched *sched, const char *name, const SchedVersions *from)
+sched_set_versions (Sched *sched, const char *name, const SchedVersions *from)
 {
-  Service *service = service_of (sched, name);
+  Service *service = get_service (sched, name);
   Versions *versions = &service->versions;
 
   if (*from->in_use)
-    set_text (&versions->in_use, from->in_use);
-  set_text (&versions->other, from->other);
+    replace_string (&versions->in_use, from->in_use);
+  replace_string (&versions->other, from->other);
   if (strcmp (versions->ordered, from->ordered) != 0)
     {
       versions->placed = versions->granted = 0;
-      g_hash_table_remove_all (versions->usual);
+      g_hash_table_remove_all (versions->route_answer_us);
     }
-  set_text (&versions->ordered, from->ordered);
+  replace_string (&versions->ordered, from->ordered);
   versions->share = from->share;
   versions->left = from->left;
   versions->follows = from->follows;
@@ -168,14 +169,14 @@
 }
 
 void
-sched_share (Sched *sched, double share, uint64_t salt)
+sched_set_share (Sched *sched, double share, uint64_t salt)
 {
   sched->share = share;
   sched->salt = salt;
 }
 
 void
-sched_returns (Sched *sched, double part)
+sched_set_return_share (Sched *sched, double part)
 {
   if (sched->returns == NULL && part > 0)
     sched->returns = ret_new (sched->clock, RET_MOST / 2);
@@ -184,13 +185,13 @@
 }
 
 RetCounts
-sched_returned (const Sched *sched)
+sched_return_counts (const Sched *sched)
 {
   return sched->returns ? *ret_counts (sched->returns) : (RetCounts){ 0 };
 }
 
 void
-sched_fair (Sched *sched, bool on)
+sched_set_fair (Sched *sched, bool on)
 {
   GHashTableIter iter;
   gpointer value;
@@ -201,38 +202,38 @@
   sched->fair = on;
   g_hash_table_iter_init (&iter, sched->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    wait_fair (value, on ? sched->weights : NULL, now);
+    wait_set_fair (value, on ? sched->weights : NULL, now);
 }
 
 void
-sched_weight (Sched *sched, const char *org, double rate)
+sched_set_weight (Sched *sched, const char *org, double rate)
 {
   shr_weights_set (sched->weights, org, rate);
 }
 
 void
-sched_no_weights (Sched *sched)
+sched_clear_weights (Sched *sched)
 {
   shr_weights_clear (sched->weights);
 }
 
 void
-sched_grant_part (Sched *sched, double part, bool guessed)
+sched_set_grant_share (Sched *sched, double part, bool guessed)
 {
   sched->grant_part = part;
-  sched->part_guessed = guessed;
+  sched->others_unknown = guessed;
 }
 
-/* ---- Moves of a job ---- */
+/* ---- State changes of a job ---- */
 
 static void
-start (Job *job, Server *server, int64_t now)
+start_job (Job *job, Server *server, int64_t now)
 {
   ver_note_grant (job, server, now);
   job->server = server;
   job->granted_at = now;
   job->prompt_us = est_prompt_us (server, job->ask.prompt_tokens);
-  job->alone = server->pending == 0;
+  job->sole_prompt = server->pending == 0;
   cds_list_add_tail (&job->link, &server->runs);
   server->running++;
   server->service->running++;
@@ -244,13 +245,13 @@
 }
 
 static void
-first_seen (Job *job, int64_t now)
+note_first_event (Job *job, int64_t now)
 {
   Server *server = job->server;
 
-  if (job->first_seen)
+  if (job->got_first_event)
     return;
-  job->first_seen = true;
+  job->got_first_event = true;
   server->pending--;
   server->pending_tokens -= MIN (server->pending_tokens, job->ask.prompt_tokens);
   server->pending_us = server->pending > 0 ? MAX (0, server->pending_us - job->prompt_us) : 0;
@@ -264,7 +265,7 @@
 {
   Server *server = job->server;
 
-  first_seen (job, now);
+  note_first_event (job, now);
   cds_list_del (&job->link);
   server->running--;
   server->service->running--;
@@ -273,7 +274,7 @@
 }
 
 void
-sched_forget (Sched *sched, Job *job, int64_t now)
+sched_remove_job (Sched *sched, Job *job, int64_t now)
 {
   if (job->server)
     leave_server (job, now);
@@ -293,12 +294,12 @@
 {
   wait_serve (job, now);
   admit_note_grant (sched, job);
-  start (job, server, now);
+  start_job (job, server, now);
   pace_take (sched, server, now);
-  if (!est_has_place (sched, server, now) && job->service->open > 0)
-    job->service->open--;
+  if (!est_has_place (sched, server, now) && job->service->open_servers > 0)
+    job->service->open_servers--;
   sched->ops->grant (sched->host, job->key.owner, job->key.request, job->org, server->id,
-                     est_rest_most (server, now));
+                     est_max_idle_us (server, now));
 }
 
 static bool
@@ -311,33 +312,33 @@
   return server != NULL;
 }
 
-/* A request that is due to a version that is tried goes there at once or, like any other, to the
- * version in use: it waits for no place of the first, and goes before nobody at the other. */
+/* A request that is due to the version on trial goes there only if a place is free now. Otherwise
+ * it is treated like any other request for the version in use and gets no precedence there. */
 static bool
-place_tried (Sched *sched, Job *job, int64_t now)
+place_on_trial (Sched *sched, Job *job, int64_t now)
 {
-  Server *server = job->tried ? ver_choose (sched, job, now) : NULL;
+  Server *server = job->for_trial ? ver_choose (sched, job, now) : NULL;
 
-  job->tried = false;
+  job->for_trial = false;
   if (server)
     grant (sched, job, server, now);
   return server != NULL;
 }
 
 static void
-count_open (const Sched *sched, Service *service, int64_t now)
+count_open_servers (const Sched *sched, Service *service, int64_t now)
 {
   const Server *server;
 
-  service->open = 0;
+  service->open_servers = 0;
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    service->open += est_has_place (sched, server, now);
+    service->open_servers += est_has_place (sched, server, now);
   }
 }
 
 static void
-note_passed (struct cds_list_head *queue, const Job *by)
+count_overtaken (struct cds_list_head *queue, const Job *by)
 {
   Job *job;
 
@@ -345,33 +346,32 @@
   {
     if (job == by)
       return;
-    job->passed++;
+    job->overtaken++;
   }
 }
 
-/* Failure: places are short, and each that becomes free goes to whoever is due first, hardly ever
- * to one whose owner is connected there. Symptom: most requests wait for a new connection, which
- * holds the place meanwhile. Among those that wait one that is connected goes first; nobody is
- * passed by more than PASSED_MOST of them, and on the whole nobody waits longer, since the place is
- * taken. */
+/* Grants free places first to waiting requests whose owner has a connection to the server. By due
+ * time alone hardly any would have one when places are short, and each new connection occupies its
+ * place while it is set up. At most OVERTAKEN_MAX such requests overtake any other. The average
+ * wait does not grow, since the place is in use either way. */
 static void
 dispatch_connected (Sched *sched, Service *service, struct cds_list_head *queue, int64_t now)
 {
   Job *job, *next;
   unsigned scanned = 0;
 
-  if (queue->next == queue->prev) /* nobody to go before */
+  if (queue->next == queue->prev) /* empty or a single request */
     return;
   cds_list_for_each_entry_safe (job, next, queue, link)
   {
-    if (scanned++ >= SCAN_MOST || service->open == 0 || job->passed >= PASSED_MOST)
+    if (scanned++ >= SCAN_MAX || service->open_servers == 0 || job->overtaken >= OVERTAKEN_MAX)
       return;
-    if (!est_kept_place (sched, job, now))
+    if (!est_connected_place (sched, job, now))
       continue;
     Server *server = est_choose (sched, job, now);
-    if (server == NULL || server->kept_by != sched->choices)
+    if (server == NULL || server->connected_choice != sched->choices)
       continue;
-    note_passed (queue, job);
+    count_overtaken (queue, job);
     grant (sched, job, server, now);
   }
 }
@@ -385,18 +385,18 @@
   dispatch_connected (sched, service, queue, now);
   cds_list_for_each_entry_safe (job, next, queue, link)
   {
-    if (scanned++ >= SCAN_MOST || service->open == 0)
+    if (scanned++ >= SCAN_MAX || service->open_servers == 0)
       break;
     place (sched, job, now);
   }
 }
 
-/* On time first, then the others: a late answer is worth a part of one on time. */
+/* Requests that can be on time go first, since a late answer is worth less. */
 static void
 dispatch_tier (Sched *sched, Service *service, Tier *tier, int64_t now)
 {
-  wait_sort_out (sched, service, tier, now);
-  dispatch_queue (sched, service, &tier->promised, now);
+  wait_move_late (sched, service, tier, now);
+  dispatch_queue (sched, service, &tier->reserved, now);
   dispatch_queue (sched, service, &tier->timely, now);
   dispatch_queue (sched, service, &tier->late, now);
 }
@@ -420,18 +420,18 @@
     return;
   est_summary (sched, service);
   if (waiting == 1)
-    service->open = 1; /* the choice itself shows whether there is one */
+    service->open_servers = 1; /* est_choose itself finds out whether a place is free */
   else
-    count_open (sched, service, now);
+    count_open_servers (sched, service, now);
   for (unsigned i = 0; i < service->tiers->len; i++)
     {
       Tier *tier = service->tiers->pdata[i];
-      if (tier->count > 0 && service->open > 0)
+      if (tier->count > 0 && service->open_servers > 0)
         dispatch_tier (sched, service, tier, now);
     }
 }
 
-/* ---- Asking ---- */
+/* ---- New requests ---- */
 
 static Job *
 job_new (Sched *sched, const SchedAsk *ask)
@@ -439,11 +439,11 @@
   Job *job = g_new0 (Job, 1);
 
   job->key = (Key){ ask->owner, ask->request };
-  job->service = service_of (sched, ask->service);
+  job->service = get_service (sched, ask->service);
   job->ask = *ask;
   job->ask.service = job->ask.org = job->ask.avoid = NULL;
   job->ask.kept = NULL;
-  job->ask.kept_count = MIN (ask->kept_count, SCHED_KEPT_MOST);
+  job->ask.kept_count = MIN (ask->kept_count, SCHED_CONNECTED_MAX);
   job->kept = g_memdup2 (ask->kept, job->ask.kept_count * sizeof *ask->kept);
   job->org = g_strdup (ask->org ? ask->org : "");
   job->avoid = ask->avoid && *ask->avoid ? g_strdup (ask->avoid) : NULL;
@@ -459,8 +459,8 @@
 
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    if (server->listed && !server->leaving && server->use == USE_YES
-        && now + OUT_MOST > server->out_until && (avoid == NULL || strcmp (avoid, server->id) != 0))
+    if (server->listed && !server->leaving && server->use == USE_ALL
+        && now + OUT_MAX > server->out_until && (avoid == NULL || strcmp (avoid, server->id) != 0))
       return true;
   }
   return false;
@@ -476,7 +476,7 @@
     return true;
   Job *job = job_new (sched, ask);
   Service *service = job->service;
-  Ahead ahead = wait_ahead (sched, job, now);
+  WaitAhead ahead = wait_ahead (sched, job, now);
   wait_note_arrival (job, now);
   admit_note_return (sched, job);
   wait_add (job, now);
@@ -485,26 +485,26 @@
       admit_refuse (sched, job, FT_REASON_TOO_LARGE, INFINITY, now);
       return false;
     }
-  ver_note_ask (job);
-  if (!place_tried (sched, job, now))
+  ver_mark_request (job);
+  if (!place_on_trial (sched, job, now))
     dispatch (sched, service, now);
   if (job->server)
     {
-      wait_note_verdict (job, true);
+      wait_note_timely (job, true);
       return false;
     }
   if (job->avoid && !any_usable (service, now, job->avoid))
     {
-      /* Better the server that failed it once than none. */
+      /* A server that has failed the request once is better than none. */
       g_clear_pointer (&job->avoid, g_free);
       if (place (sched, job, now))
         return false;
     }
-  /* Failure: after a start of everything requests come before the list of servers does. Symptom:
-   * they are refused for want of a server a moment before the servers are known. */
+  /* After a start of the whole system, requests arrive before the first list of servers. They wait
+   * instead of being refused for lack of a server. */
   if (!sched->listed)
     return true;
-  int64_t opens_at = boff_opens_at (service, job->key.owner, now);
+  int64_t opens_at = boff_earliest_end (service, job->key.owner, now);
   if (opens_at > now)
     return admit_in_backoff (sched, job, opens_at, now);
   if (!any_usable (service, now, NULL))
@@ -529,43 +529,43 @@
     wait_serve (job, now);
   else
     job = job_new (sched, ask);
-  start (job, server, now);
+  start_job (job, server, now);
   job->adopted = true;
-  first_seen (job, now);
+  note_first_event (job, now);
 }
 
-/* ---- What came of it ---- */
+/* ---- Progress and end of requests ---- */
 
 void
-sched_first (Sched *sched, uint64_t owner, uint64_t request, int64_t after_us)
+sched_first_event (Sched *sched, uint64_t owner, uint64_t request, int64_t after_us)
 {
   Key key = { owner, request };
   int64_t now = ft_clock_now (sched->clock);
   Job *job = g_hash_table_lookup (sched->jobs, &key);
 
-  if (job == NULL || job->server == NULL || job->first_seen)
+  if (job == NULL || job->server == NULL || job->got_first_event)
     return;
   Server *server = job->server;
   server->answered_at = now;
   ver_note_first (sched, job, after_us);
-  first_seen (job, now);
-  if (!job->service->conf.engine || !job->alone || job->ask.prompt_tokens < TEACHES_LEAST)
+  note_first_event (job, now);
+  if (!job->service->conf.engine || !job->sole_prompt || job->ask.prompt_tokens < LEARN_TOKENS_MIN)
     return;
   double token = est_token_us (server);
-  double own = MAX ((double) after_us - HOP_US - token, 0.2 * (double) after_us);
+  double own = MAX ((double) after_us - NETWORK_US - token, 0.2 * (double) after_us);
   curve_learn (&job->service->curve, &server->prompt_unit, job->ask.prompt_tokens, token, own);
 }
 
-/* What holds whichever request's answer said it. */
+/* Applies the parts of a notice that do not depend on which request was answered. */
 static void
-take_notice (Sched *sched, uint64_t owner, Server *server, const Notice *notice, int64_t now)
+apply_notice (Sched *sched, uint64_t owner, Server *server, const Notice *notice, int64_t now)
 {
   boff_note (server, owner, notice->backoff_us, now);
-  if (!notice->leaving || server->says_leaving)
+  if (!notice->leaving || server->announced_leaving)
     return;
-  server->leaving = server->says_leaving = true;
+  server->leaving = server->announced_leaving = true;
   server->service->summary.until = 0;
-  sched->ops->believes (sched->host, server->id, true, "says that it leaves", 0);
+  sched->ops->server_state (sched->host, server->id, true, "announced that it is leaving", 0);
 }
 
 void
@@ -578,21 +578,20 @@
 
   if (server == NULL)
     return;
-  take_notice (sched, owner, server, notice, now);
-  pace_named (sched, server, job, notice->rate, now);
+  apply_notice (sched, owner, server, notice, now);
+  pace_apply_notice (sched, server, job, notice->rate, now);
 }
 
 void
-sched_notice_before (Sched *sched, uint64_t owner, const char *id, const Notice *notice,
-                     int64_t age)
+sched_older_notice (Sched *sched, uint64_t owner, const char *id, const Notice *notice, int64_t age)
 {
   int64_t now = ft_clock_now (sched->clock);
   Server *server = g_hash_table_lookup (sched->servers, id);
 
   if (server == NULL)
     return;
-  take_notice (sched, owner, server, notice, now);
-  pace_named_before (sched, server, notice->rate, age, now);
+  apply_notice (sched, owner, server, notice, now);
+  pace_apply_older_notice (sched, server, notice->rate, age, now);
 }
 
 void
@@ -602,7 +601,7 @@
   Job *job = g_hash_table_lookup (sched->jobs, &key);
 
   if (job && job->server)
-    health_silent (sched, job->server, job->granted_at, ft_clock_now (sched->clock));
+    health_note_silence (sched, job->server, job->granted_at, ft_clock_now (sched->clock));
 }
 
 void
@@ -619,11 +618,11 @@
   int64_t granted_at = job->granted_at;
   if (server)
     ver_note_end (sched, job, result, now);
-  sched_forget (sched, job, now);
+  sched_remove_job (sched, job, now);
   if (server && result->broke)
-    est_broke (server, result->rested_us > 0, now);
+    est_note_broken (server, result->conn_idle_us > 0, now);
   if (server)
-    health_judge (sched, server, result, granted_at, now);
+    health_update (sched, server, result, granted_at, now);
   dispatch (sched, service, now);
 }
 
@@ -640,12 +639,12 @@
     if (((Job *) value)->key.owner == owner)
       g_ptr_array_add (gone, value);
   for (unsigned i = 0; i < gone->len; i++)
-    sched_forget (sched, gone->pdata[i], now);
+    sched_remove_job (sched, gone->pdata[i], now);
   g_ptr_array_unref (gone);
-  boff_forget (sched, owner);
+  boff_drop_owner (sched, owner);
 }
 
-/* ---- The list of servers ---- */
+/* ---- Server list ---- */
 
 uint32_t
 sched_server_digest (const char *id)
@@ -661,7 +660,7 @@
   server->id = g_strdup (from->id);
   server->domain = g_strdup (from->domain);
   server->version = g_strdup (from->version ? from->version : "");
-  server->service = service_of (sched, from->service);
+  server->service = get_service (sched, from->service);
   CDS_INIT_LIST_HEAD (&server->runs);
   cds_list_add_tail (&server->link, &server->service->servers);
   g_hash_table_insert (sched->servers, server->id, server);
@@ -686,7 +685,7 @@
 }
 
 static void
-forget_summaries (Sched *sched)
+invalidate_summaries (Sched *sched)
 {
   GHashTableIter iter;
   gpointer value;
@@ -697,7 +696,7 @@
 }
 
 void
-sched_list (Sched *sched, const SchedServer *servers, unsigned count)
+sched_set_servers (Sched *sched, const SchedServer *servers, unsigned count)
 {
   GHashTableIter iter;
   gpointer value;
@@ -712,7 +711,7 @@
       if (server == NULL)
         server = server_new (sched, &servers[i]);
       server->listed = true;
-      server->leaving = servers[i].leaving || server->says_leaving;
+      server->leaving = servers[i].leaving || server->announced_leaving;
       server->slots = MAX (servers[i].slots, 1);
       server->cold_until = now + servers[i].cold_us;
     }
@@ -720,12 +719,12 @@
   g_hash_table_iter_init (&iter, sched->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     ver_assign (value);
-  forget_summaries (sched);
+  invalidate_summaries (sched);
   sched->listed = true;
   sched_tick (sched);
 }
 
-/* ---- Time ---- */
+/* ---- Timer ---- */
 
 void
 sched_tick (Sched *sched)
@@ -738,11 +737,11 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       Service *service = value;
-      ver_note_time (sched, service, now);
-      if (count_waiting (service) == 0) /* else each tick looks at all servers */
+      ver_check_overdue (sched, service, now);
+      if (count_waiting (service) == 0) /* spares idle services the count over all servers */
         continue;
       dispatch (sched, service, now);
-      count_open (sched, service, now);
+      count_open_servers (sched, service, now);
       admit_review (sched, service, now);
     }
   if (sched->returns)
--- a/src/scheduler.h
+++ b/src/scheduler.h
@@ -1,10 +1,10 @@
-/* scheduler.h - which waiting request runs next, on which backend server, and which is refused;
- * private to the library and its shells.
+/* scheduler.h - decides which waiting request runs next, on which backend server, and which one is
+ * refused; private to the library and the programs built on it.
  *
- * For backend servers that know no priorities and cannot pause a stream: all order lies in what
- * waits here. A scheduler does no I/O; whoever sends a request asks it first and tells it what came
- * of it. Two schedulers for the same servers are safe, since only the sender of a request sends it;
- * they cost overcommitment.
+ * Backend servers have no priorities and cannot pause a stream, so priority can only be enforced on
+ * requests that wait here. A scheduler does no I/O: the sender of a request asks it first and
+ * reports the outcome. Two schedulers for the same servers are safe, since each request is sent
+ * only by its sender, but together they may overcommit the servers.
  */
 #ifndef SCHEDULER_H
 #define SCHEDULER_H
@@ -14,205 +14,216 @@
 
 typedef struct Sched Sched;
 
-#define SCHED_KEPT_MOST 32 /* servers that an ask names as connected */
+#define SCHED_CONNECTED_MAX 32 /* servers that SchedAsk.kept may list */
 
 typedef enum
 {
-  SCHED_OK,        /* a whole answer */
-  SCHED_FAILED,    /* an answer that says failure, a broken or a garbled one */
-  SCHED_UNREACHED, /* no connection: nothing was sent */
-  SCHED_REJECTED,  /* the server said that it did not run it */
-  SCHED_GONE,      /* another server answers at its address: that lifetime has ended */
-  SCHED_SILENT,    /* no answer within the time that it should take */
-  SCHED_LEFT       /* the caller left, or its time was over; says nothing of the server */
+  SCHED_OK,        /* a complete answer */
+  SCHED_FAILED,    /* the answer reports a failure, or is truncated or malformed */
+  SCHED_UNREACHED, /* no connection could be made: nothing was sent */
+  SCHED_REJECTED,  /* the server says that it did not run the request */
+  SCHED_GONE,      /* another server answers at its address: this server is gone */
+  SCHED_SILENT,    /* no answer within the expected time */
+  SCHED_LEFT       /* the caller left or its deadline passed; tells nothing about the server */
 } SchedOutcome;
 
 typedef struct
 {
-  uint64_t owner;   /* whose request it is */
+  uint64_t owner;   /* who sends the request */
   uint64_t request; /* the owner's number for it */
   const char *service, *org;
   unsigned tier; /* 0 is the highest */
   bool stream;
-  bool repeatable;        /* may be sent to another server if this one fails it */
+  bool repeatable;        /* may be sent to another server if the first one fails */
   unsigned prompt_tokens; /* engines; 0 elsewhere */
-  unsigned output_tokens; /* engines: expected */
-  uint64_t shared_part;   /* identity of the prompt's first part; 0: none */
-  uint64_t content;       /* the same when its caller comes again (content.h); 0: unknown */
-  unsigned route;         /* digest of its route's name */
-  int64_t gap_us;         /* longest pause between events that is on time; 0: none */
-  int64_t aim_at;         /* on time until then, scheduler's clock */
-  int64_t limit_at;       /* the first of the answer is of no use after */
-  int64_t end_at;         /* the caller's own limit, bound of what it is told to wait */
-  const uint32_t *kept;   /* sched_server_digest of servers to which the owner has connections */
+  unsigned output_tokens; /* engines: expected output */
+  uint64_t shared_part;   /* identifies the shared prefix of the prompt; 0: none */
+  /* digest of the content, the same when the caller retries (content.h); 0: unknown */
+  uint64_t content;
+  unsigned route;   /* digest of its route's name */
+  int64_t gap_us;   /* longest acceptable pause between events; 0: no bound */
+  int64_t aim_at;   /* on time if its first event comes by then, on the scheduler's clock */
+  int64_t limit_at; /* a first event after that is of no use to the caller */
+  int64_t end_at;   /* when the caller gives up; bounds the advised wait */
+  /* sched_server_digest of the servers to which the owner has open connections */
+  const uint32_t *kept;
   unsigned kept_count;
-  const char *avoid; /* server that has failed this request; NULL or "": none */
-  double cost;       /* what it was counted with against a limit; see SchedOps.unused */
+  const char *avoid; /* server that has already failed this request; NULL or "": none */
+  double cost;       /* what it was charged against the organisation's limit; see SchedOps.unused */
 } SchedAsk;
 
 typedef struct
 {
   FtReason reason;
   int64_t retry_after_us;
-  char rule[120]; /* the estimate that decided, with its figures */
+  char rule[120]; /* the deciding estimate, as text for the operator */
 } SchedRefusal;
 
-/* What an answer says of its server's version. */
+/* The verdict on one answer, as a sample of its server's version. */
 typedef struct
 {
   const char *service, *server;
   unsigned route;
-  bool ordered; /* its server has the version that was ordered */
-  bool bad;     /* a failure, or several times slower than the version before would have been */
-} SchedJudged;
+  bool ordered; /* its server runs the version that the roll-out ordered */
+  bool bad; /* it failed, or was several times slower than the previous version would have been */
+} SchedVerdict;
 
-/* Decisions, called from within the functions below; must not call back. */
+/* Callbacks for decisions. They run inside the functions below and must not call the scheduler. */
 typedef struct
 {
-  /* rest_most: how long a connection to the server may have rested to be used for a request that
-   * may run once only, microseconds. */
+  /* The request shall be sent to the server. max_idle_us: longest idle time, in microseconds, of a
+   * connection that may be reused for a request that must not be sent twice. */
   void (*grant) (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
-                 int64_t rest_most);
+                 int64_t max_idle_us);
   void (*refuse) (void *host, uint64_t owner, uint64_t request, const SchedRefusal *refusal);
-  /* A request that waited here never ran by this scheduler's grant; cost is its ask's. */
+  /* A request was removed from the queue without a grant, so its cost can be credited back. */
   void (*unused) (void *host, const char *org, double cost);
-  /* What is believed of a server has changed: out is true while it gets no work. */
-  void (*believes) (void *host, const char *server, bool out, const char *why, int64_t for_us);
-  /* Once for each answer of a service whose versions are watched; may be NULL. */
-  void (*judged) (void *host, const SchedJudged *judged);
-  /* The rate that the server takes has changed; 0: any. May be NULL. */
-  void (*paced) (void *host, const char *server, double before, double rate);
+  /* A server was taken out for for_us (out) or is back in use (not out). */
+  void (*server_state) (void *host, const char *server, bool out, const char *why, int64_t for_us);
+  /* Called once for each answer of a service whose versions are watched; may be NULL. */
+  void (*judged) (void *host, const SchedVerdict *judged);
+  /* The server's rate limit has changed; 0: none. May be NULL. */
+  void (*rate_changed) (void *host, const char *server, double before, double rate);
 } SchedOps;
 
 typedef struct
 {
   bool engine;
-  unsigned stride; /* engines: tokens in one event; 0: taken as 1 */
-  uint64_t memory; /* engines: tokens that a server holds; 0: not stated */
+  unsigned stride; /* engines: output tokens per event; 0 means 1 */
+  uint64_t memory; /* engines: KV cache capacity of a server in tokens; 0: unknown */
 } SchedServiceConf;
 
 Sched *sched_new (FtClock *clock, const SchedOps *ops, void *host);
 void sched_free (Sched *sched);
-/* Makes the service known or changes what is known of it. */
-void sched_service (Sched *sched, const char *service, const SchedServiceConf *conf);
-/* The part of each server's places that may be used, and a number that spreads the remainder
- * differently over the schedulers that share them. 1 and 0 at first. */
-void sched_share (Sched *sched, double share, uint64_t salt);
+/* Adds the service or changes its configuration. */
+void sched_set_service (Sched *sched, const char *service, const SchedServiceConf *conf);
+/* Sets the share of each server's places that this scheduler may use. salt, different for each
+ * scheduler, decides on which servers the fraction is rounded up. Defaults: 1 and 0. */
+void sched_set_share (Sched *sched, double share, uint64_t salt);
 #define SCHED_UNBOUNDED 2.0
 
-/* The part of each service's places and of each server's that may be taken for now, beside that.
- * Unlike sched_share it is no measure of how long a queue lasts. With 1 a server that runs too much
- * keeps as many places of others free. SCHED_UNBOUNDED, as at first: no such bound. guessed: the
- * rest is taken by requests that are not known one by one, so chance is allowed for. */
-void sched_grant_part (Sched *sched, double part, bool guessed);
-
-/* Requests that can be on time wait in fair order by organisation. Off at first. */
-void sched_fair (Sched *sched, bool on);
-/* An organisation's limit per second, 0: none. Its share is in proportion. */
-void sched_weight (Sched *sched, const char *org, double rate);
-/* Forgets all of these, before those of another catalogue. */
-void sched_no_weights (Sched *sched);
-
-/* Requests so far that found no place, and of which order by due time would have decided otherwise.
+/* Temporarily limits grants, besides sched_set_share, to a part of each server's places and of each
+ * service's. Unlike sched_set_share it does not affect estimates of waiting time. With 1, requests
+ * above one server's places keep as many places of other servers free. SCHED_UNBOUNDED, the
+ * default, is no limit. guessed: the rest of the places is taken by requests that are not known
+ * individually, so a margin for statistical spread is kept. */
+void sched_set_grant_share (Sched *sched, double part, bool guessed);
+
+/* Turns fair order by organisation on or off, for waiting requests that can be on time. Default:
+ * off. */
+void sched_set_fair (Sched *sched, bool on);
+/* Sets an organisation's limit per second, 0: none. Its fair share is proportional to it. */
+void sched_set_weight (Sched *sched, const char *org, double rate);
+/* Clears all weights, before those of a new catalogue are set. */
+void sched_clear_weights (Sched *sched);
+
+/* Requests that found no place and for which fair order led to another decision than order by due
+ * time would have.
  */
 typedef struct
 {
-  uint64_t queued;  /* although the whole queue would make them late */
-  uint64_t refused; /* although the whole queue would not */
+  uint64_t queued;  /* queued; behind the whole queue they would have been late */
+  uint64_t refused; /* refused; behind the whole queue they would have been on time */
 } SchedFair;
 
 void sched_fair_counts (const Sched *sched, SchedFair *counts);
 
-/* The part of the rates that servers name which this scheduler may give away. 1 at first. */
-void sched_rate_part (Sched *sched, double part);
+/* Sets the part of the servers' rate limits that this scheduler may use. Default: 1. */
+void sched_set_rate_share (Sched *sched, double part);
 
-/* The part of the places that may be promised to callers that were refused; 0, as at first: none.
+/* Sets the part of the places that may be reserved for refused callers that come back later.
+ * Default: 0, none.
  */
-void sched_returns (Sched *sched, double part);
-/* What came of promises so far. */
-RetCounts sched_returned (const Sched *sched);
+void sched_set_return_share (Sched *sched, double part);
+/* Counts of reservations by outcome. */
+RetCounts sched_return_counts (const Sched *sched);
 
 typedef struct
 {
   const char *id, *service, *domain;
-  unsigned slots;      /* requests that it runs at once */
-  bool leaving;        /* gets nothing new */
-  int64_t cold_us;     /* stays slow for this long */
-  const char *version; /* of its software; NULL: as "" */
+  unsigned slots;      /* requests that it runs concurrently */
+  bool leaving;        /* gets no new requests */
+  int64_t cold_us;     /* remaining warm-up time, during which it may be slow */
+  const char *version; /* of its software; NULL means "" */
 } SchedServer;
 
-/* Stands for a server's id in SchedAsk.kept. */
+/* Digest of a server's id, as used in SchedAsk.kept. */
 uint32_t sched_server_digest (const char *id);
 
-/* The whole list of servers: those that it lacks are gone. */
-void sched_list (Sched *sched, const SchedServer *servers, unsigned count);
+/* Sets the complete list of servers. A server that is not listed gets no more requests and is
+ * dropped once it runs none. */
+void sched_set_servers (Sched *sched, const SchedServer *servers, unsigned count);
 
-/* Which versions of a service's servers get requests. Without it one version is in use, and others
- * that the list shows get nothing, as long as servers of that one are listed. */
+/* Which versions of a service's servers get requests. By default one version is in use, and servers
+ * of other versions get nothing as long as servers of that one are listed. */
 typedef struct
 {
-  const char *in_use;  /* "": the one that most servers have, but not the other */
-  const char *other;   /* gets nothing but its share; "": none */
-  const char *ordered; /* one of both */
-  double share;        /* part of each route's requests that is placed on the other's servers ... */
-  unsigned left;       /* ... but no more than so many from now on */
-  bool follows;        /* the other's servers serve when none of the version in use is listed */
-  bool watched;        /* answers are judged; see SchedOps */
+  const char *in_use;  /* "": the version of most servers, the other one excluded */
+  const char *other;   /* the version on trial, which gets only its share; "": none */
+  const char *ordered; /* the version that the roll-out ordered: in_use or other */
+  double share;        /* part of each route's requests that goes to servers of the other version */
+  unsigned left;       /* at most so many requests go there from now on */
+  bool follows;        /* the other version is put in use when no server of another one is listed */
+  bool watched;        /* answers are judged and reported to SchedOps.judged */
 } SchedVersions;
 
-void sched_versions (Sched *sched, const char *service, const SchedVersions *versions);
+void sched_set_versions (Sched *sched, const char *service, const SchedVersions *versions);
 
 typedef struct
 {
-  unsigned servers, places, running; /* live servers, their places, and what runs on all of them */
+  /* live servers, their places, and requests on all servers of the version */
+  unsigned servers, places, running;
 } SchedVersionStats;
 
 typedef struct
 {
-  char in_use[128];                /* "": no server was ever listed */
-  unsigned placed, granted;        /* requests so far, and of them on the ordered version */
-  SchedVersionStats used, ordered; /* of the version in use, and of the ordered one */
-  unsigned running_before;         /* on servers of any version but the ordered one ... */
-  unsigned once_before;            /* ... and of these, what may run once only */
-  int64_t longest_us;              /* the longest answer of the last seconds */
+  char in_use[128]; /* "": no server has been listed yet */
+  /* requests placed so far, and how many of them on the ordered version */
+  unsigned placed, granted;
+  SchedVersionStats used, ordered; /* for the version in use and the ordered one */
+  unsigned running_before; /* requests running on servers of any version but the ordered one */
+  unsigned once_before;    /* those of running_before that must not be sent twice */
+  int64_t longest_us;      /* longest answer of at least the last 6 seconds */
 } SchedServiceStats;
 
 void sched_service_stats (Sched *sched, const char *service, SchedServiceStats *stats);
 
-/* Places, queues or refuses the request. An ask that is known already changes nothing. Returns true
- * when it is queued. */
+/* Places, queues or refuses the request. Returns true if it is queued. A request that is known
+ * already is left as it is, and the result is true. */
 bool sched_ask (Sched *sched, const SchedAsk *ask);
-/* The request runs on server by another scheduler's grant. */
+/* Records a request that runs on the server by another scheduler's grant. */
 void sched_adopt (Sched *sched, const SchedAsk *ask, const char *server);
-/* The first of the answer came, after_us after the request was sent. */
-void sched_first (Sched *sched, uint64_t owner, uint64_t request, int64_t after_us);
+/* Reports the first event of the answer, after_us after the request was sent. */
+void sched_first_event (Sched *sched, uint64_t owner, uint64_t request, int64_t after_us);
 
-/* Nothing of the answer has come for longer than it should take: the server gets nothing new until
- * it answers something. */
+/* Reports that an answer is overdue and nothing of it has come: unless the server has answered
+ * something else since the grant, it is taken out. */
 void sched_silent (Sched *sched, uint64_t owner, uint64_t request);
 
-/* The answer to the request, as far as its head, says this of its server; empty: nothing. */
+/* Reports what the header of the answer announced about its server; an empty notice: nothing. */
 void sched_notice (Sched *sched, uint64_t owner, uint64_t request, const char *server,
                    const Notice *notice);
-/* The owner was told this by the server age ago, by an answer to a request of another scheduler's.
+/* The same for an answer that the owner received age ago, to a request that another scheduler had
+ * granted.
  */
-void sched_notice_before (Sched *sched, uint64_t owner, const char *server, const Notice *notice,
-                          int64_t age);
+void sched_older_notice (Sched *sched, uint64_t owner, const char *server, const Notice *notice,
+                         int64_t age);
 
 typedef struct
 {
   SchedOutcome outcome;
-  int64_t event_us;  /* mean time between events; 0: unknown */
-  int64_t answer_us; /* from sending to the end; 0: unknown */
-  bool broke;        /* its connection broke as the request was sent ... */
-  int64_t rested_us; /* ... after it had rested for so long; 0: it was a new one */
+  int64_t event_us;     /* mean time between events of a stream; 0: unknown */
+  int64_t answer_us;    /* from sending the request to the end of the answer; 0: unknown */
+  bool broke;           /* its connection broke as the request was sent */
+  int64_t conn_idle_us; /* how long that connection had been idle before; 0: it was new */
 } SchedResult;
 
-/* The request has ended on its server, or is given up while it waits. */
+/* Reports that the request has ended on its server, or was given up while it waited. */
 void sched_done (Sched *sched, uint64_t owner, uint64_t request, const SchedResult *result);
-/* Everything of an owner is forgotten. */
+/* Removes all requests and backoffs of an owner. */
 void sched_owner_gone (Sched *sched, uint64_t owner);
-/* Refuses what can no longer be served in time, places what can. Call every 20 ms or so. */
+/* Places waiting requests and refuses those that can no longer be served in time. Call about every
+ * 20 ms. */
 void sched_tick (Sched *sched);
 
 typedef struct
@@ -220,11 +231,11 @@
   unsigned waiting, running, servers, out, slots;
 } SchedStats;
 void sched_stats (const Sched *sched, SchedStats *stats);
-/* Is the server held to a rate? */
+/* True if a rate limit applies to the server. */
 bool sched_is_paced (const Sched *sched, const char *server);
-/* A line for each server, a comment of the metrics' format: what is believed and why; and one for
- * each queue in fair order: organisations with their requests there and their part of the slot time
- * served lately. g_free. */
+/* Describes the state in comment lines of the metrics format: one for each server with its state
+ * and learned speeds, and one for each queue in fair order with its organisations, their waiting
+ * requests and their share of the slot time served lately. Free with g_free. */
 char *sched_describe (const Sched *sched);
 
 #endif
--- a/src/schedview.c
+++ b/src/schedview.c
@@ -1,4 +1,4 @@
-/* schedview.c - what operators see of a scheduler. */
+/* schedview.c - statistics and a textual description of a scheduler, for operators. */
 #include "schedint.h"
 
 #include <string.h>
@@ -37,7 +37,7 @@
   *counts = sched->counts;
 }
 
-/* A line for each queue in fair order in which something waits. */
+/* Appends a line for each non-empty queue in fair order. */
 static void
 describe_shares (const Service *service, GString *out, int64_t now)
 {
@@ -73,7 +73,7 @@
           server->leaving  ? "leaving"
           : server->listed ? "live"
                            : "gone",
-          now < server->out_until ? " out" : "", server->trial ? " trial" : "",
+          now < server->out_until ? " out" : "", server->probing ? " trial" : "",
           server->token_us / 1e3, server->prompt_unit / 1e3, server->answer_us / 1e3,
           server->failures, server->pace.rate);
     }
--- a/src/versions.c
+++ b/src/versions.c
@@ -1,30 +1,32 @@
-/* versions.c - which version of a service's servers gets requests, and what answers say of it.
+/* versions.c - which versions of a service's servers get requests, and verdicts on their answers.
  *
- * One version is in use. Another one gets nothing, although its servers are listed, until it is
- * ordered and given a share; then every so many requests of each route go there, so that each route
- * is tried in proportion. They are packed on as few servers as hold them, but more than one, so
- * that these are loaded as all will be later: a version that fails under load shows it while few
- * callers meet it.
+ * One version is in use. Another version gets nothing, although its servers are listed, until a
+ * roll-out orders it and gives it a share. It is then on trial and gets that share of each route's
+ * requests. They are concentrated on few servers, but more than one, so that these are as loaded as
+ * all servers will be later: a version that fails under load shows it while few callers are
+ * affected.
  *
- * Each answer is judged once, on both versions alike: it is bad if it is a failure or takes
- * SLOW_TIMES as long as the version before would, by the mean of its servers, with the prompt's
- * length and the work ahead on the server taken out. An answer that is overdue is bad at once.
+ * Each answer gets one verdict, by the same rule for both versions. It is bad if it failed or took
+ * more than SLOW_FACTOR the time expected of the previous version. That expectation uses the mean
+ * speeds of the previous version's servers, and allows for the length of the prompt and the work
+ * pending on the server. An overdue answer is bad at once.
  *
- * Failure: the machine becomes busy during a trial, and answers of both versions take longer.
- * Symptom: those that were placed before it are all bad, and a sound version is condemned by the
- * few that are looked at before others tell of the load. So an answer that looks slow is compared
- * with answers of the version before, of the same route if there are any, that were placed since it
- * was: with the median of their times, and for those still under way with the time so far.
+ * If the machine becomes busy during a trial, answers of both versions slow down, and a sound
+ * version would be rejected by the few answers that are checked first. So an answer that seems slow
+ * is also compared with answers of the previous version that were placed after it, of the same
+ * route if there are any. The median of their times is used; running requests count with their time
+ * so far.
  */
 #include "schedint.h"
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define SLOW_TIMES  2.5     /* servers of one version differ by twice their mean, seldom by more */
-#define SLOW_LEAST  30000.0 /* microseconds beyond that: short answers vary by lost packets */
-#define CREDIT_MOST 1.5     /* requests of a route that are due at once: no burst after a gap */
-#define SPAN        (6 * FT_SECOND) /* over which the longest answer is kept, twice at most */
+/* Tuning constants. */
+#define SLOW_FACTOR 2.5 /* servers of one version may take twice their mean, seldom more */
+/* microseconds on top of that, since lost packets delay short answers */
+#define SLOW_MARGIN_US 30000.0
+#define CREDIT_MAX     1.5 /* upper bound of a route's credit, against bursts after a gap */
+#define LONGEST_SPAN   (6 * FT_SECOND) /* the longest answer is kept for one to two spans */
 
 void
 ver_init (Versions *versions)
@@ -33,7 +35,7 @@
   versions->other = g_strdup ("");
   versions->ordered = g_strdup ("");
   versions->credit = g_hash_table_new_full (NULL, NULL, NULL, g_free);
-  versions->usual = g_hash_table_new_full (NULL, NULL, NULL, g_free);
+  versions->route_answer_us = g_hash_table_new_full (NULL, NULL, NULL, g_free);
 }
 
 void
@@ -43,10 +45,10 @@
   g_free (versions->other);
   g_free (versions->ordered);
   g_hash_table_unref (versions->credit);
-  g_hash_table_unref (versions->usual);
+  g_hash_table_unref (versions->route_answer_us);
 }
 
-/* ---- Who gets requests ---- */
+/* ---- Versions that get requests ---- */
 
 static bool
 is_other (const Versions *versions, const char *version)
@@ -67,10 +69,11 @@
   return false;
 }
 
-/* The version of most listed servers, the other one left out; of two alike the lesser name, which
- * is the older one where names count up. In one pass: a list may hold thousands. */
+/* The version of most listed servers, except the other one. Of two equally frequent versions the
+ * lower name is taken, which is the older one where names count up. Runs in one pass, since a list
+ * may hold thousands of servers. */
 static const char *
-commonest (const Service *service)
+most_listed_version (const Service *service)
 {
   GHashTable *counts = g_hash_table_new (g_str_hash, g_str_equal);
   const Server *server, *best = NULL;
@@ -93,7 +96,7 @@
   return best ? best->version : NULL;
 }
 
-/* The other version, if a server of it is listed. */
+/* The other version if a server of it is listed; otherwise NULL. */
 static const char *
 listed_other (const Service *service)
 {
@@ -107,9 +110,9 @@
   return NULL;
 }
 
-/* Failure: servers of a version that nobody ordered stand in the list, or an order's own before the
- * order has come. Symptom: they get requests, and a bad version meets callers by the hundred. The
- * version that is in use stays so while a server of it is listed. */
+/* Keeps the version in use as long as a server of it is listed. The list may show servers of a
+ * version that nobody ordered, or whose order has not arrived yet. If these got requests, a bad
+ * version could reach hundreds of callers. */
 static void
 choose_in_use (Service *service)
 {
@@ -117,7 +120,7 @@
 
   if (*versions->in_use && is_listed (service, versions->in_use))
     return;
-  const char *next = commonest (service);
+  const char *next = most_listed_version (service);
   if (next == NULL && versions->follows)
     next = listed_other (service);
   if (next == NULL)
@@ -131,23 +134,23 @@
 ver_assign (Service *service)
 {
   Versions *versions = &service->versions;
-  bool tried = versions->share > 0;
+  bool trial = versions->share > 0;
   Server *server;
 
   choose_in_use (service);
   cds_list_for_each_entry (server, &service->servers, link)
   {
     if (strcmp (server->version, versions->in_use) == 0)
-      server->use = USE_YES;
+      server->use = USE_ALL;
     else
-      server->use = tried && is_other (versions, server->version) ? USE_TRIED : USE_NO;
+      server->use = trial && is_other (versions, server->version) ? USE_ON_TRIAL : USE_NONE;
   }
 }
 
-/* ---- Requests that are due to the version that is tried ---- */
+/* ---- Requests for the version on trial ---- */
 
 void
-ver_note_ask (Job *job)
+ver_mark_request (Job *job)
 {
   Versions *versions = &job->service->versions;
   gpointer route = GUINT_TO_POINTER (job->ask.route);
@@ -160,30 +163,30 @@
       credit = g_new0 (double, 1);
       g_hash_table_insert (versions->credit, route, credit);
     }
-  *credit = MIN (*credit + versions->share, CREDIT_MOST);
-  job->tried = *credit >= 1;
+  *credit = MIN (*credit + versions->share, CREDIT_MAX);
+  job->for_trial = *credit >= 1;
 }
 
-/* Failure: all of a trial fits one server, and it goes there. Symptom: what that server shows may
- * be its own fault, so a bad version is never told from a bad server. As long as one would hold all
- * that runs, servers take turns. */
+/* True if a request on trial is placed on one rather than on other. While one server could hold all
+ * requests of the trial, the servers take turns (in_turn): with a single server, a bad version
+ * could not be told from a bad server. Otherwise the fuller server goes first. */
 static bool
-goes_before (const Server *one, const Server *other, bool in_turn)
+is_preferred (const Server *one, const Server *other, bool in_turn)
 {
   if (other == NULL)
     return true;
-  return in_turn ? one->tried < other->tried : one->running > other->running;
+  return in_turn ? one->trial_requests < other->trial_requests : one->running > other->running;
 }
 
 static bool
-fits_one (const Service *service)
+one_server_suffices (const Service *service)
 {
   const Server *server;
   unsigned running = 0, least = G_MAXUINT;
 
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    if (server->use != USE_TRIED)
+    if (server->use != USE_ON_TRIAL)
       continue;
     running += server->running;
     least = MIN (least, server->slots);
@@ -195,17 +198,18 @@
 ver_choose (const Sched *sched, const Job *job, int64_t now)
 {
   Versions *versions = &job->service->versions;
-  bool in_turn = fits_one (job->service);
+  bool in_turn = one_server_suffices (job->service);
   Server *server, *best = NULL;
 
   cds_list_for_each_entry (server, &job->service->servers, link)
   {
-    unsigned most = server->trial ? 1 : est_places (sched, server);
-    if (server->use != USE_TRIED || !server->listed || server->leaving || now < server->out_until
+    unsigned most = server->probing ? 1 : est_places (sched, server);
+    if (server->use != USE_ON_TRIAL || !server->listed || server->leaving || now < server->out_until
         || server->running >= most || !pace_has_token (sched, server, now)
-        || !boff_may (server, job->key.owner, now) || !est_fits_memory (sched, server, &job->ask))
+        || !boff_permits (server, job->key.owner, now)
+        || !est_fits_memory (sched, server, &job->ask))
       continue;
-    if (goes_before (server, best, in_turn))
+    if (is_preferred (server, best, in_turn))
       best = server;
   }
   double *credit = g_hash_table_lookup (versions->credit, GUINT_TO_POINTER (job->ask.route));
@@ -213,11 +217,11 @@
     return NULL;
   *credit -= 1;
   versions->left--;
-  best->tried++;
+  best->trial_requests++;
   return best;
 }
 
-/* ---- What answers say ---- */
+/* ---- Verdicts on answers ---- */
 
 static bool
 is_ordered (const Versions *versions, const Server *server)
@@ -225,13 +229,12 @@
   return *versions->ordered && strcmp (versions->ordered, server->version) == 0;
 }
 
-/* Speeds of the version before: of all servers but the ordered ones. When these have the requests
- * alone, what was learned until then stays.
+/* Updates the mean speeds of the previous version: of all servers without the ordered version. Once
+ * the ordered version is in use, the learned speeds are kept.
  *
- * Failure: another voter takes charge in the move, and its scheduler has seen no answer of the
- * version before. Symptom: answers are compared with what is assumed of unknown servers, and a
- * sound version whose events come less often is rolled back. Until the version before has answered
- * nothing is slow. */
+ * If another voter takes over during the roll-out, its scheduler has seen no answer of the previous
+ * version. Compared with default speeds, a sound version whose events are less frequent would be
+ * rolled back. So no answer counts as slow before the previous version has answered. */
 static void
 learn_speeds (const Sched *sched, Service *service)
 {
@@ -240,7 +243,7 @@
   double token = 0, unit = 0, answer = 0;
   unsigned tokens = 0, units = 0, answers = 0;
 
-  if (versions->known && strcmp (versions->in_use, versions->ordered) == 0)
+  if (versions->measured && strcmp (versions->in_use, versions->ordered) == 0)
     return;
   cds_list_for_each_entry (server, &service->servers, link)
   {
@@ -253,21 +256,23 @@
     answer += server->answer_us;
     answers += server->answer_us > 0;
   }
-  versions->known = tokens > 0;
-  versions->token_us = tokens ? token / tokens : est_summary (sched, service)->mean_token;
-  versions->unit = units ? unit / units : versions->token_us * service->curve.each;
-  versions->answer_us = answers ? answer / answers : est_summary (sched, service)->least_answer;
+  versions->measured = tokens > 0;
+  versions->token_us = tokens ? token / tokens : est_summary (sched, service)->mean_token_us;
+  versions->unit = units ? unit / units : versions->token_us * service->curve.unit_ratio;
+  versions->answer_us = answers ? answer / answers : est_summary (sched, service)->min_answer_us;
 }
 
-/* Failure: routes of a plain service take 20 ms and 160 ms, and all are expected to take the mean
- * of the latest answers. Symptom: after some of the short route the long one's look slow on either
- * version, and in the move, when the version before answers nothing, they condemn a sound one. */
+/* Expected time of a plain answer, learned for each route. If routes took 20 ms and 160 ms and all
+ * were expected to take their common mean, answers of the long route would seem slow on either
+ * version. Once the previous version gets no requests, they would make a sound version be rejected.
+ */
 static double
 expect_plain_us (const Versions *versions, unsigned route)
 {
-  const double *usual = g_hash_table_lookup (versions->usual, GUINT_TO_POINTER (route));
+  const double *route_us
+      = g_hash_table_lookup (versions->route_answer_us, GUINT_TO_POINTER (route));
 
-  return usual ? HOP_US + MAX (versions->answer_us, *usual) : 0;
+  return route_us ? NETWORK_US + MAX (versions->answer_us, *route_us) : 0;
 }
 
 static double
@@ -278,7 +283,7 @@
   double ahead = (double) MAX (0, server->prompts_until - now);
   double own = curve_units (curve, job->ask.prompt_tokens) * versions->unit;
 
-  return versions->known ? HOP_US + curve->latency_us + ahead + own + versions->token_us : 0;
+  return versions->measured ? NETWORK_US + curve->latency_us + ahead + own + versions->token_us : 0;
 }
 
 void
@@ -288,37 +293,37 @@
 
   versions->placed++;
   versions->granted += is_ordered (versions, server);
-  job->expect_us = job->allow_us = job->service->conf.engine
-                                       ? expect_engine_us (job, server, now)
-                                       : expect_plain_us (versions, job->ask.route);
+  job->expected_us = job->adjusted_us = job->service->conf.engine
+                                            ? expect_engine_us (job, server, now)
+                                            : expect_plain_us (versions, job->ask.route);
 }
 
 static void
-learn_usual (Job *job, int64_t took_us)
+learn_route_time (Job *job, int64_t took_us)
 {
   Versions *versions = &job->service->versions;
   gpointer route = GUINT_TO_POINTER (job->ask.route);
 
   if (!versions->watched || is_ordered (versions, job->server) || took_us <= 0)
     return;
-  double *usual = g_hash_table_lookup (versions->usual, route);
-  if (usual == NULL)
+  double *route_us = g_hash_table_lookup (versions->route_answer_us, route);
+  if (route_us == NULL)
     {
-      usual = g_new0 (double, 1);
-      g_hash_table_insert (versions->usual, route, usual);
+      route_us = g_new0 (double, 1);
+      g_hash_table_insert (versions->route_answer_us, route, route_us);
     }
-  est_learn (usual, (double) took_us);
+  est_learn (route_us, (double) took_us);
 }
 
 static void
-judge (const Sched *sched, Job *job, bool bad)
+report_verdict (const Sched *sched, Job *job, bool bad)
 {
   const Versions *versions = &job->service->versions;
-  SchedJudged judged = { .service = job->service->name,
-                         .server = job->server->id,
-                         .route = job->ask.route,
-                         .ordered = is_ordered (versions, job->server),
-                         .bad = bad };
+  SchedVerdict judged = { .service = job->service->name,
+                          .server = job->server->id,
+                          .route = job->ask.route,
+                          .ordered = is_ordered (versions, job->server),
+                          .bad = bad };
 
   if (job->judged || !versions->watched || sched->ops->judged == NULL)
     return;
@@ -326,18 +331,18 @@
   sched->ops->judged (sched->host, &judged);
 }
 
-/* ---- Answers of the version before at the same time ---- */
+/* ---- Concurrent answers of the previous version ---- */
 
 static void
-note_peer (const Job *job, int64_t after_us)
+record_baseline (const Job *job, int64_t after_us)
 {
   Versions *versions = &job->service->versions;
-  Peer *peer = &versions->peers[versions->peer_count % PEERS_KEPT];
+  Baseline *baseline = &versions->baselines[versions->baseline_count % BASELINES_MAX];
 
-  if (!versions->watched || is_ordered (versions, job->server) || job->expect_us <= 0)
+  if (!versions->watched || is_ordered (versions, job->server) || job->expected_us <= 0)
     return;
-  *peer = (Peer){ job->ask.route, job->granted_at, (double) after_us / job->expect_us };
-  versions->peer_count++;
+  *baseline = (Baseline){ job->ask.route, job->granted_at, (double) after_us / job->expected_us };
+  versions->baseline_count++;
 }
 
 static int
@@ -348,7 +353,7 @@
   return (a > b) - (a < b);
 }
 
-/* 0 without values. */
+/* 0 if there are no values. */
 static double
 median (GArray *values)
 {
@@ -363,98 +368,100 @@
 {
   const Versions *versions = &job->service->versions;
 
-  for (unsigned i = 0; i < MIN (versions->peer_count, PEERS_KEPT); i++)
+  for (unsigned i = 0; i < MIN (versions->baseline_count, BASELINES_MAX); i++)
     {
-      const Peer *peer = &versions->peers[i];
-      if (peer->granted_at >= job->granted_at && (!same_route || peer->route == job->ask.route))
-        g_array_append_val (values, peer->times);
+      const Baseline *baseline = &versions->baselines[i];
+      if (baseline->granted_at >= job->granted_at
+          && (!same_route || baseline->route == job->ask.route))
+        g_array_append_val (values, baseline->ratio);
     }
 }
 
-/* Those under way that take longer than expected. */
+/* Adds running requests that already take longer than expected. */
 static void
 add_overdue (const Job *job, bool same_route, int64_t now, GArray *values)
 {
   const Service *service = job->service;
   const Server *server;
-  const Job *peer;
+  const Job *other;
 
   cds_list_for_each_entry (server, &service->servers, link)
   {
     if (is_ordered (&service->versions, server))
       continue;
-    cds_list_for_each_entry (peer, &server->runs, link)
+    cds_list_for_each_entry (other, &server->runs, link)
     {
-      double so_far = (double) (now - peer->granted_at);
-      bool waits = !peer->first_seen || !service->conf.engine;
-      if (peer == job || !waits || peer->expect_us <= 0 || peer->granted_at < job->granted_at
-          || so_far <= peer->expect_us || (same_route && peer->ask.route != job->ask.route))
+      double so_far = (double) (now - other->granted_at);
+      bool waits = !other->got_first_event || !service->conf.engine;
+      if (other == job || !waits || other->expected_us <= 0 || other->granted_at < job->granted_at
+          || so_far <= other->expected_us || (same_route && other->ask.route != job->ask.route))
         continue;
-      double times = so_far / peer->expect_us;
-      g_array_append_val (values, times);
+      double ratio = so_far / other->expected_us;
+      g_array_append_val (values, ratio);
     }
   }
 }
 
 static double
-median_times (const Job *job, bool same_route, int64_t now)
+median_ratio (const Job *job, bool same_route, int64_t now)
 {
   GArray *values = g_array_new (FALSE, FALSE, sizeof (double));
 
   add_answered (job, same_route, values);
   add_overdue (job, same_route, now, values);
-  double times = median (values);
+  double ratio = median (values);
   g_array_unref (values);
-  return times;
+  return ratio;
 }
 
-/* How many times as long as expected answers of the version before take; 0: none was placed since.
+/* Median time of answers of the previous version that were placed after the job, relative to their
+ * expected time; 0: there are none.
  */
 static double
-peer_times (const Job *job, int64_t now)
+baseline_ratio (const Job *job, int64_t now)
 {
-  double times = median_times (job, true, now);
+  double ratio = median_ratio (job, true, now);
 
-  return times > 0 ? times : median_times (job, false, now);
+  return ratio > 0 ? ratio : median_ratio (job, false, now);
 }
 
 static bool
-is_beyond (double after_us, double allowed_us)
+exceeds (double after_us, double allowed_us)
 {
-  return after_us > SLOW_TIMES * allowed_us + SLOW_LEAST;
+  return after_us > SLOW_FACTOR * allowed_us + SLOW_MARGIN_US;
 }
 
-/* What is allowed grows with the time that others take, so one job is compared a few times only. A
- * server that has just started may be slow for a while, and says so. */
+/* adjusted_us grows with the times of concurrent answers, so the comparison runs only a few times
+ * for each job. Servers that announced a warm-up time are exempt during it. */
 static bool
 is_slow (Job *job, int64_t after_us, int64_t now)
 {
   const Versions *versions = &job->service->versions;
   double after = (double) after_us;
 
-  if (job->judged || job->expect_us <= 0 || job->granted_at < job->server->cold_until
-      || !is_beyond (after, job->allow_us))
+  if (job->judged || job->expected_us <= 0 || job->granted_at < job->server->cold_until
+      || !exceeds (after, job->adjusted_us))
     return false;
   if (versions->watched)
-    job->allow_us = MAX (job->allow_us, peer_times (job, now) * job->expect_us);
-  return is_beyond (after, job->allow_us);
+    job->adjusted_us = MAX (job->adjusted_us, baseline_ratio (job, now) * job->expected_us);
+  return exceeds (after, job->adjusted_us);
 }
 
-/* ---- What becomes of a request ---- */
+/* ---- Progress of a request ---- */
 
 void
 ver_note_first (const Sched *sched, Job *job, int64_t after_us)
 {
   if (is_slow (job, after_us, ft_clock_now (sched->clock)))
-    judge (sched, job, true);
+    report_verdict (sched, job, true);
   if (job->service->conf.engine)
-    note_peer (job, after_us);
+    record_baseline (job, after_us);
 }
 
 static void
 note_longest (Versions *versions, int64_t took_us, int64_t now)
 {
-  if (now - versions->span_at > SPAN)
+  if (now - versions->span_at > LONGEST_SPAN)
     {
       versions->longest_us[1] = versions->longest_us[0];
       versions->longest_us[0] = 0;
@@ -467,24 +474,25 @@
 ver_note_end (const Sched *sched, Job *job, const SchedResult *result, int64_t now)
 {
   const Service *service = job->service;
-  double event = service->versions.known ? service->versions.token_us * service->conf.stride : 0;
+  double event = service->versions.measured ? service->versions.token_us * service->conf.stride : 0;
 
   if (result->outcome == SCHED_FAILED)
-    judge (sched, job, true);
+    report_verdict (sched, job, true);
   if (result->outcome != SCHED_OK)
     return;
   note_longest (&job->service->versions, now - job->granted_at, now);
-  judge (sched, job,
-         service->conf.engine ? event > 0 && (double) result->event_us > SLOW_TIMES * event
-                              : is_slow (job, result->answer_us, now));
+  report_verdict (sched, job,
+                  service->conf.engine
+                      ? event > 0 && (double) result->event_us > SLOW_FACTOR * event
+                      : is_slow (job, result->answer_us, now));
   if (service->conf.engine)
     return;
-  note_peer (job, result->answer_us);
-  learn_usual (job, result->answer_us);
+  record_baseline (job, result->answer_us);
+  learn_route_time (job, result->answer_us);
 }
 
 void
-ver_note_time (const Sched *sched, Service *service, int64_t now)
+ver_check_overdue (const Sched *sched, Service *service, int64_t now)
 {
   Server *server;
   Job *job;
@@ -496,13 +504,13 @@
   {
     cds_list_for_each_entry (job, &server->runs, link)
     {
-      if (!job->first_seen && is_slow (job, now - job->granted_at, now))
-        judge (sched, job, true);
+      if (!job->got_first_event && is_slow (job, now - job->granted_at, now))
+        report_verdict (sched, job, true);
     }
   }
 }
 
-/* ---- What others ask ---- */
+/* ---- Statistics for roll-outs ---- */
 
 static void
 count_server (const Server *server, SchedVersionStats *stats)
@@ -515,7 +523,7 @@
 }
 
 static void
-count_before (const Server *server, SchedServiceStats *stats)
+count_previous (const Server *server, SchedServiceStats *stats)
 {
   const Job *job;
 
@@ -539,11 +547,11 @@
   stats->longest_us = MAX (versions->longest_us[0], versions->longest_us[1]);
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    if (server->use == USE_YES)
+    if (server->use == USE_ALL)
       count_server (server, &stats->used);
     if (is_ordered (versions, server))
       count_server (server, &stats->ordered);
     else
-      count_before (server, stats);
+      count_previous (server, stats);
   }
 }
--- a/src/waiting.c
+++ b/src/waiting.c
@@ -1,26 +1,31 @@
-/* waiting.c - what waits for a place: two queues a tier.
+/* waiting.c - queues of requests that wait for a place.
  *
- * Requests that can still be on time go before those that cannot, whichever came first: behind a
- * backlog of late ones every newcomer would become late in its turn, and the backlog would outlive
- * the burst that made it for as long as load stays near what the servers can do. Among those on
- * time the one that is due first goes first; among the late ones that whose caller leaves first,
+ * Each tier has a queue of requests that can still be on time, one of late requests, and one of
+ * requests whose callers came back for a reservation. Requests on time go before late ones,
+ * whichever arrived first. Otherwise a backlog of late requests would make every new request late
+ * too, and would persist after the burst that caused it as long as load stays near capacity.
+ * Requests on time are ordered by due time. Late ones are ordered by when their callers give up,
  * which favours callers that were refused before and came back.
  *
- * With fair shares those on time wait in the order of shares.c. A newcomer then has before it what
- * that order puts there: not all that waits, but also what others will send until it starts.
+ * With fair shares, requests on time wait in the order of shares.c. Only part of the queue then
+ * goes before a new request, but so do requests of other organisations that arrive before it
+ * starts.
  */
 #include "schedint.h"
 
 #include <math.h>
 
-/* Tuning; each row with its reason. */
-#define SORT_MOST 64 /* requests looked at in one decision; the rest follow in the next */
+/* Tuning constants. */
+#define LATE_SCAN_MAX 64 /* requests examined per dispatch; the rest follow in the next */
 
-#define MEAN_LEARN 0.02 /* weight of a new request in the mean: the latest 50 count */
-#define SIZE_MOST  3.0  /* times the mean or a part of it that count */
-#define LARGE      2.0  /* times the mean: about a tenth of requests whose lengths vary tenfold */
-#define LARGE_PART 0.75 /* of the others' part on time that large ones have at least */
-#define PART_LEARN 0.02 /* weight of a new verdict: the latest 50 of each kind count */
+#define MEAN_WEIGHT     0.02 /* weight of a new request in the mean, about the latest 50 */
+#define SIZE_FACTOR_MAX 3.0  /* bound of the size factor, both ways */
+/* times the mean; about a tenth of the requests if their lengths vary tenfold */
+#define LARGE_SIZE 2.0
+/* large requests get at least this fraction of the small ones' on-time share */
+#define LARGE_SHARE_MIN 0.75
+/* weight of a new sample in the on-time share, about the latest 50 of each kind */
+#define TIMELY_WEIGHT 0.02
 
 static Tier *
 tier_new (const Service *service, unsigned number)
@@ -28,8 +33,8 @@
   Tier *tier = g_new0 (Tier, 1);
 
   tier->tier = number;
-  tier->timely_part[0] = tier->timely_part[1] = 1;
-  CDS_INIT_LIST_HEAD (&tier->promised);
+  tier->timely_share[0] = tier->timely_share[1] = 1;
+  CDS_INIT_LIST_HEAD (&tier->reserved);
   CDS_INIT_LIST_HEAD (&tier->timely);
   CDS_INIT_LIST_HEAD (&tier->late);
   if (service->weights)
@@ -69,16 +74,17 @@
 {
   Tier *tier = wait_tier (job->service, job->ask.tier);
   double work_us = job->work_us;
-  double since = (double) (now - tier->inflow_at);
+  double since = (double) (now - tier->arrival_load_at);
 
   tier->mean_us
-      = tier->mean_us > 0 ? tier->mean_us + MEAN_LEARN * (work_us - tier->mean_us) : work_us;
+      = tier->mean_us > 0 ? tier->mean_us + MEAN_WEIGHT * (work_us - tier->mean_us) : work_us;
   job->service->mean_us
       = job->service->mean_us > 0
-            ? job->service->mean_us + MEAN_LEARN * (work_us - job->service->mean_us)
+            ? job->service->mean_us + MEAN_WEIGHT * (work_us - job->service->mean_us)
             : work_us;
-  tier->inflow = tier->inflow * exp (-since / INFLOW_US) + work_us / INFLOW_US;
-  tier->inflow_at = now;
+  tier->arrival_load
+      = tier->arrival_load * exp (-since / ARRIVAL_WINDOW_US) + work_us / ARRIVAL_WINDOW_US;
+  tier->arrival_load_at = now;
   if (tier->shares)
     shr_note_arrival (tier->shares, job->org, work_us, now);
 }
@@ -89,44 +95,44 @@
   return job->service->conf.engine && tier->mean_us > 0 ? job->work_us / tier->mean_us : 1;
 }
 
-/* Failure: places run out, and each request of a tier is refused alike, whatever it costs. Symptom:
- * a tenth of the requests, with answers of ten times the usual length, hold half of the places, and
- * the rest is refused. So a large one is refused at a shorter queue and a small one at a longer
- * one, unless large ones have been served much less often than the others of late: nobody is
- * starved. */
+/* Makes admission depend on size: large requests are refused at a shorter queue than small ones. If
+ * size did not count, a tenth of the requests, with answers ten times as long as usual, would hold
+ * half of the places while others are refused. Large requests are favoured instead while their
+ * on-time share is much lower than that of small ones, so that they are not starved. */
 double
-wait_caution (const Job *job)
+wait_size_factor (const Job *job)
 {
   const Tier *tier = wait_tier (job->service, job->ask.tier);
   double size = size_of (job, tier);
 
-  if (size >= LARGE && tier->timely_part[1] < LARGE_PART * tier->timely_part[0])
-    return 1 / SIZE_MOST;
-  return CLAMP (size, 1 / SIZE_MOST, SIZE_MOST);
+  if (size >= LARGE_SIZE && tier->timely_share[1] < LARGE_SHARE_MIN * tier->timely_share[0])
+    return 1 / SIZE_FACTOR_MAX;
+  return CLAMP (size, 1 / SIZE_FACTOR_MAX, SIZE_FACTOR_MAX);
 }
 
 void
-wait_note_verdict (const Job *job, bool timely)
+wait_note_timely (const Job *job, bool timely)
 {
   Tier *tier = wait_tier (job->service, job->ask.tier);
-  bool large = size_of (job, tier) >= LARGE;
+  bool large = size_of (job, tier) >= LARGE_SIZE;
 
-  tier->timely_part[large] += PART_LEARN * (timely - tier->timely_part[large]);
+  tier->timely_share[large] += TIMELY_WEIGHT * (timely - tier->timely_share[large]);
 }
 
 static int64_t
-due_at (const Job *job)
+order_time (const Job *job)
 {
   return job->late ? job->ask.end_at : job->ask.aim_at;
 }
 
-/* Behind those that are due no later; the new one is usually due last. */
+/* Inserts the job in order of due time. The search starts at the end, since a new job is usually
+ * due last. */
 static void
 insert_by_due (struct cds_list_head *queue, Job *job)
 {
   struct cds_list_head *at = queue->prev;
 
-  while (at != queue && due_at (cds_list_entry (at, Job, link)) > due_at (job))
+  while (at != queue && order_time (cds_list_entry (at, Job, link)) > order_time (job))
     at = at->prev;
   cds_list_add (&job->link, at);
 }
@@ -136,10 +142,10 @@
 {
   Tier *tier = wait_tier (job->service, job->ask.tier);
 
-  if (job->promised)
-    cds_list_add_tail (&job->link, &tier->promised);
+  if (job->reserved)
+    cds_list_add_tail (&job->link, &tier->reserved);
   else if (tier->shares && !job->late)
-    shr_add (tier->shares, &job->item, job->org, job->work_us, due_at (job), now);
+    shr_add (tier->shares, &job->item, job->org, job->work_us, order_time (job), now);
   else
     insert_by_due (job->late ? &tier->late : &tier->timely, job);
   tier->count++;
@@ -147,14 +153,14 @@
 }
 
 static void
-count_out (Tier *tier, const Job *job)
+uncount (Tier *tier, const Job *job)
 {
   double *work = job->late ? &tier->late_us : &tier->timely_us;
 
   tier->count--;
   *work = MAX (0, *work - job->work_us);
   if (tier->count == 0)
-    tier->timely_us = tier->late_us = 0; /* no sums of rounding errors */
+    tier->timely_us = tier->late_us = 0; /* drop accumulated rounding errors */
 }
 
 void
@@ -166,7 +172,7 @@
     shr_remove (tier->shares, &job->item);
   else
     cds_list_del (&job->link);
-  count_out (tier, job);
+  uncount (tier, job);
 }
 
 void
@@ -179,7 +185,7 @@
     cds_list_del (&job->link);
   if (tier->shares)
     shr_serve (tier->shares, queued ? &job->item : NULL, job->org, job->work_us, now);
-  count_out (tier, job);
+  uncount (tier, job);
 }
 
 static void
@@ -190,7 +196,7 @@
 }
 
 void
-wait_fair (Service *service, const ShrWeights *weights, int64_t now)
+wait_set_fair (Service *service, const ShrWeights *weights, int64_t now)
 {
   Job *job, *next;
 
@@ -212,7 +218,7 @@
 }
 
 static void
-sort_out (const Sched *sched, Service *service, Tier *tier, unsigned most, int64_t now)
+move_late (const Sched *sched, Service *service, Tier *tier, unsigned most, int64_t now)
 {
   Job *job, *next;
   unsigned seen = 0;
@@ -234,22 +240,22 @@
 }
 
 void
-wait_sort_out (const Sched *sched, Service *service, Tier *tier, int64_t now)
+wait_move_late (const Sched *sched, Service *service, Tier *tier, int64_t now)
 {
-  sort_out (sched, service, tier, SORT_MOST, now);
+  move_late (sched, service, tier, LATE_SCAN_MAX, now);
 }
 
-/* Failure: in fair order those of an organisation above its share wait at the end of the queue,
- * also those that are due first. Symptom: beyond SORT_MOST nobody sees that they have become late,
- * and newcomers are refused for the sake of work that is counted as on time. */
+/* In fair order, requests of an organisation above its share wait at the end of the queue even if
+ * they are due first. Beyond LATE_SCAN_MAX they would become late unnoticed and still count as work
+ * on time, for which new requests would be refused. So the whole queue is examined. */
 void
-wait_sort_all (const Sched *sched, Service *service, int64_t now)
+wait_move_all_late (const Sched *sched, Service *service, int64_t now)
 {
   for (unsigned i = 0; i < service->tiers->len; i++)
     {
       Tier *tier = service->tiers->pdata[i];
       if (tier->shares && shr_waiting (tier->shares) > 1)
-        sort_out (sched, service, tier, UINT_MAX, now);
+        move_late (sched, service, tier, UINT_MAX, now);
     }
 }
 
@@ -269,19 +275,20 @@
   return work;
 }
 
-Ahead
+WaitAhead
 wait_ahead (const Sched *sched, const Job *job, int64_t now)
 {
   Service *service = job->service;
   unsigned number = job->ask.tier;
   const Tier *tier = wait_tier (service, number);
-  Ahead ahead = { wait_ahead_us (service, number, false), wait_ahead_us (service, number, true) };
+  WaitAhead ahead
+      = { wait_ahead_us (service, number, false), wait_ahead_us (service, number, true) };
   ShrTurn turn;
 
   if (tier->shares == NULL)
     return ahead;
   shr_turn (tier->shares, job->org, job->work_us, ahead.timely_us,
-            est_left_places (sched, service, number, false, now), now, &turn);
+            est_places_left (sched, service, number, false, now), now, &turn);
   ahead.timely_us += turn.before_us - turn.behind_us;
   return ahead;
 }
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -44,13 +44,13 @@
 # What servers say of themselves.
 try "a grant takes no token" src/pace.c 's/pace.tokens -= 1/pace.tokens -= 0/' test-pace &
 try "a bucket opens full" src/pace.c 's/open_bucket \(sched, pace, rate, 0, now\)/open_bucket (sched, pace, rate, 10, now)/' test-pace &
-try "an overtaken word counts" src/pace.c 's/ \&\& !is_later \(server, job\)//' test-pace &
+try "an overtaken word counts" src/pace.c 's/ \&\& !is_newer \(server, job\)//' test-pace &
 try "each scheduler has the whole rate" src/pace.c 's/pace->rate \* sched->rate_part/pace->rate/' test-pace &
 try "a successor starts with a token" src/pace.c 's/open_bucket \(sched, pace, rate, most, now\)/open_bucket (sched, pace, rate, 1, now)/' test-pace &
 try "a limited server counts with all places" src/pace.c 's/^  return MIN \(places, rate.*$/  return places + 0 * rate;/' test-pace &
-try "nobody is kept away" src/backoff.c 's/until \(server, owner\) <= now/true/' test-backoff &
+try "nobody is kept away" src/backoff.c 's/backoff_end \(server, owner\) <= now/true/' test-backoff &
 try "one kept away waits to its end" src/backoff.c 's/if \(service->backoff_until <= now\)/if (true)/' test-backoff &
-try "a list takes a leaving back" src/scheduler.c 's/ \|\| server->says_leaving//' test-backoff &
+try "a list takes a leaving back" src/scheduler.c 's/ \|\| server->announced_leaving//' test-backoff &
 try "an entry forgets what servers said" src/notices.c 's/^    return "leaving";/    return NULL;/; s/backoff_us > 0 \? "backoff" : NULL/backoff_us > 0 ? NULL : NULL/' test-place &
 try "another server's word counts" node/try.c 's/answer->elsewhere \|\| //' test-notices &
 for job in $(jobs -p); do wait "$job" || missed=1; done
