--- a/src/admit.c
+++ b/src/admit.c
@@ -33,7 +33,7 @@
 {
   SchedRefusal refusal = { .reason = reason };
   int64_t left = MAX (0, job->ask.end_at - now);
-  Key key = job->key;
+  SchedKey key = job->key;
 
   refusal.retry_after_us = MIN ((int64_t) MIN (wait, 1e9), left / ADVICE_PART);
   refusal.retry_after_us = MAX (refusal.retry_after_us, RETRY_AFTER_MIN);
--- a/src/estimate.c
+++ b/src/estimate.c
@@ -40,8 +40,8 @@
 #define BROKEN_SERVERS_MIN 2 /* the same for a small service */
 /* expected duration of a fault that breaks new connections too */
 #define NEW_CONN_FAULT_TIME (5 * FT_SECOND)
-/* microseconds in which the bound doubles; a fault of seconds is met once or twice more, and 15 s
- * after it connections are reused almost as before */
+/* microseconds in which the bound doubles; a fault that lasts seconds breaks one or two more
+ * requests, and 15 s after it connections are reused as before */
 #define IDLE_DOUBLING_US 2.5e6
 /* added for a new connection to an engine: a tenth of an answer */
 #define CONNECT_ENGINE_US 100e3
@@ -195,16 +195,16 @@
   return places_of (sched, server, sched->share);
 }
 
-/* True if a grant on the server stays within grant_part, see sched_set_grant_share. When half of
+/* True if a grant on the server stays within grant_share, see sched_set_grant_share. When half of
  * the instances have reported their requests, half of the places may be used, but by chance some
  * servers show fewer requests than that. With a bound for each server alone, those would get more
  * and a tenth too many places would be taken. So the bound holds for the whole service too. The
  * statistical margin takes at most half of that bound, so that low load is not held up. */
 static bool
-is_within_part (const Sched *sched, const Server *server)
+is_within_grant_share (const Sched *sched, const Server *server)
 {
   const Service *service = server->service;
-  double part = sched->grant_part, most = part * service->summary.slots;
+  double part = sched->grant_share, most = part * service->summary.slots;
 
   if (part > 1)
     return true;
@@ -224,7 +224,7 @@
 {
   unsigned most = server->probing ? 1 : est_places (sched, server);
 
-  return est_usable (server, now) && server->running < most && is_within_part (sched, server)
+  return est_usable (server, now) && server->running < most && is_within_grant_share (sched, server)
          && pace_has_token (sched, server, now);
 }
 
@@ -289,7 +289,7 @@
   sched->choices++;
   for (unsigned i = 0; i < job->ask.kept_count; i++)
     {
-      Server *server = g_hash_table_lookup (sched->by_digest, GUINT_TO_POINTER (job->kept[i]));
+      Server *server = g_hash_table_lookup (sched->by_digest, GUINT_TO_POINTER (job->connected[i]));
       if (server)
         server->connected_choice = sched->choices;
     }
@@ -301,7 +301,7 @@
   for (unsigned i = 0; i < job->ask.kept_count; i++)
     {
       const Server *server
-          = g_hash_table_lookup (sched->by_digest, GUINT_TO_POINTER (job->kept[i]));
+          = g_hash_table_lookup (sched->by_digest, GUINT_TO_POINTER (job->connected[i]));
       if (server && server->service == job->service && est_has_place (sched, server, now)
           && boff_permits (server, job->key.owner, now))
         return true;
@@ -345,12 +345,12 @@
 }
 
 void
-est_note_broken (Server *server, bool rested, int64_t now)
+est_note_broken (Server *server, bool reused, int64_t now)
 {
   Service *service = server->service;
-  unsigned all = 0, lately = 0;
+  unsigned all = 0, recent = 0;
 
-  if (!rested)
+  if (!reused)
     {
       clear_idle_breaks (service, now);
       return;
@@ -361,9 +361,9 @@
   cds_list_for_each_entry (server, &service->servers, link)
   {
     all++;
-    lately += server->idle_broke_at > 0 && now - server->idle_broke_at < BREAKS_TOGETHER;
+    recent += server->idle_broke_at > 0 && now - server->idle_broke_at < BREAKS_TOGETHER;
   }
-  if (lately >= CLAMP (all / 4, BROKEN_SERVERS_MIN, BROKEN_SERVERS_MAX))
+  if (recent >= CLAMP (all / 4, BROKEN_SERVERS_MIN, BROKEN_SERVERS_MAX))
     service->idle_broke_at = now;
 }
 
@@ -409,8 +409,7 @@
 }
 
 /* True if a busy server would be on time without delaying others, at a total cost below most, so
- * that waiting for it pays.
- */
+ * that waiting for it pays. */
 static bool
 worth_waiting (const Sched *sched, const Job *job, double most, int64_t now)
 {
--- a/src/pace.c
+++ b/src/pace.c
@@ -22,7 +22,7 @@
 static double
 current_tokens (const Sched *sched, const Pace *pace, int64_t now)
 {
-  double refilled = (double) (now - pace->filled_at) / 1e6 * pace->rate * sched->rate_part;
+  double refilled = (double) (now - pace->filled_at) / 1e6 * pace->rate * sched->rate_share;
 
   return MIN (capacity (pace), pace->tokens + refilled);
 }
@@ -52,7 +52,7 @@
 double
 pace_places (const Sched *sched, const Server *server, double places)
 {
-  double rate = server->pace.rate * sched->rate_part;
+  double rate = server->pace.rate * sched->rate_share;
 
   if (server->pace.rate <= 0 || server->service->mean_us <= 0)
     return places; /* no slot time is known before the first request */
@@ -131,7 +131,7 @@
   gpointer value;
   int64_t now = ft_clock_now (sched->clock);
 
-  if (part == sched->rate_part)
+  if (part == sched->rate_share)
     return;
   g_hash_table_iter_init (&iter, sched->servers);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -145,5 +145,5 @@
       if (part <= 0)
         pace->tokens = 0; /* only other schedulers use the rate from now on */
     }
-  sched->rate_part = part;
+  sched->rate_share = part;
 }
--- a/src/schedint.h
+++ b/src/schedint.h
@@ -22,7 +22,7 @@
 typedef struct
 {
   uint64_t owner, request;
-} Key;
+} SchedKey;
 
 typedef struct
 {
@@ -32,12 +32,13 @@
     /* starts with the same link; used while the job waits in Tier.timely with fair shares on */
     ShrItem item;
   };
-  Key key;
+  SchedKey key;
   Service *service;
   Server *server; /* NULL while the job waits */
-  SchedAsk ask;   /* its strings and kept array are copied to the next three fields and NULL here */
+  /* avoid, org and kept are NULL here and copied to the next fields; service is NULL too */
+  SchedAsk ask;
   char *avoid, *org;
-  uint32_t *kept;
+  uint32_t *connected;
   int64_t granted_at;
   double prompt_us; /* predicted prefill time on its server */
   double work_us;   /* slot time it would take on the service's best server */
@@ -204,9 +205,9 @@
   void *host;
   GHashTable *services, *servers; /* by name, by id */
   GHashTable *by_digest;          /* Server by sched_server_digest of its id */
-  GHashTable *jobs;               /* Job by its Key */
+  GHashTable *jobs;               /* Job by its SchedKey */
   uint64_t choices;               /* calls of est_choose so far */
-  double share, grant_part, rate_part;
+  double share, grant_share, rate_share;
   Returns *returns; /* NULL: no reservations are made for refused callers */
   uint64_t salt;
   bool others_unknown; /* see sched_set_grant_share */
@@ -257,9 +258,9 @@
 /* How long a connection to the server may have been idle to be used for a request that must not be
  * sent twice, microseconds. */
 int64_t est_max_idle_us (const Server *server, int64_t now);
-/* Records that a connection to the server broke as a request was sent; rested: it was reused after
- * being idle, not new. */
-void est_note_broken (Server *server, bool rested, int64_t now);
+/* Records that a connection to the server broke as a request was sent; reused: it was an idle
+ * connection, not a new one. */
+void est_note_broken (Server *server, bool reused, int64_t now);
 
 /* ---- Queues (waiting.c) ---- */
 
@@ -375,8 +376,8 @@
 Server *ver_choose (const Sched *sched, const Job *job, int64_t now);
 /* Notes that the job is placed on the server. Call before the server's counts include it. */
 void ver_note_grant (Job *job, const Server *server, int64_t now);
-/* Evaluate the job at its first event and at its end; ver_check_overdue, on each tick, finds
- * overdue answers. */
+/* Judge the job at its first event and at its end. ver_check_overdue, called on each tick, finds
+ * answers that are overdue. */
 void ver_note_first (const Sched *sched, Job *job, int64_t after_us);
 void ver_note_end (const Sched *sched, Job *job, const SchedResult *result, int64_t now);
 void ver_check_overdue (const Sched *sched, Service *service, int64_t now);
--- a/src/scheduler.c
+++ b/src/scheduler.c
@@ -27,7 +27,7 @@
 static guint
 key_hash (gconstpointer data)
 {
-  const Key *key = data;
+  const SchedKey *key = data;
 
   return (guint) (key->request * 2654435761u ^ key->owner ^ key->owner >> 32);
 }
@@ -35,7 +35,7 @@
 static gboolean
 key_equal (gconstpointer a, gconstpointer b)
 {
-  const Key *x = a, *y = b;
+  const SchedKey *x = a, *y = b;
 
   return x->owner == y->owner && x->request == y->request;
 }
@@ -72,7 +72,7 @@
 
   g_free (job->avoid);
   g_free (job->org);
-  g_free (job->kept);
+  g_free (job->connected);
   g_free (job);
 }
 
@@ -84,9 +84,9 @@
   sched->clock = clock;
   sched->ops = ops;
   sched->host = host;
-  sched->share = sched->rate_part = 1;
+  sched->share = sched->rate_share = 1;
   sched->weights = shr_weights_new ();
-  sched->grant_part = SCHED_UNBOUNDED;
+  sched->grant_share = SCHED_UNBOUNDED;
   sched->services = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, service_free);
   sched->servers = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, server_free);
   sched->by_digest = g_hash_table_new (NULL, NULL);
@@ -220,7 +220,7 @@
 void
 sched_set_grant_share (Sched *sched, double part, bool guessed)
 {
-  sched->grant_part = part;
+  sched->grant_share = part;
   sched->others_unknown = guessed;
 }
 
@@ -352,7 +352,7 @@
 
 /* Grants free places first to waiting requests whose owner has a connection to the server. By due
  * time alone hardly any would have one when places are short, and each new connection occupies its
- * place while it is set up. At most OVERTAKEN_MAX such requests overtake any other. The average
+ * place while it is set up. No request is overtaken by more than OVERTAKEN_MAX of them. The average
  * wait does not grow, since the place is in use either way. */
 static void
 dispatch_connected (Sched *sched, Service *service, struct cds_list_head *queue, int64_t now)
@@ -438,13 +438,13 @@
 {
   Job *job = g_new0 (Job, 1);
 
-  job->key = (Key){ ask->owner, ask->request };
+  job->key = (SchedKey){ ask->owner, ask->request };
   job->service = get_service (sched, ask->service);
   job->ask = *ask;
   job->ask.service = job->ask.org = job->ask.avoid = NULL;
   job->ask.kept = NULL;
   job->ask.kept_count = MIN (ask->kept_count, SCHED_CONNECTED_MAX);
-  job->kept = g_memdup2 (ask->kept, job->ask.kept_count * sizeof *ask->kept);
+  job->connected = g_memdup2 (ask->kept, job->ask.kept_count * sizeof *ask->kept);
   job->org = g_strdup (ask->org ? ask->org : "");
   job->avoid = ask->avoid && *ask->avoid ? g_strdup (ask->avoid) : NULL;
   job->work_us = est_work_us (sched, job->service, ask);
@@ -469,7 +469,7 @@
 bool
 sched_ask (Sched *sched, const SchedAsk *ask)
 {
-  Key key = { ask->owner, ask->request };
+  SchedKey key = { ask->owner, ask->request };
   int64_t now = ft_clock_now (sched->clock);
 
   if (g_hash_table_contains (sched->jobs, &key))
@@ -518,7 +518,7 @@
 void
 sched_adopt (Sched *sched, const SchedAsk *ask, const char *id)
 {
-  Key key = { ask->owner, ask->request };
+  SchedKey key = { ask->owner, ask->request };
   int64_t now = ft_clock_now (sched->clock);
   Server *server = g_hash_table_lookup (sched->servers, id);
   Job *job = g_hash_table_lookup (sched->jobs, &key);
@@ -539,7 +539,7 @@
 void
 sched_first_event (Sched *sched, uint64_t owner, uint64_t request, int64_t after_us)
 {
-  Key key = { owner, request };
+  SchedKey key = { owner, request };
   int64_t now = ft_clock_now (sched->clock);
   Job *job = g_hash_table_lookup (sched->jobs, &key);
 
@@ -552,8 +552,8 @@
   if (!job->service->conf.engine || !job->sole_prompt || job->ask.prompt_tokens < LEARN_TOKENS_MIN)
     return;
   double token = est_token_us (server);
-  double own = MAX ((double) after_us - NETWORK_US - token, 0.2 * (double) after_us);
-  curve_learn (&job->service->curve, &server->prompt_unit, job->ask.prompt_tokens, token, own);
+  double prefill = MAX ((double) after_us - NETWORK_US - token, 0.2 * (double) after_us);
+  curve_learn (&job->service->curve, &server->prompt_unit, job->ask.prompt_tokens, token, prefill);
 }
 
 /* Applies the parts of a notice that do not depend on which request was answered. */
@@ -571,7 +571,7 @@
 void
 sched_notice (Sched *sched, uint64_t owner, uint64_t request, const char *id, const Notice *notice)
 {
-  Key key = { owner, request };
+  SchedKey key = { owner, request };
   int64_t now = ft_clock_now (sched->clock);
   Server *server = g_hash_table_lookup (sched->servers, id);
   const Job *job = g_hash_table_lookup (sched->jobs, &key);
@@ -597,7 +597,7 @@
 void
 sched_silent (Sched *sched, uint64_t owner, uint64_t request)
 {
-  Key key = { owner, request };
+  SchedKey key = { owner, request };
   Job *job = g_hash_table_lookup (sched->jobs, &key);
 
   if (job && job->server)
@@ -607,7 +607,7 @@
 void
 sched_done (Sched *sched, uint64_t owner, uint64_t request, const SchedResult *result)
 {
-  Key key = { owner, request };
+  SchedKey key = { owner, request };
   int64_t now = ft_clock_now (sched->clock);
   Job *job = g_hash_table_lookup (sched->jobs, &key);
 
--- a/src/waiting.c
+++ b/src/waiting.c
@@ -97,8 +97,8 @@
 
 /* Makes admission depend on size: large requests are refused at a shorter queue than small ones. If
  * size did not count, a tenth of the requests, with answers ten times as long as usual, would hold
- * half of the places while others are refused. Large requests are favoured instead while their
- * on-time share is much lower than that of small ones, so that they are not starved. */
+ * half of the places while others are refused. While the on-time share of large requests is much
+ * lower than that of small ones, they are favoured instead and so not starved. */
 double
 wait_size_factor (const Job *job)
 {
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -45,7 +45,7 @@
 try "a grant takes no token" src/pace.c 's/pace.tokens -= 1/pace.tokens -= 0/' test-pace &
 try "a bucket opens full" src/pace.c 's/open_bucket \(sched, pace, rate, 0, now\)/open_bucket (sched, pace, rate, 10, now)/' test-pace &
 try "an overtaken word counts" src/pace.c 's/ \&\& !is_newer \(server, job\)//' test-pace &
-try "each scheduler has the whole rate" src/pace.c 's/pace->rate \* sched->rate_part/pace->rate/' test-pace &
+try "each scheduler has the whole rate" src/pace.c 's/pace->rate \* sched->rate_share/pace->rate/' test-pace &
 try "a successor starts with a token" src/pace.c 's/open_bucket \(sched, pace, rate, most, now\)/open_bucket (sched, pace, rate, 1, now)/' test-pace &
 try "a limited server counts with all places" src/pace.c 's/^  return MIN \(places, rate.*$/  return places + 0 * rate;/' test-pace &
 try "nobody is kept away" src/backoff.c 's/backoff_end \(server, owner\) <= now/true/' test-backoff &
