--- a/src/schedint.h
+++ b/src/schedint.h
@@ -63,9 +63,8 @@
 /* Which requests a server of this version gets. */
 typedef enum
 {
-  /* only requests marked for the version on trial */
-  USE_ALL,
-  USE_ON_TRIAL,
+  USE_ALL,      /* of the version in use */
+  USE_ON_TRIAL, /* only requests marked for the version on trial */
   USE_NONE
 } VersionUse;
 
