--- a/node/broker.c
+++ b/node/broker.c
@@ -68,7 +68,7 @@
 static u_int
 fill_of (const Broker *broker, const char *org)
 {
-  return (u_int) (1000 * quota_full (broker->quota, org));
+  return (u_int) (1000 * quota_fill_level (broker->quota, org));
 }
 
 /* Failure: everything has started, and hundreds of entries have no list yet. Symptom: they can send
@@ -151,7 +151,7 @@
 static void
 on_unused (void *host, const char *org, double cost)
 {
-  quota_give_back (((Broker *) host)->quota, org, cost);
+  quota_refund (((Broker *) host)->quota, org, cost);
 }
 
 static void
@@ -194,13 +194,13 @@
   SchedRefusal refusal = { .reason = FT_REASON_LIMIT_TOKENS };
   unsigned rank = rt_order_rank (ask->tier);
   double cost = ask->cost;
-  RetAsk want = { ask->org, ask->content, cost, rank, ask->end_at, timely_until (broker, ask) };
-  RetWord word;
+  RetRequest want = { ask->org, ask->content, cost, rank, ask->end_at, timely_until (broker, ask) };
+  RetAdvice word;
 
   if (cost <= 0)
     return true;
-  if (may_wait && !hand_settled (broker->hand)
-      && quota_lacks_part (broker->quota, ask->org, cost, rank))
+  if (may_wait && !hand_is_over (broker->hand)
+      && quota_limited_by_share (broker->quota, ask->org, cost, rank))
     {
       if (quota_take (broker->quota, ask->org, cost, rank, &refusal.retry_after_us))
         return true;
@@ -232,23 +232,23 @@
 void
 broker_apply_parts (Broker *broker)
 {
-  double part = hand_part (broker->hand);
-  double places = hand_settled (broker->hand) ? broker->places : 1;
+  double part = hand_share (broker->hand);
+  double places = hand_is_over (broker->hand) ? broker->places : 1;
   bool shared
-      = !hand_settled (broker->hand) || (broker_hands_over (broker) && broker_askers (broker) > 0);
+      = !hand_is_over (broker->hand) || (broker_hands_over (broker) && broker_askers (broker) > 0);
 
   sched_share (broker->sched, places, broker->salt);
   sched_grant_part (broker->sched, shared ? MIN (broker->places, part) : SCHED_UNBOUNDED,
-                    !hand_settled (broker->hand));
+                    !hand_is_over (broker->hand));
   sched_rate_part (broker->sched, broker->limits);
-  quota_share (broker->quota, MIN (broker->limits, part));
+  quota_set_share (broker->quota, MIN (broker->limits, part));
 }
 
 void
 broker_settle (Broker *broker)
 {
-  HandSettled how;
-  bool ended = hand_ended (broker->hand, &how);
+  HandResult how;
+  bool ended = hand_take_result (broker->hand, &how);
   const SchedAsk *ask;
 
   if (ended)
@@ -259,10 +259,10 @@
             JL_TEXT ("why", how.why), JL_TEXT ("by", broker->name));
       broker_apply_parts (broker);
     }
-  while ((ask = hand_due (broker->hand)))
+  while ((ask = hand_next_due (broker->hand)))
     {
       broker_decide (broker, ask, false);
-      hand_release (broker->hand);
+      hand_free_due (broker->hand);
     }
   if (ended)
     sched_tick (broker->sched);
@@ -285,7 +285,7 @@
 
   ask.owner = BROKER_SELF;
   if (cost > 0)
-    quota_used (broker->quota, ask.org, cost, loop_now (broker->loop));
+    quota_charge_remote (broker->quota, ask.org, cost, loop_now (broker->loop));
   sched_adopt (broker->sched, &ask, server);
 }
 
@@ -316,7 +316,7 @@
 void
 broker_done (Broker *broker, uint64_t request, const SchedResult *result)
 {
-  hand_drop (broker->hand, BROKER_SELF, request);
+  hand_cancel (broker->hand, BROKER_SELF, request);
   sched_done (broker->sched, BROKER_SELF, request, result);
 }
 
@@ -367,7 +367,7 @@
   for (unsigned i = 0; i < rt_cat_org_count (cat); i++)
     {
       const RtOrg *org = rt_cat_org_at (cat, i);
-      quota_limit (broker->quota, org->name, org->rate, org->burst);
+      quota_set_limit (broker->quota, org->name, org->rate, org->burst);
     }
 }
 
@@ -400,15 +400,15 @@
 void
 broker_margin (Broker *broker, double overage, double slack, double window_s, bool alone)
 {
-  quota_margin (broker->quota, overage, slack, window_s, alone);
+  quota_set_margin (broker->quota, overage, slack, window_s, alone);
 }
 
 void
 broker_configure (Broker *broker, const BrokerConf *conf)
 {
   broker->conf = *conf;
-  hand_wait (broker->hand, conf->handover_us);
-  ret_part (broker->returns, conf->return_part);
+  hand_set_max_wait (broker->hand, conf->handover_us);
+  ret_set_share (broker->returns, conf->return_part);
   sched_returns (broker->sched, conf->return_place_part);
   sched_fair (broker->sched, conf->fair_shares);
 }
@@ -444,7 +444,7 @@
 {
   broker_settle (broker);
   sched_tick (broker->sched);
-  ret_tick (broker->returns);
+  ret_expire (broker->returns);
   count_returns (broker);
   count_fair (broker);
 }
@@ -491,11 +491,11 @@
   broker->host = host;
   broker->sched = sched_new (loop_clock (loop), &sched_ops, broker);
   broker->quota = quota_new (loop_clock (loop));
-  broker->returns = ret_new (loop_clock (loop), RET_MOST / 2);
+  broker->returns = ret_new (loop_clock (loop), RET_MAX_RESERVATIONS / 2);
   broker->hand = hand_new (loop_clock (loop));
   broker->places = broker->limits = 1;
   if (ops)
-    hand_reported (broker->hand, BROKER_SELF); /* what the own instance runs is always known */
+    hand_note_report (broker->hand, BROKER_SELF); /* what the own instance runs is always known */
   broker->askers = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   broker->verdicts = g_array_new (FALSE, FALSE, sizeof (Verdict));
   broker->soon.fire = on_soon;
--- a/node/broker.h
+++ b/node/broker.h
@@ -47,7 +47,7 @@
 } BrokerConf;
 
 void broker_configure (Broker *broker, const BrokerConf *conf);
-/* See quota_margin. */
+/* See quota_set_margin. */
 void broker_margin (Broker *broker, double overage, double slack, double window_s, bool alone);
 /* Refuses and places what time has decided. Call every 20 ms or so. */
 void broker_tick (Broker *broker);
--- a/node/brokerlink.c
+++ b/node/brokerlink.c
@@ -23,9 +23,9 @@
 
   if (asker == NULL || asker->peer != peer)
     return;
-  hand_drop_owner (broker->hand, asker->owner);
+  hand_cancel_owner (broker->hand, asker->owner);
   if (!asker->away)
-    hand_gone (broker->hand, asker->owner);
+    hand_owner_gone (broker->hand, asker->owner);
   sched_owner_gone (broker->sched, asker->owner);
   g_hash_table_remove (broker->askers, &asker->owner);
 }
@@ -49,7 +49,7 @@
   bool away = asker->away;
 
   asker->away = false;
-  bool begins = hand_asked (broker->hand, asker->owner, broker->expected);
+  bool begins = hand_note_request (broker->hand, asker->owner, broker->expected);
   if (away && broker->heard > 0)
     broker_share_by_heard (broker);
   else if (begins)
@@ -62,9 +62,11 @@
   int64_t now = loop_now (broker->loop);
 
   if (from->org_fill_ms != MESH_FILL_UNKNOWN)
-    quota_report (broker->quota, from->org, from->org_fill / 1e3, now - from->org_fill_ms * FT_MS);
+    quota_apply_report (broker->quota, from->org, from->org_fill / 1e3,
+                        now - from->org_fill_ms * FT_MS);
   if (from->spent_tokens > 0)
-    quota_used (broker->quota, from->org, from->spent_tokens, now - from->spent_ms * FT_MS);
+    quota_charge_remote (broker->quota, from->org, from->spent_tokens,
+                         now - from->spent_ms * FT_MS);
 }
 
 /* An entry that reports and has nothing to ask is no asker: a deputy reads the list for those. */
@@ -74,7 +76,7 @@
   comes_back (broker, asker);
   for (unsigned i = 0; i < from->accounts.accounts_len; i++)
     take_account (broker, &from->accounts.accounts_val[i]);
-  hand_reported (broker->hand, asker->owner);
+  hand_note_report (broker->hand, asker->owner);
   broker_apply_parts (broker);
   broker_settle (broker);
 }
@@ -112,7 +114,7 @@
   take_account (broker, &account);
   if (from->running)
     {
-      hand_drop (broker->hand, ask.owner, ask.request);
+      hand_cancel (broker->hand, ask.owner, ask.request);
       sched_adopt (broker->sched, &ask, from->server);
       return;
     }
@@ -153,7 +155,7 @@
 bool
 broker_takes_over (const Broker *broker)
 {
-  return !hand_settled (broker->hand);
+  return !hand_is_over (broker->hand);
 }
 
 static void
@@ -175,7 +177,7 @@
 {
   if (asker == NULL || asker->away)
     return;
-  hand_gone (broker->hand, asker->owner);
+  hand_owner_gone (broker->hand, asker->owner);
   asker->away = true;
   asker->asked_at = -ASKED_LATELY;
 }
@@ -216,7 +218,7 @@
       result
           = (SchedResult){ done->outcome <= SCHED_LEFT ? (SchedOutcome) done->outcome : SCHED_LEFT,
                            done->event_us, done->answer_us, done->broke, done->rested_ms * FT_MS };
-      hand_drop (broker->hand, peer->lifetime, done->request);
+      hand_cancel (broker->hand, peer->lifetime, done->request);
       sched_done (broker->sched, peer->lifetime, done->request, &result);
       return true;
     default:
--- a/node/place.h
+++ b/node/place.h
@@ -31,8 +31,8 @@
 void place_ask (Place *place, const SchedAsk *ask, double cost);
 void place_first (Place *place, uint64_t request, int64_t after_us);
 /* The head of the answer to the request said this of its server; empty: nothing. */
-NoticesTaken place_notice (Place *place, uint64_t request, const char *server,
-                           const Notice *notice);
+NoticesChange place_notice (Place *place, uint64_t request, const char *server,
+                            const Notice *notice);
 /* The server said something that cannot be read. True: for the first time. */
 bool place_unread (Place *place, const char *server);
 /* Why the entry sends nothing to the server, by the server's own word: "leaving", or "backoff" and
--- a/node/placemsg.c
+++ b/node/placemsg.c
@@ -183,11 +183,11 @@
   return false;
 }
 
-NoticesTaken
+NoticesChange
 place_notice (Place *place, uint64_t request, const char *server, const Notice *notice)
 {
   const Item *item = place_item (place, request);
-  NoticesTaken taken = notices_take (place->notices, server, notice);
+  NoticesChange taken = notices_record (place->notices, server, notice);
 
   broker_notice (place->own, request, server, notice);
   if (item == NULL || (taken == NOTICES_NONE && !item->paced))
@@ -203,14 +203,14 @@
 bool
 place_unread (Place *place, const char *server)
 {
-  return notices_unread (place->notices, server);
+  return notices_record_unreadable (place->notices, server);
 }
 
 const char *
 place_withholds (Place *place, const char *server, int64_t *for_us)
 {
   Notice notice;
-  const char *why = notices_forbid (place->notices, server, &notice);
+  const char *why = notices_block_reason (place->notices, server, &notice);
 
   *for_us = notice.backoff_us;
   if (why == NULL)
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -85,12 +85,12 @@
 static void
 end_quarantined (Req *req, const QuarVerdict *verdict)
 {
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
   const char *why = ft_reason_info (FT_REASON_QUARANTINED)->code;
 
   count_up (COUNT_QUARANTINED);
   jlog (JLOG_INFO, "decision", req->id, JL_TEXT ("reason", why),
-        JL_TEXT ("content", content_text (req->content, content)), JL_INT ("ends", verdict->ends),
+        JL_TEXT ("content", content_format (req->content, content)), JL_INT ("ends", verdict->ends),
         JL_MS ("known_ms", verdict->known_us), JL_TEXT ("by", "entry"));
   if (req->begun)
     req_break_off (req, why);
--- a/node/requests.c
+++ b/node/requests.c
@@ -37,11 +37,11 @@
 {
   switch (event)
     {
-    case RETRY_UNREACHED:
+    case RETRY_NOT_CONNECTED:
       return SCHED_UNREACHED;
     case RETRY_REJECTED:
       return SCHED_REJECTED;
-    case RETRY_GONE:
+    case RETRY_OTHER_SERVER:
       return SCHED_GONE;
     case RETRY_ANSWERED:
       return SCHED_OK;
@@ -68,7 +68,7 @@
                        .budget = true };
   RetryStep step = retry_next (event, &facts);
 
-  if (retry_draws (event, step) && !budget_take (all->conf.budget, req->service))
+  if (retry_uses_budget (event, step) && !budget_take (all->conf.budget, req->service))
     {
       facts.budget = false;
       step = retry_next (event, &facts);
@@ -94,17 +94,17 @@
       req->avoid = g_strdup (req->server);
       if (req->stream)
         events_restart (req->stream);
-      if (event != RETRY_UNREACHED)
+      if (event != RETRY_NOT_CONNECTED)
         count_up (step == RETRY_RESUME ? COUNT_RESUMES : COUNT_REPEATS);
       req_ask (req);
       break;
     case RETRY_DELIVER:
       req_finish (req);
       break;
-    case RETRY_SAY_NOT_RUN:
+    case RETRY_ANSWER_NOT_RUN:
       req_answer_own (req, 503, advice (req), "no-server-took-it");
       break;
-    case RETRY_BREAK_OFF:
+    case RETRY_ABORT:
       req_break_off (req, retry_event_name (event));
       break;
     default:
@@ -202,14 +202,14 @@
                                             : req->route->timeout_us;
   req->end_at = req->arrived + patience;
   if (req->facts.patience_us)
-    req->waited_before = patience_note (all->patience, req->route->name, req->facts.patience_us);
+    req->waited_before = patience_record (all->patience, req->route->name, req->facts.patience_us);
   req->first_by = req->end_at;
   if (req->route->kind == RT_STREAM)
     req->first_by = MIN (
         req->end_at,
         req->arrived + all->conf.seam->first_patience (req->route->aim_us, req->route->gap_us));
   req->service = rt_route_target (req->route, g_random_int ());
-  budget_note (all->conf.budget, req->service);
+  budget_count_request (all->conf.budget, req->service);
   loop_timer_set (all->conf.loop, &req->limit, req->end_at);
   req_ask (req);
 }
--- a/node/try.c
+++ b/node/try.c
@@ -56,7 +56,7 @@
     }
   req->sends--;
   req->unreached++;
-  req_after_try (req, RETRY_GONE);
+  req_after_try (req, RETRY_OTHER_SERVER);
 }
 
 /* What the server says of itself counts if the answer is its own, to this request. A value that
@@ -71,7 +71,7 @@
   if (answer->elsewhere || (answer->id == NULL && *req->id))
     return;
   if (answer->unread == NULL || !notice_is_empty (notice))
-    news = place_notice (place, req->number, req->server, notice) == NOTICES_NEW;
+    news = place_notice (place, req->number, req->server, notice) == NOTICES_CHANGED;
   if (answer->unread)
     news = place_unread (place, req->server) || news;
   if (!notice_is_empty (notice))
@@ -120,7 +120,7 @@
   req->is_stream = answer.event_stream && req->status / 100 == 2;
   if (req->begun && !req->is_stream)
     {
-      req_after_try (req, RETRY_CUT); /* it cannot go on behind what the caller has */
+      req_after_try (req, RETRY_STREAM_CUT); /* it cannot go on behind what the caller has */
       return true;
     }
   if (!req->begun)
@@ -268,7 +268,7 @@
   else if (is_proof (req))
     witness_answered (req->all->conf.witness, req->server, req->content, req->sent_at);
   if (req->is_stream && events_within (req->stream))
-    req_after_try (req, RETRY_CUT);
+    req_after_try (req, RETRY_STREAM_CUT);
   else if (req->is_stream)
     {
       if (!req->begun)
@@ -297,14 +297,14 @@
       count_up (COUNT_UNREACHED);
       if (fault == HXFER_REFUSED)
         witness_refused (req->all->conf.witness, req->server);
-      req_after_try (req, RETRY_UNREACHED);
+      req_after_try (req, RETRY_NOT_CONNECTED);
       return;
     }
   req->broke = !req->head_seen && req_now (req) - req->sent_at < BREAKS_AT_ONCE;
   if (req->rejected)
     after_rejection (req);
   else
-    req_after_try (req, req->begun ? RETRY_CUT : RETRY_BROKEN);
+    req_after_try (req, req->begun ? RETRY_STREAM_CUT : RETRY_BROKEN);
 }
 
 static const HXferOps xfer_ops = { on_head, on_body, on_end, on_failed };
--- a/src/admit.c
+++ b/src/admit.c
@@ -22,19 +22,19 @@
 #define PART_MOST 0.9 /* of the places that promises are taken to use: others wait for the rest */
 
 static void
-refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t promised_at, RetWord word,
+refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t promised_at, RetAdvice word,
         int64_t now)
 {
   SchedRefusal refusal = { .reason = reason };
   int64_t left = MAX (0, job->ask.end_at - now);
   Key key = job->key;
 
-  refusal.retry_after_us = MIN ((int64_t) MIN (wait, 1e9), left / ADVICE_PART);
+  refusal.retry_after_us = MIN ((int64_t) MIN (wait, 1e9), left / RET_WAIT_DIVISOR);
   refusal.retry_after_us = MAX (refusal.retry_after_us, ADVICE_LEAST);
-  if (word == RET_PROMISED)
+  if (word == RET_RESERVED)
     refusal.retry_after_us = promised_at - now;
   if (job->promised)
-    ret_note (sched->returns, false);
+    ret_count_outcome (sched->returns, false);
   snprintf (refusal.rule, sizeof refusal.rule,
             "tier %u: %u waiting, start in %.0f ms, of use for %.0f ms", job->ask.tier,
             wait_tier (job->service, job->ask.tier)->count, MIN (wait, 1e9) / 1e3,
@@ -47,7 +47,7 @@
 void
 admit_refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t now)
 {
-  refuse (sched, job, reason, wait, 0, RET_PLAIN, now);
+  refuse (sched, job, reason, wait, 0, RET_NO_RESERVATION, now);
 }
 
 /* ---- Times that are promised ---- */
@@ -55,17 +55,17 @@
 static uint64_t
 line_of (const Job *job)
 {
-  return ret_line (job->service->name, job->ask.tier);
+  return ret_resource_id (job->service->name, job->ask.tier);
 }
 
 /* Where higher tiers leave no places none are promised: the caller would come and wait in vain. */
 static bool
-promise (Sched *sched, const Job *job, RetOffer *offer, int64_t now, int64_t *at)
+promise (Sched *sched, const Job *job, RetDemand *offer, int64_t now, int64_t *at)
 {
   offer->rate = est_left_places (sched, job->service, job->ask.tier, false, now);
   *at = INT64_MAX;
   return est_part_above (sched, job->service, job->ask.tier, now) < 1
-         && ret_promise (sched->returns, offer, at);
+         && ret_reserve (sched->returns, offer, at);
 }
 
 /* Refuses for want of places, with a time at which it is served if there is one. A time that leads
@@ -74,25 +74,25 @@
 static void
 refuse_short (Sched *sched, Job *job, double wait, int64_t now)
 {
-  RetOffer offer
-      = { .line = line_of (job),
-          .content = job->ask.content,
-          .cost = job->work_us,
-          .tell_from = now + ADVICE_LEAST,
-          .use_until = job->ask.aim_at
-                       - (int64_t) (FIRST_CAUTION * est_first_us (sched, job->service, &job->ask)),
-          .end_at = job->ask.end_at };
-  RetWord word = RET_PLAIN;
+  RetDemand offer = { .resource = line_of (job),
+                      .content = job->ask.content,
+                      .cost = job->work_us,
+                      .not_before = now + ADVICE_LEAST,
+                      .useful_until
+                      = job->ask.aim_at
+                        - (int64_t) (FIRST_CAUTION * est_first_us (sched, job->service, &job->ask)),
+                      .end_at = job->ask.end_at };
+  RetAdvice word = RET_NO_RESERVATION;
   int64_t at = INT64_MAX;
 
-  if (sched->returns && ret_part_of (sched->returns) > 0 && offer.content)
+  if (sched->returns && ret_share (sched->returns) > 0 && offer.content)
     {
-      word = promise (sched, job, &offer, now, &at) ? RET_PROMISED : RET_BEYOND;
+      word = promise (sched, job, &offer, now, &at) ? RET_RESERVED : RET_TOO_LATE;
       if (at < INT64_MAX)
         wait = MAX (wait, (double) (at - now));
     }
-  if (word == RET_BEYOND)
-    ret_tell (sched->returns, &offer, (int64_t) CLAMP (wait, ADVICE_LEAST, 1e9));
+  if (word == RET_TOO_LATE)
+    ret_record_wait (sched->returns, &offer, (int64_t) CLAMP (wait, ADVICE_LEAST, 1e9));
   refuse (sched, job, FT_REASON_SHORTAGE, wait, at, word, now);
 }
 
@@ -101,9 +101,9 @@
 {
   *at = 0;
   *promised = false;
-  return sched->returns ? ret_state (sched->returns, line_of (job), job->ask.content,
-                                     job->ask.end_at, at, promised)
-                        : RET_NONE;
+  return sched->returns ? ret_lookup (sched->returns, line_of (job), job->ask.content,
+                                      job->ask.end_at, at, promised)
+                        : RET_UNKNOWN;
 }
 
 void
@@ -114,7 +114,7 @@
 
   job->promised = state_of (sched, job, &at, &promised) == RET_DUE;
   if (job->promised)
-    ret_redeem (sched->returns, line_of (job), job->ask.content);
+    ret_consume (sched->returns, line_of (job), job->ask.content);
 }
 
 void
@@ -125,8 +125,8 @@
 
   if (job->promised
       || (state_of (sched, job, &at, &promised) == RET_EARLY
-          && ret_redeem (sched->returns, line_of (job), job->ask.content)))
-    ret_note (sched->returns, true);
+          && ret_consume (sched->returns, line_of (job), job->ask.content)))
+    ret_count_outcome (sched->returns, true);
 }
 
 /* A caller that comes before the time that it was told gets a free place, as anybody does, but
@@ -140,7 +140,7 @@
   if (state_of (sched, job, &at, &promised) != RET_EARLY || boff_any_place (sched, job, now))
     return false;
   refuse (sched, job, FT_REASON_SHORTAGE, (double) (at - now), at,
-          promised ? RET_PROMISED : RET_BEYOND, now);
+          promised ? RET_RESERVED : RET_TOO_LATE, now);
   return true;
 }
 
@@ -152,8 +152,8 @@
 
   if (sched->returns == NULL)
     return wait;
-  double part = MIN (ret_part_of (sched->returns), PART_MOST);
-  double promised = (double) (ret_until (sched->returns, line_of (job)) - now);
+  double part = MIN (ret_share (sched->returns), PART_MOST);
+  double promised = (double) (ret_reserved_until (sched->returns, line_of (job)) - now);
   return wait + part * CLAMP (promised, 0, wait / (1 - part));
 }
 
--- a/src/returns.c
+++ b/src/returns.c
@@ -1,20 +1,21 @@
-/* returns.c - a ledger of the times at which refused callers are served when they come back.
+/* returns.c - reserves capacity for refused callers that return at the time they were told.
  *
- * Failure: many callers are refused at once, and all are told the same time, at which most cannot
- * be served. Symptom: they come back together, are refused again, and each caller that is served
- * costs several refusals. A refused caller is promised a time of its own instead. Each promise
- * fills over an interval of its own in which a part of what becomes free is set aside for it; the
- * next one's interval begins where it ends. So promises never take more than that part, and
- * newcomers keep the rest: an answer on time is worth more to its caller than one after a refusal.
+ * Failure: many callers are refused at the same moment and are all given the same retry time, at
+ * which most cannot be served. Symptom: they return together and are refused again, so each served
+ * caller costs several refusals. Each refused caller is therefore given a return time of its own.
+ * A reservation fills over an interval during which a share of the capacity that becomes free is
+ * set aside for it; the interval of the next reservation begins where it ends. So reservations
+ * never take more than that share and newcomers keep the rest: an answer on time is worth more to a
+ * caller than one after a refusal.
  *
- * What is promised becomes free at a line: tokens at an organisation's limit, slot time at a
- * service's places. An interval ends RETURN_EARLY before the time that the caller is told, so that
- * everything is set aside when the earliest caller comes.
+ * Two kinds of resources have reservations: tokens of an organisation's limit, and slot time of a
+ * service's places. An interval ends RET_EARLY_US before the return time, so that all the capacity
+ * is there for a caller whose timer runs early.
  *
- * Failure: a caller repeats its request at once and all the time. Symptom: it is the first to ask
- * whenever something becomes free, and those that wait as they were told get nothing. What a caller
- * was told is therefore remembered, also where nothing was promised, and before that time it gets
- * only what nobody else is short of.
+ * Failure: a caller repeats its request immediately and continually. Symptom: it is the first to
+ * ask whenever capacity becomes free, and callers that wait as told get nothing. Return times are
+ * therefore remembered, also where nothing was reserved, and a caller that returns early gets only
+ * capacity that is not scarce.
  */
 #include "returns.h"
 
@@ -25,48 +26,51 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#define SAME_CALLER                                                                                \
-  (20 * FT_MS) /* by which the limit that a caller sets itself moves from one try to the next */
-#define EASE_PART 0.5 /* of a burst: fuller than an account that others are short of */
+/* A caller's time limit differs by less than this from one try to the next. */
+#define SAME_CALLER_US (20 * FT_MS)
+/* Part of the burst that an early caller must leave: the bucket of an organisation that is short of
+ * tokens is emptier than that. */
+#define EARLY_RESERVE 0.5
 
 typedef struct
 {
-  uint64_t line, content;
+  uint64_t resource, content;
 } Key;
 
+/* A reservation, or the record of a caller that was given a return time without one. */
 typedef struct
 {
   Key key;
-  struct cds_list_head link; /* of its line, by time; of a promise */
-  struct cds_list_head age;  /* of its table, the oldest first */
-  int64_t ready_at;          /* all of it is set aside; its caller is no longer early ... */
-  float fill_us;             /* ... after it has filled for so long */
+  struct cds_list_head link; /* in Resource.reservations, by time; unused in the waits table */
+  struct cds_list_head age;  /* in Table.ages, the oldest first */
+  int64_t ready_at;          /* its capacity is complete, and its caller is no longer early */
+  float fill_us;             /* length of the interval in which it fills, up to ready_at */
   unsigned rank;
   double cost;
-  int64_t end_at; /* the caller's own limit */
-} Promise;
+  int64_t end_at; /* the caller's own time limit */
+} Reservation;
 
 typedef struct
 {
-  GHashTable *by_key; /* Promise */
+  GHashTable *by_key; /* Key: Reservation */
   struct cds_list_head ages;
 } Table;
 
 typedef struct
 {
-  uint64_t number;
-  struct cds_list_head promises;
-  int64_t until; /* the part is promised until then */
-} Line;
+  uint64_t id;
+  struct cds_list_head reservations;
+  int64_t until; /* the reservable share is taken until then */
+} Resource;
 
 struct Returns
 {
   FtClock *clock;
-  double part;
+  double share; /* of the capacity that may be reserved */
   unsigned most;
-  GHashTable *lines; /* number: Line */
-  Table promises;
-  Table told; /* times without a promise */
+  GHashTable *resources; /* id: Resource */
+  Table reservations;
+  Table waits; /* return times without a reservation */
   RetCounts counts;
 };
 
@@ -74,7 +78,7 @@
 key_hash (gconstpointer data)
 {
   const Key *key = data;
-  uint64_t mixed = key->line ^ key->content;
+  uint64_t mixed = key->resource ^ key->content;
 
   return (guint) (mixed ^ mixed >> 32);
 }
@@ -99,9 +103,9 @@
 
   ret->clock = clock;
   ret->most = most;
-  ret->lines = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  table_init (&ret->promises);
-  table_init (&ret->told);
+  ret->resources = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  table_init (&ret->reservations);
+  table_init (&ret->waits);
   return ret;
 }
 
@@ -110,257 +114,261 @@
 {
   if (ret == NULL)
     return;
-  g_hash_table_unref (ret->promises.by_key);
-  g_hash_table_unref (ret->told.by_key);
-  g_hash_table_unref (ret->lines);
+  g_hash_table_unref (ret->reservations.by_key);
+  g_hash_table_unref (ret->waits.by_key);
+  g_hash_table_unref (ret->resources);
   g_free (ret);
 }
 
 static void
-drop (Table *table, Promise *promise)
+drop (Table *table, Reservation *reservation)
 {
-  cds_list_del (&promise->link);
-  cds_list_del (&promise->age);
-  g_hash_table_remove (table->by_key, &promise->key);
+  cds_list_del (&reservation->link);
+  cds_list_del (&reservation->age);
+  g_hash_table_remove (table->by_key, &reservation->key);
 }
 
-static Promise *
+static Reservation *
 oldest (Table *table)
 {
-  return cds_list_empty (&table->ages) ? NULL : cds_list_first_entry (&table->ages, Promise, age);
+  return cds_list_empty (&table->ages) ? NULL
+                                       : cds_list_first_entry (&table->ages, Reservation, age);
 }
 
 static void
-lapse (Returns *ret, Promise *promise)
+lapse (Returns *ret, Reservation *reservation)
 {
   ret->counts.lapsed++;
-  drop (&ret->promises, promise);
+  drop (&ret->reservations, reservation);
 }
 
 void
-ret_part (Returns *ret, double part)
+ret_set_share (Returns *ret, double share)
 {
-  ret->part = part;
-  while (part <= 0 && oldest (&ret->promises))
-    lapse (ret, oldest (&ret->promises));
-  while (part <= 0 && oldest (&ret->told))
-    drop (&ret->told, oldest (&ret->told));
+  ret->share = share;
+  while (share <= 0 && oldest (&ret->reservations))
+    lapse (ret, oldest (&ret->reservations));
+  while (share <= 0 && oldest (&ret->waits))
+    drop (&ret->waits, oldest (&ret->waits));
 }
 
 double
-ret_part_of (const Returns *ret)
+ret_share (const Returns *ret)
 {
-  return ret->part;
+  return ret->share;
 }
 
 uint64_t
-ret_line (const char *name, unsigned tier)
+ret_resource_id (const char *name, unsigned tier)
 {
   return XXH64 (name, strlen (name), tier);
 }
 
-/* ---- Lines ---- */
+/* ---- Resources ---- */
 
-static Line *
-line_of (Returns *ret, uint64_t number)
+static Resource *
+resource_of (Returns *ret, uint64_t id)
 {
-  Line *line = g_hash_table_lookup (ret->lines, &number);
+  Resource *resource = g_hash_table_lookup (ret->resources, &id);
 
-  if (line)
-    return line;
-  line = g_new0 (Line, 1);
-  line->number = number;
-  CDS_INIT_LIST_HEAD (&line->promises);
-  g_hash_table_insert (ret->lines, &line->number, line);
-  return line;
+  if (resource)
+    return resource;
+  resource = g_new0 (Resource, 1);
+  resource->id = id;
+  CDS_INIT_LIST_HEAD (&resource->reservations);
+  g_hash_table_insert (ret->resources, &resource->id, resource);
+  return resource;
 }
 
 static void
-lapse_due (Returns *ret, Line *line, int64_t now)
+lapse_overdue (Returns *ret, Resource *resource, int64_t now)
 {
-  Promise *promise, *next;
+  Reservation *reservation, *next;
 
-  cds_list_for_each_entry_safe (promise, next, &line->promises, link)
+  cds_list_for_each_entry_safe (reservation, next, &resource->reservations, link)
   {
-    if (promise->ready_at + RETURN_EARLY + RETURN_GRACE >= now)
+    if (reservation->ready_at + RET_EARLY_US + RET_GRACE_US >= now)
       return;
-    lapse (ret, promise);
+    lapse (ret, reservation);
   }
 }
 
 void
-ret_tick (Returns *ret)
+ret_expire (Returns *ret)
 {
   int64_t now = ft_clock_now (ret->clock);
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, ret->lines);
+  g_hash_table_iter_init (&iter, ret->resources);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      Line *line = value;
-      lapse_due (ret, line, now);
-      if (cds_list_empty (&line->promises) && line->until <= now)
+      Resource *resource = value;
+      lapse_overdue (ret, resource, now);
+      if (cds_list_empty (&resource->reservations) && resource->until <= now)
         g_hash_table_iter_remove (&iter);
     }
-  while (oldest (&ret->told) && oldest (&ret->told)->ready_at <= now)
-    drop (&ret->told, oldest (&ret->told));
+  while (oldest (&ret->waits) && oldest (&ret->waits)->ready_at <= now)
+    drop (&ret->waits, oldest (&ret->waits));
 }
 
 int64_t
-ret_until (const Returns *ret, uint64_t number)
+ret_reserved_until (const Returns *ret, uint64_t id)
 {
-  const Line *line = g_hash_table_lookup (ret->lines, &number);
+  const Resource *resource = g_hash_table_lookup (ret->resources, &id);
 
-  return line ? line->until : 0;
+  return resource ? resource->until : 0;
 }
 
 double
-ret_aside (Returns *ret, uint64_t number, unsigned rank, uint64_t content)
+ret_reserved (Returns *ret, uint64_t id, unsigned rank, uint64_t content)
 {
   int64_t now = ft_clock_now (ret->clock);
-  Line *line = g_hash_table_lookup (ret->lines, &number);
-  const Promise *promise;
+  Resource *resource = g_hash_table_lookup (ret->resources, &id);
+  const Reservation *reservation;
   double sum = 0;
 
-  if (line == NULL)
+  if (resource == NULL)
     return 0;
-  lapse_due (ret, line, now);
-  cds_list_for_each_entry (promise, &line->promises, link)
+  lapse_overdue (ret, resource, now);
+  cds_list_for_each_entry (reservation, &resource->reservations, link)
   {
-    double filled = (double) (now - promise->ready_at) + promise->fill_us;
+    double filled = (double) (now - reservation->ready_at) + reservation->fill_us;
     if (filled <= 0)
       break;
-    if (promise->rank <= rank && promise->key.content != content)
-      sum += promise->cost * (filled < promise->fill_us ? filled / promise->fill_us : 1);
+    if (reservation->rank <= rank && reservation->key.content != content)
+      sum += reservation->cost
+             * (filled < reservation->fill_us ? filled / reservation->fill_us : 1);
   }
   return sum;
 }
 
-/* ---- Promises ---- */
+/* ---- Reservations ---- */
 
-static Promise *
-promise_of (Returns *ret, const Key *key)
+static Reservation *
+reservation_of (Returns *ret, const Key *key)
 {
-  Line *line = g_hash_table_lookup (ret->lines, &key->line);
+  Resource *resource = g_hash_table_lookup (ret->resources, &key->resource);
 
-  if (line == NULL)
+  if (resource == NULL)
     return NULL;
-  lapse_due (ret, line, ft_clock_now (ret->clock));
-  return g_hash_table_lookup (ret->promises.by_key, key);
+  lapse_overdue (ret, resource, ft_clock_now (ret->clock));
+  return g_hash_table_lookup (ret->reservations.by_key, key);
 }
 
 static bool
-is_early (const Promise *told, int64_t end_at, int64_t now)
+is_early (const Reservation *wait, int64_t end_at, int64_t now)
 {
-  return now < told->ready_at && ABS (end_at - told->end_at) <= SAME_CALLER;
+  return now < wait->ready_at && ABS (end_at - wait->end_at) <= SAME_CALLER_US;
 }
 
 RetState
-ret_state (Returns *ret, uint64_t line, uint64_t content, int64_t end_at, int64_t *at,
-           bool *promised)
+ret_lookup (Returns *ret, uint64_t resource, uint64_t content, int64_t end_at, int64_t *at,
+            bool *promised)
 {
-  Key key = { line, content };
+  Key key = { resource, content };
   int64_t now = ft_clock_now (ret->clock);
-  const Promise *promise = promise_of (ret, &key);
-  const Promise *told = promise ? promise : g_hash_table_lookup (ret->told.by_key, &key);
-
-  if (told == NULL || content == 0)
-    return RET_NONE;
-  *at = told->ready_at + RETURN_EARLY;
-  *promised = promise != NULL;
-  if (is_early (told, end_at, now))
+  const Reservation *reservation = reservation_of (ret, &key);
+  const Reservation *wait
+      = reservation ? reservation : g_hash_table_lookup (ret->waits.by_key, &key);
+
+  if (wait == NULL || content == 0)
+    return RET_UNKNOWN;
+  *at = wait->ready_at + RET_EARLY_US;
+  *promised = reservation != NULL;
+  if (is_early (wait, end_at, now))
     return RET_EARLY;
-  if (promise == NULL)
-    return RET_NONE;
-  return now < promise->ready_at ? RET_OTHER : RET_DUE;
+  if (reservation == NULL)
+    return RET_UNKNOWN;
+  return now < reservation->ready_at ? RET_OTHER_CALLER : RET_DUE;
 }
 
-static Promise *
-add (Returns *ret, Table *table, const RetOffer *offer, int64_t ready_at)
+static Reservation *
+add (Returns *ret, Table *table, const RetDemand *demand, int64_t ready_at)
 {
-  Promise *promise = g_new0 (Promise, 1);
+  Reservation *reservation = g_new0 (Reservation, 1);
 
-  *promise = (Promise){ .key = { offer->line, offer->content },
-                        .ready_at = ready_at,
-                        .rank = offer->rank,
-                        .cost = offer->cost,
-                        .end_at = offer->end_at };
+  *reservation = (Reservation){ .key = { demand->resource, demand->content },
+                                .ready_at = ready_at,
+                                .rank = demand->rank,
+                                .cost = demand->cost,
+                                .end_at = demand->end_at };
   if (g_hash_table_size (table->by_key) >= ret->most)
     {
-      ret->counts.lapsed += table == &ret->promises;
+      ret->counts.lapsed += table == &ret->reservations;
       drop (table, oldest (table));
     }
-  CDS_INIT_LIST_HEAD (&promise->link);
-  cds_list_add_tail (&promise->age, &table->ages);
-  g_hash_table_insert (table->by_key, &promise->key, promise);
-  return promise;
+  CDS_INIT_LIST_HEAD (&reservation->link);
+  cds_list_add_tail (&reservation->age, &table->ages);
+  g_hash_table_insert (table->by_key, &reservation->key, reservation);
+  return reservation;
 }
 
 static void
-forget_told (Returns *ret, const Key *key)
+forget_wait (Returns *ret, const Key *key)
 {
-  Promise *told = g_hash_table_lookup (ret->told.by_key, key);
+  Reservation *wait = g_hash_table_lookup (ret->waits.by_key, key);
 
-  if (told)
-    drop (&ret->told, told);
+  if (wait)
+    drop (&ret->waits, wait);
 }
 
 bool
-ret_promise (Returns *ret, const RetOffer *offer, int64_t *at)
+ret_reserve (Returns *ret, const RetDemand *demand, int64_t *at)
 {
-  Key key = { offer->line, offer->content };
+  Key key = { demand->resource, demand->content };
   int64_t now = ft_clock_now (ret->clock);
-  int64_t latest = now + MAX (0, offer->end_at - now) / ADVICE_PART;
+  int64_t latest = now + MAX (0, demand->end_at - now) / RET_WAIT_DIVISOR;
 
-  if (offer->use_until)
-    latest = MIN (latest, offer->use_until);
+  if (demand->useful_until)
+    latest = MIN (latest, demand->useful_until);
   *at = INT64_MAX;
-  if (ret->part <= 0 || offer->content == 0 || offer->rate <= 0)
+  if (ret->share <= 0 || demand->content == 0 || demand->rate <= 0)
     return false;
-  double fill_us = offer->cost / (ret->part * offer->rate);
-  double start = (double) MAX (MAX (now, offer->start_at), ret_until (ret, offer->line));
-  double ready = MAX (start + fill_us, (double) (offer->tell_from - RETURN_EARLY));
-  *at = (int64_t) MIN (ceil (ready), (double) INT64_MAX / 2) + RETURN_EARLY;
-  if (*at > latest || promise_of (ret, &key))
+  double fill_us = demand->cost / (ret->share * demand->rate);
+  double start
+      = (double) MAX (MAX (now, demand->start_at), ret_reserved_until (ret, demand->resource));
+  double ready = MAX (start + fill_us, (double) (demand->not_before - RET_EARLY_US));
+  *at = (int64_t) MIN (ceil (ready), (double) INT64_MAX / 2) + RET_EARLY_US;
+  if (*at > latest || reservation_of (ret, &key))
     return false;
-  forget_told (ret, &key);
-  Promise *promise = add (ret, &ret->promises, offer, *at - RETURN_EARLY);
-  Line *line = line_of (ret, offer->line);
-  promise->fill_us = (float) fill_us;
-  cds_list_add_tail (&promise->link, &line->promises);
-  line->until = promise->ready_at;
+  forget_wait (ret, &key);
+  Reservation *reservation = add (ret, &ret->reservations, demand, *at - RET_EARLY_US);
+  Resource *resource = resource_of (ret, demand->resource);
+  reservation->fill_us = (float) fill_us;
+  cds_list_add_tail (&reservation->link, &resource->reservations);
+  resource->until = reservation->ready_at;
   ret->counts.promised++;
   return true;
 }
 
 void
-ret_tell (Returns *ret, const RetOffer *offer, int64_t wait_us)
+ret_record_wait (Returns *ret, const RetDemand *demand, int64_t wait_us)
 {
-  Key key = { offer->line, offer->content };
+  Key key = { demand->resource, demand->content };
   int64_t now = ft_clock_now (ret->clock);
-  int64_t heeds = MIN (wait_us, MAX (0, offer->end_at - now) / ADVICE_PART);
+  int64_t wait_at_most = MIN (wait_us, MAX (0, demand->end_at - now) / RET_WAIT_DIVISOR);
 
-  if (ret->part <= 0 || offer->content == 0)
+  if (ret->share <= 0 || demand->content == 0)
     return;
-  forget_told (ret, &key);
-  add (ret, &ret->told, offer, now + heeds - RETURN_EARLY);
+  forget_wait (ret, &key);
+  add (ret, &ret->waits, demand, now + wait_at_most - RET_EARLY_US);
 }
 
 bool
-ret_redeem (Returns *ret, uint64_t line, uint64_t content)
+ret_consume (Returns *ret, uint64_t resource, uint64_t content)
 {
-  Key key = { line, content };
-  Promise *promise = promise_of (ret, &key);
+  Key key = { resource, content };
+  Reservation *reservation = reservation_of (ret, &key);
 
-  forget_told (ret, &key);
-  if (promise)
-    drop (&ret->promises, promise);
-  return promise != NULL;
+  forget_wait (ret, &key);
+  if (reservation)
+    drop (&ret->reservations, reservation);
+  return reservation != NULL;
 }
 
 void
-ret_note (Returns *ret, bool kept)
+ret_count_outcome (Returns *ret, bool kept)
 {
   if (kept)
     ret->counts.kept++;
@@ -374,99 +382,104 @@
   return &ret->counts;
 }
 
-/* ---- At limits ---- */
+/* ---- Reservations on organisations' limits ---- */
 
-/* Higher ranks may use what is set aside for lower ones. So nothing is promised to a rank where
- * those above it use more than the rest: it would be gone when the caller comes. */
+/* Higher ranks may use capacity reserved for lower ones. A rank therefore gets no reservation if
+ * higher ranks use more than the share that is not reservable: nothing would be left when the
+ * caller returns. */
 static bool
-offer_tokens (Returns *ret, Quota *quota, const RetAsk *ask, RetOffer *offer, int64_t *at)
+reserve_tokens (Returns *ret, Quota *quota, const RetRequest *request, RetDemand *demand,
+                int64_t *at)
 {
   int64_t now = ft_clock_now (ret->clock);
-  QuotaFlow flow;
+  QuotaStatus status;
 
   *at = INT64_MAX;
-  if (!quota_flow (quota, ask->org, ask->rank, &flow) || flow.above > (1 - ret->part) * flow.rate)
+  if (!quota_get_status (quota, request->org, request->rank, &status)
+      || status.above > (1 - ret->share) * status.rate)
     return false;
-  offer->cost = MIN (ask->cost, flow.burst);
-  offer->rate = flow.rate / 1e6;
-  offer->start_at = now + (int64_t) (MAX (0, -flow.left) / offer->rate);
-  return ret_promise (ret, offer, at);
+  demand->cost = MIN (request->cost, status.burst);
+  demand->rate = status.rate / 1e6;
+  demand->start_at = now + (int64_t) (MAX (0, -status.left) / demand->rate);
+  return ret_reserve (ret, demand, at);
 }
 
 static void
-answer (Returns *ret, Quota *quota, const RetAsk *ask, int64_t *wait_us, RetWord *word)
+advise (Returns *ret, Quota *quota, const RetRequest *request, int64_t *wait_us, RetAdvice *advice)
 {
-  RetOffer offer = { .line = ret_line (ask->org, 0),
-                     .content = ask->content,
-                     .rank = ask->rank,
-                     .use_until = ask->use_until,
-                     .end_at = ask->end_at };
+  RetDemand demand = { .resource = ret_resource_id (request->org, 0),
+                       .content = request->content,
+                       .rank = request->rank,
+                       .useful_until = request->useful_until,
+                       .end_at = request->end_at };
   int64_t now = ft_clock_now (ret->clock), at;
 
-  *word = RET_PROMISED;
-  if (offer_tokens (ret, quota, ask, &offer, &at))
+  *advice = RET_RESERVED;
+  if (reserve_tokens (ret, quota, request, &demand, &at))
     {
       *wait_us = at - now;
       return;
     }
-  *word = RET_BEYOND;
+  *advice = RET_TOO_LATE;
   if (at < INT64_MAX)
     *wait_us = MAX (*wait_us, at - now);
-  ret_tell (ret, &offer, *wait_us);
+  ret_record_wait (ret, &demand, *wait_us);
 }
 
-/* What an early caller leaves to others: it is served if the account is far from empty. */
+/* Tokens that an early caller must leave, so that it is served only while the bucket is far from
+ * empty. */
 static double
-ease (Quota *quota, const char *org)
+early_reserve (Quota *quota, const char *org)
 {
-  QuotaFlow flow;
+  QuotaStatus status;
 
-  return quota_flow (quota, org, 0, &flow) ? EASE_PART * flow.burst : 0;
+  return quota_get_status (quota, org, 0, &status) ? EARLY_RESERVE * status.burst : 0;
 }
 
 bool
-ret_take_tokens (Returns *ret, Quota *quota, const RetAsk *ask, int64_t *wait_us, RetWord *word)
+ret_take_tokens (Returns *ret, Quota *quota, const RetRequest *request, int64_t *wait_us,
+                 RetAdvice *advice)
 {
-  uint64_t line = ret_line (ask->org, 0);
-  QuotaAsk from = { .org = ask->org, .cost = ask->cost, .rank = ask->rank };
+  uint64_t resource = ret_resource_id (request->org, 0);
+  QuotaRequest take = { .org = request->org, .cost = request->cost, .rank = request->rank };
   bool promised = false;
   int64_t at = 0;
 
-  *word = RET_PLAIN;
-  if (ret->part <= 0)
-    return quota_take_from (quota, &from, wait_us);
-  RetState state = ret_state (ret, line, ask->content, ask->end_at, &at, &promised);
-  from.set_aside = state == RET_DUE;
-  from.beside = ret_aside (ret, line, ask->rank, from.set_aside ? ask->content : 0);
+  *advice = RET_NO_RESERVATION;
+  if (ret->share <= 0)
+    return quota_take_request (quota, &take, wait_us);
+  RetState state = ret_lookup (ret, resource, request->content, request->end_at, &at, &promised);
+  take.set_aside = state == RET_DUE;
+  take.beside = ret_reserved (ret, resource, request->rank, take.set_aside ? request->content : 0);
   if (state == RET_EARLY)
-    from.beside += ease (quota, ask->org);
-  bool taken = quota_take_from (quota, &from, wait_us);
-  if ((taken && state != RET_OTHER) || from.set_aside)
-    if (ret_redeem (ret, line, ask->content))
-      ret_note (ret, taken);
-  if (taken || ask->content == 0 || state == RET_OTHER)
+    take.beside += early_reserve (quota, request->org);
+  bool taken = quota_take_request (quota, &take, wait_us);
+  if ((taken && state != RET_OTHER_CALLER) || take.set_aside)
+    if (ret_consume (ret, resource, request->content))
+      ret_count_outcome (ret, taken);
+  if (taken || request->content == 0 || state == RET_OTHER_CALLER)
     return taken;
   if (state == RET_EARLY)
     {
       *wait_us = at - ft_clock_now (ret->clock);
-      *word = promised ? RET_PROMISED : RET_BEYOND;
+      *advice = promised ? RET_RESERVED : RET_TOO_LATE;
     }
   else
-    answer (ret, quota, ask, wait_us, word);
+    advise (ret, quota, request, wait_us, advice);
   return false;
 }
 
 void
-ret_explain (RetWord word, int64_t wait_us, char *rule, size_t size)
+ret_explain (RetAdvice advice, int64_t wait_us, char *rule, size_t size)
 {
   char text[64];
 
-  if (word == RET_PLAIN)
+  if (advice == RET_NO_RESERVATION)
     return;
-  if (word == RET_PROMISED)
+  if (advice == RET_RESERVED)
     g_snprintf (text, sizeof text, "; promised in %" G_GINT64_FORMAT " ms", wait_us / FT_MS);
   else
-    g_strlcpy (text, "; no time to promise within the caller's", sizeof text);
+    g_strlcpy (text, "; no capacity within the caller's time", sizeof text);
   size_t length = MIN (strlen (rule), size - strlen (text) - 1);
   g_strlcpy (rule + length, text, size - length);
 }
--- a/src/shares.c
+++ b/src/shares.c
@@ -1,48 +1,52 @@
 /* shares.c - start-time fair queuing by organisation.
  *
- * The queue is always sorted by the tags that its requests have. An organisation's requests have
- * tags one after the other, from its start on: each the one before plus that one's slot time /
- * weight. A request that leaves out of turn makes the tags of its organisation stale, so they are
- * computed anew, in shr_settle and not at once: whoever walks the queue removes requests from it.
+ * The queue is always sorted by its requests' tags. The first request of an organisation has the
+ * organisation's start as its tag; each further one has the tag of the one before plus that one's
+ * slot time / weight. A request that leaves out of order makes the tags of its organisation stale.
+ * They are recomputed in shr_reorder and not immediately, because callers remove requests while
+ * they iterate over the queue.
  *
- * An organisation that comes back starts at the queue's virtual time, so it has saved nothing up.
- * One that was not served for FORGET_AFTER is forgotten: its debt is one request at most.
+ * An idle organisation that returns starts at the queue's virtual time, so it accumulates no
+ * credit. Its state is freed when it was not used for FORGET_AFTER; the debt lost with it is one
+ * request at most.
  */
 #include "shares.h"
 
 #include <math.h>
 
-/* Tuning; each row with its reason. */
+/* Tuning. */
 #define FORGET_AFTER                                                                               \
-  (5 * FT_SECOND)        /* arrivals and service are averaged over less than half of it */
-#define KNOWN_MOST   512 /* organisations with state; beyond it idle ones are forgotten early */
-#define SWEEP_MOST   4   /* organisations looked at for that at each arrival */
-#define AVERAGED_US  2e6 /* span over which arrivals and service are averaged, as of a tier */
-#define FRESH_FOR    (10 * FT_MS) /* an average of arrivals changes by half a percent in it */
-#define WEIGHT_LEAST 1.0          /* an equal part: who asks for less than that is served */
-#define WORK_LEAST   1.0          /* microseconds: tags of one organisation differ */
-#define TURN_PASSES  16           /* steps to a newcomer's start; two to four suffice */
-#define LEFT_LEAST   0.05 /* of the places that a newcomer finds however many come before it */
-#define SHOWN_MOST   16   /* organisations in one line */
+  (5 * FT_SECOND)      /* arrivals and service are averaged over less than half of this */
+#define ORGS_MAX   512 /* organisations with state; beyond it idle ones are freed early */
+#define SWEEP_MAX  4   /* organisations checked for this when one is used */
+#define AVERAGE_US 2e6 /* time constant of the averages of arrivals and service, as for a tier */
+#define INFLOW_VALID_FOR                                                                           \
+  (10 * FT_MS)               /* an average of arrivals changes by half a percent in this time */
+#define WEIGHT_MIN       1.0 /* so that an organisation that needs less than an equal share is served */
+#define WORK_MIN         1.0 /* microseconds; keeps the tags of one organisation distinct */
+#define NEWTON_STEPS_MAX 16  /* steps to estimate a new request's start; two to four suffice */
+#define PLACES_LEFT_MIN                                                                            \
+  0.05 /* share of the places that a new request gets even if more work arrives before it */
+#define DESCRIBED_MAX 16 /* organisations listed by shr_describe */
 
 struct ShrWeights
 {
-  GHashTable *rates; /* organisation: double */
+  GHashTable *rates; /* organisation: double, its limit per second */
   double sum;
 };
 
 struct ShrOrg
 {
-  struct cds_list_head link;  /* of Shares.orgs */
-  struct cds_list_head stale; /* of Shares.stale, or its own head */
+  struct cds_list_head link;  /* in Shares.orgs */
+  struct cds_list_head stale; /* in Shares.stale, or empty */
   struct cds_list_head items; /* ShrItem.own, by due time */
   char *name;
   double start; /* virtual time at which its first request starts */
   double weight;
   unsigned count;
-  double queued_us;      /* slot time of its items */
-  double inflow, served; /* slot time arriving and served per time, averaged ... */
-  int64_t inflow_at, served_at;
+  double queued_us;             /* slot time of its waiting requests */
+  double inflow, served;        /* average slot time that arrives and is served per unit of time */
+  int64_t inflow_at, served_at; /* when these averages were updated */
   int64_t used_at;
 };
 
@@ -51,10 +55,10 @@
   const ShrWeights *weights;
   struct cds_list_head *queue;
   GHashTable *by_name;
-  struct cds_list_head orgs;  /* the one that was used longest ago first */
-  struct cds_list_head stale; /* whose tags are to be computed anew */
-  double now;                 /* virtual time: the latest tag that was served */
-  unsigned waiting;           /* organisations with items */
+  struct cds_list_head orgs;  /* least recently used first */
+  struct cds_list_head stale; /* organisations whose tags must be recomputed */
+  double now;                 /* virtual time: the highest tag served so far */
+  unsigned waiting;           /* organisations with waiting requests */
 };
 
 /* ---- Weights ---- */
@@ -80,10 +84,10 @@
 void
 shr_weights_set (ShrWeights *weights, const char *org, double rate)
 {
-  const double *before = g_hash_table_lookup (weights->rates, org);
+  const double *previous = g_hash_table_lookup (weights->rates, org);
 
-  if (before)
-    weights->sum -= *before;
+  if (previous)
+    weights->sum -= *previous;
   if (rate <= 0)
     {
       g_hash_table_remove (weights->rates, org);
@@ -107,7 +111,7 @@
 
   if (rate == NULL || weights->sum <= 0)
     return 1;
-  return MAX (*rate * g_hash_table_size (weights->rates) / weights->sum, WEIGHT_LEAST);
+  return MAX (*rate * g_hash_table_size (weights->rates) / weights->sum, WEIGHT_MIN);
 }
 
 /* ---- Organisations ---- */
@@ -145,14 +149,14 @@
   g_free (shares);
 }
 
-/* One that waits is in use. */
+/* Frees organisations that were not used for long. One with waiting requests counts as used. */
 static void
 forget_idle (Shares *shares, int64_t now)
 {
-  for (unsigned i = 0; i < SWEEP_MOST && !cds_list_empty (&shares->orgs); i++)
+  for (unsigned i = 0; i < SWEEP_MAX && !cds_list_empty (&shares->orgs); i++)
     {
       ShrOrg *org = cds_list_first_entry (&shares->orgs, ShrOrg, link);
-      if (now - org->used_at < FORGET_AFTER && shr_known (shares) <= KNOWN_MOST)
+      if (now - org->used_at < FORGET_AFTER && shr_known_orgs (shares) <= ORGS_MAX)
         return;
       if (org->count == 0)
         {
@@ -180,7 +184,7 @@
 }
 
 static ShrOrg *
-org_use (Shares *shares, const char *name, int64_t now)
+use_org (Shares *shares, const char *name, int64_t now)
 {
   forget_idle (shares, now);
   ShrOrg *org = g_hash_table_lookup (shares->by_name, name);
@@ -195,17 +199,17 @@
 }
 
 static double
-averaged (double value, int64_t at, int64_t now)
+decayed (double value, int64_t at, int64_t now)
 {
-  return value * exp (-(double) (now - at) / AVERAGED_US);
+  return value * exp (-(double) (now - at) / AVERAGE_US);
 }
 
 void
 shr_note_arrival (Shares *shares, const char *name, double work_us, int64_t now)
 {
-  ShrOrg *org = org_use (shares, name, now);
+  ShrOrg *org = use_org (shares, name, now);
 
-  org->inflow = averaged (org->inflow, org->inflow_at, now) + work_us / AVERAGED_US;
+  org->inflow = decayed (org->inflow, org->inflow_at, now) + work_us / AVERAGE_US;
   org->inflow_at = now;
 }
 
@@ -217,7 +221,7 @@
   return a->tag < b->tag || (a->tag == b->tag && a->due_at <= b->due_at);
 }
 
-/* Into the queue behind those that go before it; at: where to begin, an item or the head. */
+/* Inserts the item in order; the search begins at `at`, an item of the queue or its head. */
 static void
 insert_near (const Shares *shares, ShrItem *item, struct cds_list_head *at)
 {
@@ -248,7 +252,8 @@
     cds_list_add_tail (&org->stale, &shares->stale);
 }
 
-/* Behind those of its organisation that are due no later; the new one is usually due last. */
+/* Inserts the item into its organisation's list by due time. The search begins at the end, since
+ * the newest request is usually due last. */
 static void
 add_own (Shares *shares, ShrOrg *org, ShrItem *item)
 {
@@ -256,8 +261,8 @@
 
   while (at != &org->items && cds_list_entry (at, ShrItem, own)->due_at > item->due_at)
     at = at->prev;
-  const ShrItem *before = cds_list_entry (at, ShrItem, own);
-  item->tag = at == &org->items ? org->start : before->tag + before->span;
+  const ShrItem *previous = cds_list_entry (at, ShrItem, own);
+  item->tag = at == &org->items ? org->start : previous->tag + previous->span;
   if (at->next != &org->items)
     mark_stale (shares, org);
   cds_list_add (&item->own, at);
@@ -267,11 +272,11 @@
 shr_add (Shares *shares, ShrItem *item, const char *name, double work_us, int64_t due_at,
          int64_t now)
 {
-  ShrOrg *org = org_use (shares, name, now);
+  ShrOrg *org = use_org (shares, name, now);
 
   item->org = org;
   item->work_us = work_us;
-  item->span = MAX (work_us, WORK_LEAST) / org->weight;
+  item->span = MAX (work_us, WORK_MIN) / org->weight;
   item->due_at = due_at;
   if (org->count++ == 0)
     {
@@ -284,7 +289,7 @@
 }
 
 static void
-take_out (Shares *shares, ShrItem *item)
+unlink_item (Shares *shares, ShrItem *item)
 {
   ShrOrg *org = item->org;
 
@@ -305,25 +310,25 @@
 {
   if (item->own.next != &item->org->items)
     mark_stale (shares, item->org);
-  take_out (shares, item);
+  unlink_item (shares, item);
 }
 
 void
 shr_serve (Shares *shares, ShrItem *item, const char *name, double work_us, int64_t now)
 {
-  ShrOrg *org = org_use (shares, name, now);
+  ShrOrg *org = use_org (shares, name, now);
 
   if (org->count == 0)
     org->start = MAX (org->start, shares->now);
-  /* What is served beside a queue that waits does not move its time: organisations that come back
-   * would start behind the queue. */
+  /* A request that is served without queuing does not advance the virtual time while others wait:
+   * organisations that return would start behind the whole queue. */
   if (item || cds_list_empty (shares->queue))
     shares->now = MAX (shares->now, org->start);
-  org->start += item ? item->span : MAX (work_us, WORK_LEAST) / org->weight;
-  org->served = averaged (org->served, org->served_at, now) + work_us / AVERAGED_US;
+  org->start += item ? item->span : MAX (work_us, WORK_MIN) / org->weight;
+  org->served = decayed (org->served, org->served_at, now) + work_us / AVERAGE_US;
   org->served_at = now;
   if (item)
-    take_out (shares, item);
+    unlink_item (shares, item);
   if (org->count > 0 && cds_list_first_entry (&org->items, ShrItem, own)->tag != org->start)
     mark_stale (shares, org);
 }
@@ -348,7 +353,7 @@
 }
 
 void
-shr_settle (Shares *shares)
+shr_reorder (Shares *shares)
 {
   ShrOrg *org, *next;
 
@@ -359,88 +364,95 @@
   }
 }
 
-/* ---- The turn of a newcomer ---- */
+/* ---- Position of a new request ---- */
 
-/* Virtual time at which the organisation's next request starts if it waits for none. */
+/* Virtual time at which the organisation's first request starts, or would start. */
 static double
-start_of (const Shares *shares, const ShrOrg *org)
+virtual_start (const Shares *shares, const ShrOrg *org)
 {
   return MAX (org->start, shares->now);
 }
 
-/* Not averaged anew for each of hundreds of newcomers in a moment. */
+/* Decays the average at most once in INFLOW_VALID_FOR, since hundreds of requests may arrive in a
+ * short time. */
 static double
-fresh_inflow (ShrOrg *org, int64_t now)
+current_inflow (ShrOrg *org, int64_t now)
 {
-  if (now - org->inflow_at > FRESH_FOR)
+  if (now - org->inflow_at > INFLOW_VALID_FOR)
     {
-      org->inflow = averaged (org->inflow, org->inflow_at, now);
+      org->inflow = decayed (org->inflow, org->inflow_at, now);
       org->inflow_at = now;
     }
   return org->inflow;
 }
 
-/* Of another organisation that may have room_us of slot time before it: what goes behind, and what
- * goes before if the newcomer waits for wait_us. Returns by how much the latter grows with it. */
+/* Adds the contribution of another organisation, which may be served room_us of slot time before
+ * the new request: waiting requests beyond that are overtaken; the rest of it may be used by
+ * requests that arrive within wait_us. Returns the contribution per unit of wait_us where it
+ * depends on that, which the caller adds; 0 where it is limited by room_us. */
 static double
-turn_of (ShrOrg *org, double room_us, double wait_us, int64_t now, ShrTurn *turn)
+add_overtaking (ShrOrg *org, double room_us, double wait_us, int64_t now, ShrOvertaking *overtaking)
 {
-  double inflow = fresh_inflow (org, now);
+  double inflow = current_inflow (org, now);
   double more = MAX (0, room_us) - org->queued_us;
 
   if (more <= 0)
-    turn->behind_us -= more;
+    overtaking->overtakes_us -= more;
   else if (inflow * wait_us < more)
     return inflow;
   else
-    turn->before_us += more;
+    overtaking->overtaken_by_us += more;
   return 0;
 }
 
-/* An organisation gets so much before the newcomer starts as brings its virtual time to where the
- * newcomer's own will be, with what that has waiting and the newcomer; but no more than it has
- * waiting or sends until then. So the newcomer's start is where the places have served as much as
- * goes before it: a line against a concave sum of lines with a bound each. Newton's steps from
- * above do not pass it, and each but the last takes one organisation at least off its bound. */
+/* Before the new request starts, another organisation is served until its virtual time reaches the
+ * one that the request's own organisation has after its waiting requests and the new one, but no
+ * more than it has waiting or sends until then. The wait is therefore the time at which the places
+ * have served all that goes before the request: the intersection of a line with a concave sum of
+ * bounded lines. Newton's method from above does not step past it, and each step but the last
+ * takes at least one organisation off its bound. */
 void
-shr_turn (Shares *shares, const char *name, double work_us, double ahead_us, double places,
-          int64_t now, ShrTurn *turn)
+shr_overtaking (Shares *shares, const char *name, double work_us, double ahead_us, double places,
+                int64_t now, ShrOvertaking *overtaking)
 {
   const ShrOrg unknown = { 0 }, *known = g_hash_table_lookup (shares->by_name, name);
   const ShrOrg *own = known ? known : &unknown;
   ShrOrg *org;
-  double until
-      = start_of (shares, own) + (own->queued_us + work_us) / shr_weight (shares->weights, name);
+  double until = virtual_start (shares, own)
+                 + (own->queued_us + work_us) / shr_weight (shares->weights, name);
   double wait = 1e18, growth = 0;
 
-  for (unsigned i = 0; i < TURN_PASSES; i++)
+  for (unsigned i = 0; i < NEWTON_STEPS_MAX; i++)
     {
-      double before = wait;
-      *turn = (ShrTurn){ 0 };
+      double previous = wait;
+      *overtaking = (ShrOvertaking){ 0 };
       growth = 0;
       cds_list_for_each_entry (org, &shares->orgs, link)
       {
         if (org != own)
-          growth += turn_of (org, (until - start_of (shares, org)) * org->weight, wait, now, turn);
+          growth += add_overtaking (org, (until - virtual_start (shares, org)) * org->weight, wait,
+                                    now, overtaking);
       }
-      double left = MAX (places - growth, places * LEFT_LEAST);
-      wait = left > 0 ? MAX (0, ahead_us - turn->behind_us + turn->before_us) / left : 0;
-      if (wait >= before * (1 - 1e-9))
+      double left = MAX (places - growth, places * PLACES_LEFT_MIN);
+      wait = left > 0
+                 ? MAX (0, ahead_us - overtaking->overtakes_us + overtaking->overtaken_by_us) / left
+                 : 0;
+      if (wait >= previous * (1 - 1e-9))
         break;
     }
-  turn->before_us += growth * wait;
+  overtaking->overtaken_by_us += growth * wait;
 }
 
-/* ---- What operators see ---- */
+/* ---- Statistics ---- */
 
 unsigned
-shr_waiting (const Shares *shares)
+shr_waiting_orgs (const Shares *shares)
 {
   return shares->waiting;
 }
 
 unsigned
-shr_known (const Shares *shares)
+shr_known_orgs (const Shares *shares)
 {
   return g_hash_table_size (shares->by_name);
 }
@@ -462,16 +474,16 @@
 
   cds_list_for_each_entry (org, &shares->orgs, link)
   {
-    served += averaged (org->served, org->served_at, now);
+    served += decayed (org->served, org->served_at, now);
     if (org->count > 0)
       g_ptr_array_add (orgs, org);
   }
   g_ptr_array_sort (orgs, by_count);
-  for (unsigned i = 0; i < MIN (orgs->len, SHOWN_MOST); i++)
+  for (unsigned i = 0; i < MIN (orgs->len, DESCRIBED_MAX); i++)
     {
       org = orgs->pdata[i];
-      double part = served > 0 ? averaged (org->served, org->served_at, now) / served : 0;
-      g_string_append_printf (out, " %s=%u/%.2f", org->name, org->count, part);
+      double share = served > 0 ? decayed (org->served, org->served_at, now) / served : 0;
+      g_string_append_printf (out, " %s=%u/%.2f", org->name, org->count, share);
     }
   g_ptr_array_unref (orgs);
 }
--- a/src/waiting.c
+++ b/src/waiting.c
@@ -218,7 +218,7 @@
   unsigned seen = 0;
 
   if (tier->shares)
-    shr_settle (tier->shares);
+    shr_reorder (tier->shares);
   cds_list_for_each_entry_safe (job, next, &tier->timely, link)
   {
     if (seen++ >= most)
@@ -230,7 +230,7 @@
     wait_add (job, now);
   }
   if (tier->shares)
-    shr_settle (tier->shares);
+    shr_reorder (tier->shares);
 }
 
 void
@@ -248,7 +248,7 @@
   for (unsigned i = 0; i < service->tiers->len; i++)
     {
       Tier *tier = service->tiers->pdata[i];
-      if (tier->shares && shr_waiting (tier->shares) > 1)
+      if (tier->shares && shr_waiting_orgs (tier->shares) > 1)
         sort_out (sched, service, tier, UINT_MAX, now);
     }
 }
@@ -276,12 +276,12 @@
   unsigned number = job->ask.tier;
   const Tier *tier = wait_tier (service, number);
   Ahead ahead = { wait_ahead_us (service, number, false), wait_ahead_us (service, number, true) };
-  ShrTurn turn;
+  ShrOvertaking turn;
 
   if (tier->shares == NULL)
     return ahead;
-  shr_turn (tier->shares, job->org, job->work_us, ahead.timely_us,
-            est_left_places (sched, service, number, false, now), now, &turn);
-  ahead.timely_us += turn.before_us - turn.behind_us;
+  shr_overtaking (tier->shares, job->org, job->work_us, ahead.timely_us,
+                  est_left_places (sched, service, number, false, now), now, &turn);
+  ahead.timely_us += turn.overtaken_by_us - turn.overtakes_us;
   return ahead;
 }
