--- a/src/handover.c
+++ b/src/handover.c
@@ -1,25 +1,27 @@
-/* handover.c - a scheduler that takes over gives away a part that grows with what it was told.
+/* handover.c - a scheduler that takes over grants a share that grows with the reports it gets.
  *
- * Failure: a scheduler takes over at full load and counts as free what runs by its predecessor's
- * grants. Symptom: engines get a third more requests than they have places for, within a second. So
- * until all who may hold something have reported, only the part of those that have is given away.
+ * Failure: a scheduler takes over at full load and counts places as free that run requests granted
+ * by its predecessor. Symptom: within a second, engines get a third more requests than they have
+ * places for. Until all owners that may hold something have reported, only the share of those that
+ * have is granted.
  *
- * An owner that never reports delays this by the longest wait at most. One that asks without
- * reporting, as a version without handover does, begins one handover and not one with each ask.
+ * An owner that never reports delays the end by the longest wait at most. An owner that sends
+ * requests without reporting, such as a version without handovers, begins one handover and not one
+ * with each request.
  */
 #include "handover.h"
 
 #include <urcu/list.h>
 
-/* Tuning; each row with its reason. */
-#define HOLD_MOST                                                                                  \
-  (200 * FT_MS) /* of an ask: more of its caller's time is not spent on a small part */
-#define AGAIN     (4 * FT_SECOND) /* after a handover in which most owners stayed away */
-#define HELD_MOST 4096 /* asks, about 2 MB; a fifth of a second at 20,000 requests a second */
+/* Longest wait of a request: more of its caller's time is not spent on a small share. */
+#define HOLD_MAX (200 * FT_MS)
+/* Pause before the next handover if fewer than half of the owners reported in the last one. */
+#define RESTART_PAUSE  (4 * FT_SECOND)
+#define HELD_MAX_COUNT 4096 /* about 2 MB; a fifth of a second at 20,000 requests a second */
 
 typedef enum
 {
-  ASKS = 1,
+  SENDS_REQUESTS = 1,
   HAS_REPORTED
 } OwnerState;
 
@@ -29,20 +31,20 @@
   SchedAsk ask;
   char *service, *org, *avoid;
   uint32_t *kept;
-  int64_t until;
+  int64_t until; /* decided at the latest then */
 } Held;
 
 struct Hand
 {
   FtClock *clock;
-  int64_t wait_us;
+  int64_t max_wait_us;
   GHashTable *owners; /* owner: OwnerState */
-  unsigned reported;  /* owners that have */
-  unsigned expected;
+  unsigned reported;  /* owners in state HAS_REPORTED */
+  unsigned expected;  /* owners that are awaited */
   int64_t began;
   bool active, ended;
   HandResult last;
-  struct cds_list_head held; /* the oldest first */
+  struct cds_list_head held; /* Held, the oldest first */
   unsigned held_count;
 };
 
@@ -84,13 +86,13 @@
 void
 hand_set_max_wait (Hand *hand, int64_t most_us)
 {
-  hand->wait_us = most_us;
+  hand->max_wait_us = most_us;
 }
 
-/* ---- Who has reported ---- */
+/* ---- Reports ---- */
 
 static void
-end (Hand *hand, const char *why)
+end_handover (Hand *hand, const char *why)
 {
   int64_t after = ft_clock_now (hand->clock) - hand->began;
 
@@ -103,23 +105,23 @@
 end_if_all_reported (Hand *hand)
 {
   if (hand->active && hand->reported >= hand->expected)
-    end (hand, "all have reported");
+    end_handover (hand, "all have reported");
 }
 
-/* Failure: some owners on a lossy path go back and forth between schedulers. Symptom: the few that
- * are here are taken for the first of a takeover again and again, and places are held back for
- * those that stay where they are. */
+/* Failure: some owners on a lossy path alternate between schedulers. Symptom: the few that send
+ * requests here are repeatedly mistaken for the first ones of a takeover, and places are held back
+ * for owners that stay with their scheduler. */
 static bool
-most_stayed_away (const Hand *hand)
+few_reported_lately (const Hand *hand)
 {
   return hand->last.reported * 2 < hand->last.expected
-         && ft_clock_now (hand->clock) - hand->began < AGAIN;
+         && ft_clock_now (hand->clock) - hand->began < RESTART_PAUSE;
 }
 
 void
 hand_begin (Hand *hand, unsigned expected)
 {
-  if (hand->wait_us <= 0)
+  if (hand->max_wait_us <= 0)
     return;
   hand->active = true;
   hand->ended = false;
@@ -147,8 +149,8 @@
 
   if (state_of (hand, owner))
     return false;
-  set_state (hand, owner, ASKS);
-  if (hand->active || known * 2 >= expected || most_stayed_away (hand))
+  set_state (hand, owner, SENDS_REQUESTS);
+  if (hand->active || known * 2 >= expected || few_reported_lately (hand))
     return false;
   hand_begin (hand, expected);
   return true;
@@ -182,14 +184,14 @@
 bool
 hand_is_over (const Hand *hand)
 {
-  return !hand->active || ft_clock_now (hand->clock) - hand->began >= hand->wait_us;
+  return !hand->active || ft_clock_now (hand->clock) - hand->began >= hand->max_wait_us;
 }
 
 bool
 hand_take_result (Hand *hand, HandResult *out)
 {
   if (hand->active && hand_is_over (hand))
-    end (hand, "time");
+    end_handover (hand, "time");
   if (!hand->ended)
     return false;
   hand->ended = false;
@@ -197,12 +199,12 @@
   return true;
 }
 
-/* ---- Asks that wait ---- */
+/* ---- Requests that wait ---- */
 
 bool
 hand_hold (Hand *hand, const SchedAsk *ask)
 {
-  if (hand_is_over (hand) || hand->held_count >= HELD_MOST)
+  if (hand_is_over (hand) || hand->held_count >= HELD_MAX_COUNT)
     return false;
   Held *held = g_new0 (Held, 1);
   held->ask = *ask;
@@ -210,7 +212,7 @@
   held->ask.org = held->org = g_strdup (ask->org);
   held->ask.avoid = held->avoid = g_strdup (ask->avoid);
   held->ask.kept = held->kept = g_memdup2 (ask->kept, ask->kept_count * sizeof *ask->kept);
-  held->until = ft_clock_now (hand->clock) + MIN (HOLD_MOST, hand->wait_us);
+  held->until = ft_clock_now (hand->clock) + MIN (HOLD_MAX, hand->max_wait_us);
   cds_list_add_tail (&held->link, &hand->held);
   hand->held_count++;
   return true;
--- a/src/quota.c
+++ b/src/quota.c
@@ -1,64 +1,70 @@
-/* quota.c - one token bucket an organisation.
+/* quota.c - a token bucket per organisation.
  *
- * Failure: an accountant dies and another, which knows nothing of what was used, takes its place.
- * Symptom: the organisation gets its burst twice in one window, or, if the new one starts empty, is
- * refused below its limit until that has filled. Each decision therefore reports to the one who
- * asked how full the account is, and who asks another accountant passes the newest report on. One
- * that has not given anything away of late goes on from there. Where there is no report, after a
- * start of everything, it starts with a part of what the limits leave free for errors of
- * accounting.
+ * Failure: a scheduler dies and another takes over without knowing what was used. Symptom: the
+ * organisation gets its burst twice in one window or, if the new bucket starts empty, is refused
+ * below its limit until the bucket has filled. Each decision therefore reports to the instance that
+ * asked how full the bucket is, and an instance that turns to another scheduler passes on its
+ * newest report. A scheduler that has not decided for the organisation recently continues from that
+ * level. Without a report, as after a restart of all instances, a bucket starts with a part of the
+ * margin for accounting errors.
  *
- * An accountant may hold a part of each limit only. What is spent is counted against the part; a
- * part that comes from elsewhere is as full as the account was reported to be there.
+ * A scheduler may hold only a share of each limit; tokens that it grants are charged to its share.
+ * If the share grows, the added part is as full as the report says of the bucket elsewhere.
  *
- * Within one organisation's limit too, requests of a higher rank go first: lower ones leave a part
- * of the burst untouched.
+ * Within an organisation's limit, requests of higher rank have priority: requests of lower rank
+ * leave a part of the burst to them.
  */
 #include "quota.h"
 
 #include <math.h>
 #include <stdio.h>
 
-/* Tuning; each row with its reason. */
-#define START_LEAST 0.15 /* of a burst: two or three requests; a fiftieth of a window of 8 s */
-#define START_MARGIN                                                                               \
-  0.4 /* of the margin: everything may start anew twice in one window, and LENIENCE takes a fifth  \
-       */
-#define MARGIN_USED                                                                                \
-  0.6                   /* of the margin; the rest covers errors that the share does not know of   \
-                         */
-#define RANK_PART  0.12 /* of a burst, kept for each higher rank: one or two of its requests */
-#define RANKS_MOST 3
-#define LENIENCE                                                                                   \
-  1.02           /* own and the caller's clock may differ: nothing within the limit is refused */
-#define DEBT 1.0 /* of a burst: what a takeover or two may have given away beside */
-#define IDLE (1 * FT_SECOND) /* without a decision, after which others know the account better */
-#define REPORT_MOST                                                                                \
-  (2 * FT_SECOND)       /* older reports say nothing: bursts fill within a second or two */
-#define PART_LEAST 1e-4 /* one of 10,000 entries: no division by nothing */
-#define TAKEN_US   1e6  /* span over which what each rank takes is averaged: as long as a burst */
+/* Least fill of a new bucket, of the burst: two or three requests, or a fiftieth of what is allowed
+ * in a window of 8 s. */
+#define START_MIN 0.15
+/* Fill of a new bucket, of the margin: all instances may restart twice within a window, and
+ * REFILL_TOLERANCE takes a fifth of the margin. */
+#define START_MARGIN 0.4
+/* Part of the margin that is used with a share below 1; the rest covers errors that the share does
+ * not reflect. */
+#define MARGIN_USED 0.6
+/* Part of the burst that is left to each higher rank: one or two of its requests. */
+#define RANK_RESERVE 0.12
+#define RANK_MAX     3
+/* The bucket is larger and refills faster by this factor, so that nothing within the limit is
+ * refused if the caller's clock and the local one differ. */
+#define REFILL_TOLERANCE 1.02
+/* Debt allowed, of the burst: what may have been granted elsewhere during one or two takeovers. */
+#define DEBT_MAX 1.0
+/* Time without a decision after which reports of others are more accurate than the local bucket. */
+#define IDLE (1 * FT_SECOND)
+/* Older reports are ignored, since a bucket fills within one or two seconds. */
+#define REPORT_VALID_FOR (2 * FT_SECOND)
+#define SHARE_MIN        1e-4 /* one of 10,000 entries; avoids a division by zero */
+#define RANK_AVERAGE_US  1e6 /* time constant of QuotaStatus.higher_rank_rate: the time of a burst \
+                              */
 
 typedef struct
 {
   double rate, burst;
-  double part;  /* of the limit, as it was at `at` */
-  double spent; /* of the part's burst */
-  int64_t at;
-  double reported;              /* how full the account was elsewhere, 0 to 1 ... */
-  int64_t reported_at;          /* ... then; 0: no report */
-  int64_t taken_at;             /* when it was last decided on here */
-  int64_t began;                /* since when it is decided on here without a pause ... */
-  double assumed;               /* ... and how much was taken to be spent then */
-  double taken[RANKS_MOST + 1]; /* by each rank in a second, averaged, as of ... */
-  int64_t taken_as_of;
+  double share; /* this scheduler's share of the limit at updated_at */
+  double spent; /* tokens used of the share's burst */
+  int64_t updated_at;
+  double reported;                 /* how full the bucket was elsewhere, 0 to 1, at reported_at */
+  int64_t reported_at;             /* 0: no report */
+  int64_t decided_at;              /* time of the last decision here */
+  int64_t active_since;            /* start of decisions here without a pause longer than IDLE */
+  double assumed_spent;            /* tokens that were assumed to be spent at active_since */
+  double taken_rate[RANK_MAX + 1]; /* tokens per second taken by each rank, averaged */
+  int64_t averages_at;             /* when these averages were updated */
 } Bucket;
 
 struct Quota
 {
   FtClock *clock;
   double share;
-  double overage, slack, window_s; /* margin; window 0: none */
-  bool alone;                      /* may use the margin where its share is below 1 */
+  double overage, slack, window_s; /* margin for accounting errors; window 0: none */
+  bool alone;                      /* uses a part of the margin if its share is below 1 */
   GHashTable *buckets;             /* organisation: Bucket */
 };
 
@@ -103,54 +109,55 @@
   return quota->overage * (bucket->rate * quota->window_s + bucket->burst) + quota->slack;
 }
 
-/* Failure: half of the entries lose power, and their parts of the limits are held back for those
- * that may be cut off. Symptom: organisations are refused far below their limits. The margin covers
- * a part. */
+/* Failure: half of the entries lose power, and their shares of the limits stay unused because they
+ * may only be cut off from the network. Symptom: organisations are refused far below their limits.
+ * The margin replaces a part of the unused shares. */
 static double
-part_of (const Quota *quota, const Bucket *bucket)
+share_of (const Quota *quota, const Bucket *bucket)
 {
   double allowed = bucket->rate * quota->window_s + bucket->burst;
-  double part = MAX (quota->share, PART_LEAST);
+  double share = MAX (quota->share, SHARE_MIN);
 
-  if (part >= 1 || !quota->alone || quota->window_s <= 0 || allowed <= 0)
-    return part;
-  return MIN (1, part + MARGIN_USED * margin_of (quota, bucket) / allowed);
+  if (share >= 1 || !quota->alone || quota->window_s <= 0 || allowed <= 0)
+    return share;
+  return MIN (1, share + MARGIN_USED * margin_of (quota, bucket) / allowed);
 }
 
 static double
 capacity (const Bucket *bucket)
 {
-  return bucket->burst * LENIENCE * bucket->part;
+  return bucket->burst * REFILL_TOLERANCE * bucket->share;
 }
 
-/* How full a part is that comes to this accountant, 0 to 1. */
+/* How full a newly added share of the limit is, 0 to 1. */
 static double
-arriving (const Quota *quota, const Bucket *bucket, int64_t now)
+added_fill (const Quota *quota, const Bucket *bucket, int64_t now)
 {
   double since = (double) (now - bucket->reported_at) / 1e6;
 
-  if (bucket->reported_at && now - bucket->reported_at < REPORT_MOST)
+  if (bucket->reported_at && now - bucket->reported_at < REPORT_VALID_FOR)
     return MIN (1, bucket->reported + since * bucket->rate / MAX (bucket->burst, 1));
   if (quota->window_s <= 0 || bucket->burst <= 0)
-    return START_LEAST;
-  return CLAMP (START_MARGIN * margin_of (quota, bucket) / bucket->burst, START_LEAST, 1);
+    return START_MIN;
+  return CLAMP (START_MARGIN * margin_of (quota, bucket) / bucket->burst, START_MIN, 1);
 }
 
 static void
-fill (const Quota *quota, Bucket *bucket)
+refill (const Quota *quota, Bucket *bucket)
 {
   int64_t now = ft_clock_now (quota->clock);
-  double refilled = (double) (now - bucket->at) / 1e6 * bucket->rate * LENIENCE * bucket->part;
-  double part = part_of (quota, bucket);
+  double refilled
+      = (double) (now - bucket->updated_at) / 1e6 * bucket->rate * REFILL_TOLERANCE * bucket->share;
+  double share = share_of (quota, bucket);
 
   bucket->spent = MAX (0, bucket->spent - refilled);
-  bucket->at = now;
-  if (part < bucket->part)
-    bucket->spent *= part / bucket->part;
-  else if (part > bucket->part)
-    bucket->spent
-        += (1 - arriving (quota, bucket, now)) * bucket->burst * LENIENCE * (part - bucket->part);
-  bucket->part = part;
+  bucket->updated_at = now;
+  if (share < bucket->share)
+    bucket->spent *= share / bucket->share;
+  else if (share > bucket->share)
+    bucket->spent += (1 - added_fill (quota, bucket, now)) * bucket->burst * REFILL_TOLERANCE
+                     * (share - bucket->share);
+  bucket->share = share;
 }
 
 void
@@ -161,46 +168,46 @@
   if (bucket == NULL)
     {
       bucket = g_new0 (Bucket, 1);
-      bucket->at = ft_clock_now (quota->clock);
+      bucket->updated_at = ft_clock_now (quota->clock);
       bucket->rate = rate;
       bucket->burst = burst;
       g_hash_table_insert (quota->buckets, g_strdup (org), bucket);
     }
-  fill (quota, bucket);
+  refill (quota, bucket);
   bucket->rate = rate;
   bucket->burst = MAX (burst, rate > 0 ? 1 : 0);
   bucket->spent = MIN (bucket->spent, capacity (bucket));
 }
 
-/* Failure: an account is taken over, and the first who asks knows nothing of it, or little: it
- * starts from a guess. Symptom: the organisation is refused within its limit, or gets a burst
- * twice, although the next to ask brings what the one before had told it last. The newest word from
- * before the start replaces what was taken to be spent then; what was given here since stays. */
+/* Failure: a scheduler takes over a bucket, and the first instance that asks has no report of it or
+ * an old one, so the bucket starts from a guess. Symptom: the organisation is refused within its
+ * limit or gets its burst twice, although the next instance brings a newer report. A newer report
+ * from before the start therefore replaces the guess; what was granted here since stays charged. */
 static void
-begin_anew_from (const Quota *quota, Bucket *bucket)
+apply_late_report (const Quota *quota, Bucket *bucket)
 {
-  double spent = (1 - arriving (quota, bucket, bucket->began)) * capacity (bucket);
+  double spent = (1 - added_fill (quota, bucket, bucket->active_since)) * capacity (bucket);
 
-  bucket->spent
-      = CLAMP (bucket->spent + spent - bucket->assumed, 0, (1 + DEBT) * capacity (bucket));
-  bucket->assumed = spent;
+  bucket->spent = CLAMP (bucket->spent + spent - bucket->assumed_spent, 0,
+                         (1 + DEBT_MAX) * capacity (bucket));
+  bucket->assumed_spent = spent;
 }
 
 void
 quota_apply_report (Quota *quota, const char *org, double full, int64_t at)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
-  bool idle = bucket && at - bucket->taken_at > IDLE;
+  bool idle = bucket && at - bucket->decided_at > IDLE;
 
   if (bucket == NULL || at <= bucket->reported_at)
     return;
-  fill (quota, bucket);
+  refill (quota, bucket);
   bucket->reported = CLAMP (full, 0, 1);
   bucket->reported_at = at;
   if (idle)
-    bucket->spent = (1 - arriving (quota, bucket, bucket->at)) * capacity (bucket);
-  else if (at < bucket->began)
-    begin_anew_from (quota, bucket);
+    bucket->spent = (1 - added_fill (quota, bucket, bucket->updated_at)) * capacity (bucket);
+  else if (at < bucket->active_since)
+    apply_late_report (quota, bucket);
 }
 
 double
@@ -210,7 +217,7 @@
 
   if (bucket == NULL || bucket->rate <= 0)
     return 1;
-  fill (quota, bucket);
+  refill (quota, bucket);
   return CLAMP (1 - bucket->spent / MAX (capacity (bucket), 1e-9), 0, 1);
 }
 
@@ -221,77 +228,78 @@
 
   if (bucket == NULL || bucket->rate <= 0)
     return false;
-  fill (quota, bucket);
-  double elsewhere = bucket->burst * LENIENCE * (1 - bucket->part);
-  double left
-      = capacity (bucket) - bucket->spent + elsewhere * arriving (quota, bucket, bucket->at);
-  double need = MIN (cost + RANK_PART * MIN (rank, RANKS_MOST) * bucket->burst, bucket->burst);
-  return bucket->part < 1 && left >= need;
+  refill (quota, bucket);
+  double elsewhere = bucket->burst * REFILL_TOLERANCE * (1 - bucket->share);
+  double left = capacity (bucket) - bucket->spent
+                + elsewhere * added_fill (quota, bucket, bucket->updated_at);
+  double need = MIN (cost + RANK_RESERVE * MIN (rank, RANK_MAX) * bucket->burst, bucket->burst);
+  return bucket->share < 1 && left >= need;
 }
 
 static void
-note_taken (Bucket *bucket, unsigned rank, double cost)
+count_taken (Bucket *bucket, unsigned rank, double cost)
 {
-  double kept = exp (-(double) (bucket->at - bucket->taken_as_of) / TAKEN_US);
+  double decay = exp (-(double) (bucket->updated_at - bucket->averages_at) / RANK_AVERAGE_US);
 
-  for (unsigned i = 0; i <= RANKS_MOST; i++)
-    bucket->taken[i] *= kept;
-  bucket->taken[MIN (rank, RANKS_MOST)] += cost * 1e6 / TAKEN_US;
-  bucket->taken_as_of = bucket->at;
+  for (unsigned i = 0; i <= RANK_MAX; i++)
+    bucket->taken_rate[i] *= decay;
+  bucket->taken_rate[MIN (rank, RANK_MAX)] += cost * 1e6 / RANK_AVERAGE_US;
+  bucket->averages_at = bucket->updated_at;
 }
 
 bool
-quota_take_request (Quota *quota, const QuotaRequest *ask, int64_t *wait_us)
+quota_take_request (Quota *quota, const QuotaRequest *request, int64_t *wait_us)
 {
-  Bucket *bucket = g_hash_table_lookup (quota->buckets, ask->org);
+  Bucket *bucket = g_hash_table_lookup (quota->buckets, request->org);
 
   *wait_us = 0;
   if (bucket == NULL || bucket->rate <= 0)
     return true;
-  fill (quota, bucket);
-  if (bucket->at - bucket->taken_at > IDLE)
+  refill (quota, bucket);
+  if (bucket->updated_at - bucket->decided_at > IDLE)
     {
-      bucket->began = bucket->at;
-      bucket->assumed = bucket->spent;
+      bucket->active_since = bucket->updated_at;
+      bucket->assumed_spent = bucket->spent;
     }
-  bucket->taken_at = bucket->at;
-  /* A request larger than the burst could never pass; a full bucket is enough for it. */
-  double burst = bucket->burst * bucket->part;
-  double above = ask->set_aside ? 0 : RANK_PART * MIN (ask->rank, RANKS_MOST) * burst;
-  double need = MIN (ask->cost + above, burst) + ask->beside;
+  bucket->decided_at = bucket->updated_at;
+  /* A request larger than the burst could never pass, so a full bucket is enough for it. */
+  double burst = bucket->burst * bucket->share;
+  double above = request->reserved ? 0 : RANK_RESERVE * MIN (request->rank, RANK_MAX) * burst;
+  double need = MIN (request->cost + above, burst) + request->leave;
   double left = capacity (bucket) - bucket->spent;
   if (left < need)
     {
-      *wait_us = (int64_t) ((need - left) / (bucket->rate * bucket->part) * 1e6);
+      *wait_us = (int64_t) ((need - left) / (bucket->rate * bucket->share) * 1e6);
       return false;
     }
-  bucket->spent += ask->cost;
-  note_taken (bucket, ask->rank, ask->cost);
+  bucket->spent += request->cost;
+  count_taken (bucket, request->rank, request->cost);
   return true;
 }
 
 bool
 quota_take (Quota *quota, const char *org, double cost, unsigned rank, int64_t *wait_us)
 {
-  QuotaRequest ask = { .org = org, .cost = cost, .rank = rank };
+  QuotaRequest request = { .org = org, .cost = cost, .rank = rank };
 
-  return quota_take_request (quota, &ask, wait_us);
+  return quota_take_request (quota, &request, wait_us);
 }
 
 bool
-quota_get_status (Quota *quota, const char *org, unsigned rank, QuotaStatus *flow)
+quota_get_status (Quota *quota, const char *org, unsigned rank, QuotaStatus *status)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
 
   if (bucket == NULL || bucket->rate <= 0)
     return false;
-  fill (quota, bucket);
-  *flow = (QuotaStatus){ .rate = bucket->rate * bucket->part,
-                         .burst = bucket->burst * bucket->part,
-                         .left = capacity (bucket) - bucket->spent };
-  for (unsigned i = 0; i < MIN (rank, RANKS_MOST); i++)
-    flow->above += bucket->taken[i];
-  flow->above *= exp (-(double) (bucket->at - bucket->taken_as_of) / TAKEN_US);
+  refill (quota, bucket);
+  *status = (QuotaStatus){ .rate = bucket->rate * bucket->share,
+                           .burst = bucket->burst * bucket->share,
+                           .left = capacity (bucket) - bucket->spent };
+  for (unsigned i = 0; i < MIN (rank, RANK_MAX); i++)
+    status->higher_rank_rate += bucket->taken_rate[i];
+  status->higher_rank_rate
+      *= exp (-(double) (bucket->updated_at - bucket->averages_at) / RANK_AVERAGE_US);
   return true;
 }
 
@@ -303,16 +311,17 @@
 
   if (bucket == NULL)
     return;
-  bool idle = now - bucket->taken_at > IDLE;
-  /* The report from which the account goes on here includes that. */
-  if (now - bucket->reported_at < REPORT_MOST && (idle || since < bucket->began))
+  bool idle = now - bucket->decided_at > IDLE;
+  /* The report that the bucket here continues from includes these tokens. */
+  if (now - bucket->reported_at < REPORT_VALID_FOR && (idle || since < bucket->active_since))
     return;
-  fill (quota, bucket);
-  /* Failure: an organisation sends many times its limit, and entries on a lossy path go between two
-   * schedulers. Symptom: what one gave is charged to an account that is empty already, and is lost;
-   * the organisation passes its limit. The account goes into debt, no deeper than it refills in the
-   * time of a burst. */
-  bucket->spent = MIN (bucket->spent + cost, MAX (bucket->spent, (1 + DEBT) * capacity (bucket)));
+  refill (quota, bucket);
+  /* Failure: an organisation sends many times its limit, and entries on a lossy path alternate
+   * between two schedulers. Symptom: tokens that one granted are charged to a bucket of the other
+   * that is already empty and are not counted, so the organisation exceeds its limit. The bucket
+   * therefore goes into debt, by no more than it refills in the time of a burst. */
+  bucket->spent
+      = MIN (bucket->spent + cost, MAX (bucket->spent, (1 + DEBT_MAX) * capacity (bucket)));
 }
 
 void
@@ -320,8 +329,8 @@
 {
   const Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
 
-  snprintf (out, size, "limit of %s: %.0f/s, at once %.0f, part %.2f; asked %.0f, left %.0f", org,
-            bucket ? bucket->rate : 0, bucket ? bucket->burst : 0, quota->share, cost,
+  snprintf (out, size, "limit of %s: %.0f/s, burst %.0f, share %.2f; requested %.0f, left %.0f",
+            org, bucket ? bucket->rate : 0, bucket ? bucket->burst : 0, quota->share, cost,
             bucket ? capacity (bucket) - bucket->spent : 0);
 }
 
--- a/src/returns.c
+++ b/src/returns.c
@@ -396,7 +396,7 @@
 
   *at = INT64_MAX;
   if (!quota_get_status (quota, request->org, request->rank, &status)
-      || status.above > (1 - ret->share) * status.rate)
+      || status.higher_rank_rate > (1 - ret->share) * status.rate)
     return false;
   demand->cost = MIN (request->cost, status.burst);
   demand->rate = status.rate / 1e6;
@@ -449,12 +449,12 @@
   if (ret->share <= 0)
     return quota_take_request (quota, &take, wait_us);
   RetState state = ret_lookup (ret, resource, request->content, request->end_at, &at, &promised);
-  take.set_aside = state == RET_DUE;
-  take.beside = ret_reserved (ret, resource, request->rank, take.set_aside ? request->content : 0);
+  take.reserved = state == RET_DUE;
+  take.leave = ret_reserved (ret, resource, request->rank, take.reserved ? request->content : 0);
   if (state == RET_EARLY)
-    take.beside += early_reserve (quota, request->org);
+    take.leave += early_reserve (quota, request->org);
   bool taken = quota_take_request (quota, &take, wait_us);
-  if ((taken && state != RET_OTHER_CALLER) || take.set_aside)
+  if ((taken && state != RET_OTHER_CALLER) || take.reserved)
     if (ret_consume (ret, resource, request->content))
       ret_count_outcome (ret, taken);
   if (taken || request->content == 0 || state == RET_OTHER_CALLER)
