--- a/src/budget.c
+++ b/src/budget.c
@@ -1,22 +1,21 @@
-/* budget.c - repeats are paid from a part of an instance's own traffic and its part of the slack.
+/* budget.c - a retry budget from a ratio of the instance's own traffic and its share of the slack.
  *
- * Failure: every instance repeats what a failing service loses. Symptom: the repeats keep the
- * service down. The sum of all instances' budgets stays below the limit without a word between
- * them, since each counts only requests that callers sent to it.
+ * Failure: every instance retries the requests that a failing service loses. Symptom: the retries
+ * keep the service down. The budgets of all instances together stay within the limit without any
+ * communication, since each counts only requests that callers sent to it.
  */
 #include "budget.h"
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define SLOTS      16   /* spans of a window that are counted apart: the edge is 1/16 of it wide */
+#define SLOTS      16   /* a window is counted in 16 slots, so it is exact to 1/16 of its length */
 #define RATIO_USED 0.85 /* of the ratio; the rest covers requests at the window's edges */
 #define SLACK_USED 0.7  /* of the slack; the rest covers a wrong number of instances */
 
 typedef struct
 {
-  int64_t span[SLOTS]; /* number of the span that a count is of */
-  unsigned asked[SLOTS], repeated[SLOTS];
+  int64_t time_slot[SLOTS]; /* number of the time slot that the counts belong to */
+  unsigned requests[SLOTS], retries[SLOTS];
 } Counts;
 
 struct RetryBudget
@@ -58,18 +57,18 @@
 counts_of (RetryBudget *budget, const char *service, unsigned *slot)
 {
   Counts *counts = g_hash_table_lookup (budget->services, service);
-  int64_t span = ft_clock_now (budget->clock) / (budget->conf.window_us / SLOTS);
+  int64_t time_slot = ft_clock_now (budget->clock) / (budget->conf.window_us / SLOTS);
 
   if (counts == NULL)
     {
       counts = g_new0 (Counts, 1);
       g_hash_table_insert (budget->services, g_strdup (service), counts);
     }
-  *slot = (unsigned) (span % SLOTS);
-  if (counts->span[*slot] != span)
+  *slot = (unsigned) (time_slot % SLOTS);
+  if (counts->time_slot[*slot] != time_slot)
     {
-      counts->span[*slot] = span;
-      counts->asked[*slot] = counts->repeated[*slot] = 0;
+      counts->time_slot[*slot] = time_slot;
+      counts->requests[*slot] = counts->retries[*slot] = 0;
     }
   return counts;
 }
@@ -80,26 +79,26 @@
   unsigned slot;
   Counts *counts = counts_of (budget, service, &slot);
 
-  counts->asked[slot]++;
+  counts->requests[slot]++;
 }
 
 bool
 budget_take (RetryBudget *budget, const char *service)
 {
-  unsigned slot, asked = 0, repeated = 0;
+  unsigned slot, requests = 0, retries = 0;
   Counts *counts = counts_of (budget, service, &slot);
-  int64_t oldest = counts->span[slot] - SLOTS;
+  int64_t oldest = counts->time_slot[slot] - SLOTS;
 
   for (unsigned i = 0; i < SLOTS; i++)
-    if (counts->span[i] > oldest)
+    if (counts->time_slot[i] > oldest)
       {
-        asked += counts->asked[i];
-        repeated += counts->repeated[i];
+        requests += counts->requests[i];
+        retries += counts->retries[i];
       }
-  double most
-      = budget->conf.ratio * RATIO_USED * asked + budget->conf.slack * SLACK_USED * budget->share;
-  if (repeated + 1 > most)
+  double limit = budget->conf.ratio * RATIO_USED * requests
+                 + budget->conf.slack * SLACK_USED * budget->share;
+  if (retries + 1 > limit)
     return false;
-  counts->repeated[slot]++;
+  counts->retries[slot]++;
   return true;
 }
--- a/src/budget.h
+++ b/src/budget.h
@@ -1,5 +1,4 @@
-/* budget.h - how many requests a service may be sent again; private to the library and its
- * shells. */
+/* budget.h - limits the retries per service; private to the library and its shells. */
 #ifndef BUDGET_H
 #define BUDGET_H
 
@@ -9,18 +8,18 @@
 
 typedef struct
 {
-  double ratio;      /* of the requests for a service, over all instances */
-  double slack;      /* and so many more, over all instances */
-  int64_t window_us; /* in any span of this length */
+  double ratio;      /* retries per request for a service, over all instances */
+  double slack;      /* retries allowed in addition, over all instances */
+  int64_t window_us; /* both hold in any window of this length */
 } BudgetConf;
 
 RetryBudget *budget_new (FtClock *clock, const BudgetConf *conf);
 void budget_free (RetryBudget *budget);
-/* This instance's part of the slack, 0 to 1. */
+/* Sets this instance's share of the slack, 0 to 1; initially 1. */
 void budget_set_share (RetryBudget *budget, double share);
-/* A caller's request for the service came here. */
+/* Counts a request for the service that a caller sent to this instance. */
 void budget_count_request (RetryBudget *budget, const char *service);
-/* May one be sent once more? Counts it if so. */
+/* Takes one retry from the budget. False: the budget is used up. */
 bool budget_take (RetryBudget *budget, const char *service);
 
 #endif
--- a/src/patience.c
+++ b/src/patience.c
@@ -1,27 +1,28 @@
-/* patience.c - a caller that was refused and comes back has less time left than others.
+/* patience.c - a caller that returns after a refusal has less time left than others.
  *
- * Failure: at worst load every other request is one that was refused before. Symptom: it takes the
- * place of a newcomer that could be on time, although its caller has waited longer than is on time
- * already. Callers of one kind wait for about as long, so the longest patience seen of late on a
- * route is that of newcomers, and who says clearly less has used up the difference.
+ * Failure: at the highest load every other request was refused before. Symptom: such a request
+ * takes the place of a new one that could be answered on time, although its caller has waited for
+ * longer than the target already. Callers of the same kind wait for about the same time. So the
+ * longest wait that was recently seen on a route is that of new requests, and a caller with a
+ * clearly shorter one has used up the difference.
  */
 #include "patience.h"
 
-/* Tuning; each row with its reason. */
-#define SPAN (10 * FT_SECOND) /* the longest is that of one to two spans: some hundred requests */
-#define BACK_BELOW                                                                                 \
-  0.8 /* of the longest: newcomers say 0.85 to 1 of it, who came back 2/3 and less */
+/* The longest wait is taken over one to two spans, which are some hundred requests. */
+#define SPAN (10 * FT_SECOND)
+/* Of the longest wait: new requests have 0.85 to 1 of it, returning callers 2/3 or less. */
+#define RETURNING_BELOW 0.8
 
 typedef struct
 {
   int64_t span;
-  int64_t longest[2]; /* in this span and in the one before */
-} Seen;
+  int64_t longest[2]; /* longest wait in this span and in the previous one */
+} RouteWaits;
 
 struct Patience
 {
   FtClock *clock;
-  GHashTable *routes; /* name: Seen */
+  GHashTable *routes; /* name: RouteWaits */
 };
 
 Patience *
@@ -43,33 +44,33 @@
   g_free (patience);
 }
 
-static Seen *
-seen_of (Patience *patience, const char *route)
+static RouteWaits *
+waits_of (Patience *patience, const char *route)
 {
-  Seen *seen = g_hash_table_lookup (patience->routes, route);
+  RouteWaits *waits = g_hash_table_lookup (patience->routes, route);
   int64_t span = ft_clock_now (patience->clock) / SPAN;
 
-  if (seen == NULL)
+  if (waits == NULL)
     {
-      seen = g_new0 (Seen, 1);
-      seen->span = span;
-      g_hash_table_insert (patience->routes, g_strdup (route), seen);
+      waits = g_new0 (RouteWaits, 1);
+      waits->span = span;
+      g_hash_table_insert (patience->routes, g_strdup (route), waits);
     }
-  if (seen->span != span)
+  if (waits->span != span)
     {
-      seen->longest[1] = seen->span + 1 == span ? seen->longest[0] : 0;
-      seen->longest[0] = 0;
-      seen->span = span;
+      waits->longest[1] = waits->span + 1 == span ? waits->longest[0] : 0;
+      waits->longest[0] = 0;
+      waits->span = span;
     }
-  return seen;
+  return waits;
 }
 
 int64_t
-patience_record (Patience *patience, const char *route, int64_t waits_us)
+patience_record (Patience *patience, const char *route, int64_t max_wait_us)
 {
-  Seen *seen = seen_of (patience, route);
+  RouteWaits *waits = waits_of (patience, route);
 
-  seen->longest[0] = MAX (seen->longest[0], waits_us);
-  int64_t longest = MAX (seen->longest[0], seen->longest[1]);
-  return (double) waits_us < BACK_BELOW * (double) longest ? longest - waits_us : 0;
+  waits->longest[0] = MAX (waits->longest[0], max_wait_us);
+  int64_t longest = MAX (waits->longest[0], waits->longest[1]);
+  return (double) max_wait_us < RETURNING_BELOW * (double) longest ? longest - max_wait_us : 0;
 }
--- a/src/patience.h
+++ b/src/patience.h
@@ -1,4 +1,5 @@
-/* patience.h - which callers have been here before; private to the library and its shells. */
+/* patience.h - recognises callers that return after a refusal by their remaining time; private to
+ * the library and its shells. */
 #ifndef PATIENCE_H
 #define PATIENCE_H
 
@@ -8,8 +9,8 @@
 
 Patience *patience_new (FtClock *clock);
 void patience_free (Patience *patience);
-/* A request for the route has come whose caller waits that long. Returns how long the caller has
- * waited before, if it is one that was refused and came back; else 0. Microseconds. */
-int64_t patience_record (Patience *patience, const char *route, int64_t waits_us);
+/* Records a request for the route whose caller will wait for max_wait_us. Returns the microseconds
+ * that the caller has waited already if it seems to have been refused before, otherwise 0. */
+int64_t patience_record (Patience *patience, const char *route, int64_t max_wait_us);
 
 #endif
--- a/src/retry.c
+++ b/src/retry.c
@@ -1,17 +1,17 @@
-/* retry.c - the one place that decides whether a request is sent once more.
+/* retry.c - the only place that decides whether a request is sent again.
  *
- * The promise: a request that is not idempotent runs once at most, and "not run" is said only when
- * it is true. From the first byte handed to a connection a request may have run, whatever the
- * connection does; only its server's word takes that back.
+ * Guarantees: a request that is not idempotent runs at most once, and callers are told "not run"
+ * only when that is true. Once the first byte is handed to a connection the request may have run,
+ * whatever happens to the connection; only a statement of the server proves that it did not.
  */
 #include "retry.h"
 
-/* Tuning; each row with its reason. */
-#define LEFT_LEAST     (30 * FT_MS) /* less is not enough for a connection and an answer */
-#define UNREACHED_MOST 4 /* servers without a connection; then the caller may do better */
+#define LEFT_MIN (30 * FT_MS) /* less is not enough for a connection and an answer */
+/* Tries that reach no server, or another one; after that a retry by the caller may do better. */
+#define UNREACHED_MAX 4
 
 static bool
-repeatable (const RetryFacts *facts)
+is_repeatable (const RetryFacts *facts)
 {
   return facts->kind == RT_IDEMPOTENT || (facts->kind == RT_STREAM && facts->resumable);
 }
@@ -19,7 +19,7 @@
 static bool
 may_send_again (const RetryFacts *facts)
 {
-  return facts->sends < facts->most_sends && facts->budget && facts->left_us > LEFT_LEAST;
+  return facts->sends < facts->most_sends && facts->budget && facts->left_us > LEFT_MIN;
 }
 
 static RetryStep
@@ -30,21 +30,22 @@
   return facts->may_have_run ? RETRY_ANSWER_UNKNOWN : RETRY_ANSWER_NOT_RUN;
 }
 
-/* Failure: a request ends the servers that run it. Symptom: each coming ends as many as its route
- * allows tries. One under which a server ended before is not sent on once more. */
+/* Failure: a request ends the servers that run it. Symptom: each time a caller sends it, it ends as
+ * many servers as its route allows tries. A request whose content ended a server before is
+ * therefore not sent again. */
 static RetryStep
 after_break (const RetryFacts *facts)
 {
-  if (!repeatable (facts) || !may_send_again (facts) || facts->suspect)
+  if (!is_repeatable (facts) || !may_send_again (facts) || facts->suspect)
     return give_up (facts);
   return facts->begun ? RETRY_RESUME : RETRY_AGAIN;
 }
 
-/* Failure: a long plain answer that its caller has the first part of breaks. Symptom: it is asked
- * for again as if it were a stream, which has no place to go on from, and the process ends. Only a
- * stream goes on behind what its caller has. */
+/* Failure: the connection breaks during a long answer of which the caller has the first part.
+ * Symptom: the answer is requested again as if it were a stream, but there is no position to resume
+ * from, and the process ends. Only streams can be resumed. */
 static RetryStep
-after_begun_plain (RetryEvent event)
+after_partial_answer (RetryEvent event)
 {
   switch (event)
     {
@@ -61,17 +62,17 @@
 retry_next (RetryEvent event, const RetryFacts *facts)
 {
   if (facts->begun && facts->kind != RT_STREAM)
-    return after_begun_plain (event);
+    return after_partial_answer (event);
   switch (event)
     {
     case RETRY_ANSWERED:
       return RETRY_DELIVER;
     case RETRY_NOT_CONNECTED:
-      if (facts->unreached < UNREACHED_MOST && facts->left_us > LEFT_LEAST)
+      if (facts->unreached < UNREACHED_MAX && facts->left_us > LEFT_MIN)
         return facts->begun ? RETRY_RESUME : RETRY_AGAIN;
       return give_up (facts);
     case RETRY_OTHER_SERVER:
-      if (facts->budget && facts->unreached < UNREACHED_MOST && facts->left_us > LEFT_LEAST)
+      if (facts->budget && facts->unreached < UNREACHED_MAX && facts->left_us > LEFT_MIN)
         return facts->begun ? RETRY_RESUME : RETRY_AGAIN;
       return give_up (facts);
     case RETRY_REJECTED:
@@ -81,12 +82,12 @@
     case RETRY_FAILURE:
       if (facts->begun)
         return after_break (facts);
-      return repeatable (facts) && may_send_again (facts) ? RETRY_AGAIN : RETRY_DELIVER;
+      return is_repeatable (facts) && may_send_again (facts) ? RETRY_AGAIN : RETRY_DELIVER;
     case RETRY_BROKEN:
     case RETRY_STREAM_CUT:
       return after_break (facts);
     case RETRY_SILENT:
-      if (!repeatable (facts) || !may_send_again (facts))
+      if (!is_repeatable (facts) || !may_send_again (facts))
         return RETRY_WAIT;
       return facts->begun ? RETRY_RESUME : RETRY_AGAIN;
     }
