--- a/src/content.c
+++ b/src/content.c
@@ -1,12 +1,13 @@
-/* content.c - one number for what a request asks.
+/* content.c - a hash that identifies what a request asks for.
  *
- * A caller that sends a request again gives it another id, and it may come to any instance by any
- * connection, with another time limit, key of the same organisation or Last-Event-Id. What stays is
- * what a server is asked to do: method, path with its query, organisation and body. Each part goes
- * in with its length, so that no bytes can move from one part into the next.
+ * A caller that repeats a request gives it a new request id, and it may arrive at any instance on
+ * any connection, with another time limit, Last-Event-Id or key of the same organisation. What
+ * stays the same is what the server is asked to do: method, path with query, organisation and body.
+ * Each part is hashed with its length, so that moving bytes from one part to the next changes the
+ * hash.
  *
- * The number has 64 bits: among ten million contents two are alike with a chance of one in 370,000.
- * It is no proof against somebody who looks for a pair on purpose.
+ * The hash has 64 bits: among ten million contents, the probability that two collide is one in
+ * 370,000. It does not protect against somebody who searches for a collision.
  */
 #include "content.h"
 
--- a/src/content.h
+++ b/src/content.h
@@ -4,23 +4,23 @@
 
 #include "foxtail.h"
 
-#define CONTENT_ID_SIZE 17 /* bytes of an identity as text, its end included */
+#define CONTENT_ID_SIZE 17 /* size of an id as text, with the final NUL */
 
-/* What a request asks of a server. Strings may be NULL, which is as empty. */
+/* The parts of a request that identify its content. A NULL string is the same as an empty one. */
 typedef struct
 {
   const char *method;
   const char *target; /* path and query as sent */
   const char *org;    /* the caller's organisation */
-  const void *body;   /* as the caller meant it: without the frames of chunks */
+  const void *body;   /* without chunked encoding */
   size_t size;
 } Content;
 
-/* The same number on every instance for the same content; never 0. */
+/* A hash of the content, the same on every instance; never 0. */
 uint64_t content_id (const Content *content);
-/* 16 hex digits into buffer; returns buffer. */
+/* Writes 16 hex digits to buffer, which has CONTENT_ID_SIZE bytes, and returns it. */
 const char *content_format (uint64_t id, char *buffer);
-/* False: text is no identity. */
+/* False: text is not an id. */
 bool content_parse (const char *text, uint64_t *id);
 
 #endif
--- a/src/notice.c
+++ b/src/notice.c
@@ -1,12 +1,12 @@
-/* notice.c - reads the values of a server's notices. */
+/* notice.c - parses the values of a server's notices. */
 #include "notice.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Digits with at most one point: no sign, no exponent, no name of a number. */
+/* Accepts digits with at most one decimal point: no sign, exponent, "inf" or "nan". */
 static bool
-read_number (const char *text, double *out)
+parse_number (const char *text, double *out)
 {
   char *end;
 
@@ -21,7 +21,7 @@
 {
   double value;
 
-  if (!read_number (text, &value))
+  if (!parse_number (text, &value))
     return false;
   *rate = CLAMP (value, NOTICE_RATE_MIN, NOTICE_RATE_MAX);
   return true;
@@ -32,7 +32,7 @@
 {
   double value;
 
-  if (!read_number (text, &value))
+  if (!parse_number (text, &value))
     {
       *us = NOTICE_BACKOFF_DEFAULT;
       return false;
--- a/src/notices.c
+++ b/src/notices.c
@@ -1,21 +1,22 @@
-/* notices.c - a bounded table. It binds the instance itself, and is sent to each scheduler that the
- * instance turns to. */
+/* notices.c - a bounded table of notices. The instance obeys them itself, and sends them to each
+ * scheduler that it turns to. */
 #include "notices.h"
 
-#define SERVERS_MOST 4096 /* servers remembered; the one heard longest ago is forgotten first */
+/* Servers in the table; the least recently updated one is removed first. */
+#define SERVERS_MAX 4096
 
 typedef struct
 {
   double rate;
-  bool leaving; /* until the lifetime's end */
-  bool unread;  /* it has said something that cannot be read */
-  int64_t backoff_until, heard_at;
-} Heard;
+  bool leaving;   /* until this incarnation ends */
+  bool malformed; /* it has sent a malformed notice */
+  int64_t backoff_until, updated_at;
+} Record;
 
 struct Notices
 {
   FtClock *clock;
-  GHashTable *by_server; /* id: Heard */
+  GHashTable *by_server; /* server incarnation: Record */
 };
 
 Notices *
@@ -42,52 +43,52 @@
 {
   GHashTableIter iter;
   gpointer key, value, oldest = NULL;
-  int64_t least = INT64_MAX;
+  int64_t oldest_at = INT64_MAX;
 
   g_hash_table_iter_init (&iter, notices->by_server);
   while (g_hash_table_iter_next (&iter, &key, &value))
-    if (((const Heard *) value)->heard_at < least)
+    if (((const Record *) value)->updated_at < oldest_at)
       {
-        least = ((const Heard *) value)->heard_at;
+        oldest_at = ((const Record *) value)->updated_at;
         oldest = key;
       }
   if (oldest)
     g_hash_table_remove (notices->by_server, oldest);
 }
 
-static Heard *
-heard_of (Notices *notices, const char *server)
+static Record *
+record_of (Notices *notices, const char *server)
 {
-  Heard *heard = g_hash_table_lookup (notices->by_server, server);
+  Record *record = g_hash_table_lookup (notices->by_server, server);
 
-  if (heard)
-    return heard;
-  if (g_hash_table_size (notices->by_server) >= SERVERS_MOST)
+  if (record)
+    return record;
+  if (g_hash_table_size (notices->by_server) >= SERVERS_MAX)
     forget_oldest (notices);
-  heard = g_new0 (Heard, 1);
-  g_hash_table_insert (notices->by_server, g_strdup (server), heard);
-  return heard;
+  record = g_new0 (Record, 1);
+  g_hash_table_insert (notices->by_server, g_strdup (server), record);
+  return record;
 }
 
 NoticesChange
 notices_record (Notices *notices, const char *server, const Notice *notice)
 {
   int64_t now = ft_clock_now (notices->clock);
-  Heard *heard = g_hash_table_lookup (notices->by_server, server);
+  Record *record = g_hash_table_lookup (notices->by_server, server);
 
-  bool said = heard && (heard->rate > 0 || heard->leaving || heard->backoff_until > now);
-  if (!said && notice_is_empty (notice))
+  bool announced = record && (record->rate > 0 || record->leaving || record->backoff_until > now);
+  if (!announced && notice_is_empty (notice))
     return NOTICES_NONE;
-  if (heard == NULL)
-    heard = heard_of (notices, server);
-  bool same = heard->rate == notice->rate && heard->leaving >= notice->leaving
-              && (notice->backoff_us == 0 || heard->backoff_until > now);
-  heard->rate = notice->rate;
-  heard->leaving = heard->leaving || notice->leaving;
+  if (record == NULL)
+    record = record_of (notices, server);
+  bool same = record->rate == notice->rate && record->leaving >= notice->leaving
+              && (notice->backoff_us == 0 || record->backoff_until > now);
+  record->rate = notice->rate;
+  record->leaving = record->leaving || notice->leaving;
   if (notice->backoff_us > 0)
-    heard->backoff_until = MAX (heard->backoff_until, now + notice->backoff_us);
-  heard->heard_at = now;
-  if (heard->rate <= 0 && !heard->leaving && !heard->unread && heard->backoff_until <= now)
+    record->backoff_until = MAX (record->backoff_until, now + notice->backoff_us);
+  record->updated_at = now;
+  if (record->rate <= 0 && !record->leaving && !record->malformed && record->backoff_until <= now)
     g_hash_table_remove (notices->by_server, server);
   return same ? NOTICES_SAME : NOTICES_CHANGED;
 }
@@ -95,35 +96,35 @@
 bool
 notices_record_unreadable (Notices *notices, const char *server)
 {
-  Heard *heard = heard_of (notices, server);
-  bool first = !heard->unread;
+  Record *record = record_of (notices, server);
+  bool first = !record->malformed;
 
-  heard->unread = true;
-  heard->heard_at = ft_clock_now (notices->clock);
+  record->malformed = true;
+  record->updated_at = ft_clock_now (notices->clock);
   return first;
 }
 
 static Notice
-holds_of (const Notices *notices, const Heard *heard)
+notice_in_force (const Notices *notices, const Record *record)
 {
-  int64_t left = heard->backoff_until - ft_clock_now (notices->clock);
+  int64_t left = record->backoff_until - ft_clock_now (notices->clock);
 
-  return (Notice){ .rate = heard->rate, .leaving = heard->leaving, .backoff_us = MAX (0, left) };
+  return (Notice){ .rate = record->rate, .leaving = record->leaving, .backoff_us = MAX (0, left) };
 }
 
 const char *
 notices_block_reason (const Notices *notices, const char *server, Notice *out)
 {
-  const Heard *heard = g_hash_table_lookup (notices->by_server, server);
+  const Record *record = g_hash_table_lookup (notices->by_server, server);
 
-  *out = heard ? holds_of (notices, heard) : (Notice){ 0 };
+  *out = record ? notice_in_force (notices, record) : (Notice){ 0 };
   if (out->leaving)
     return "leaving";
   return out->backoff_us > 0 ? "backoff" : NULL;
 }
 
 void
-notices_each (const Notices *notices, NoticesFunc each, void *data)
+notices_each (const Notices *notices, NoticesFunc func, void *data)
 {
   int64_t now = ft_clock_now (notices->clock);
   GHashTableIter iter;
@@ -132,9 +133,9 @@
   g_hash_table_iter_init (&iter, notices->by_server);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
-      const Heard *heard = value;
-      Notice notice = holds_of (notices, heard);
+      const Record *record = value;
+      Notice notice = notice_in_force (notices, record);
       if (!notice_is_empty (&notice))
-        each (data, key, &notice, now - heard->heard_at);
+        func (data, key, &notice, now - record->updated_at);
     }
 }
--- a/src/notices.h
+++ b/src/notices.h
@@ -1,5 +1,5 @@
-/* notices.h - the notices that this instance has received from servers, by their lifetimes; private
- * to the library and its shells. */
+/* notices.h - the notices that this instance has received, by server incarnation; private to the
+ * library and its shells. */
 #ifndef NOTICES_H
 #define NOTICES_H
 
@@ -11,21 +11,21 @@
 void notices_free (Notices *notices);
 typedef enum
 {
-  NOTICES_NONE,   /* nothing was said, and nothing before */
-  NOTICES_SAME,   /* what was known; schedulers still hear of it, since it is younger */
+  NOTICES_NONE,   /* nothing is announced, as before */
+  NOTICES_SAME,   /* the same as before; schedulers are still informed, since it is more recent */
   NOTICES_CHANGED /* something else than before */
 } NoticesChange;
 
-/* An answer of the server said this; empty: nothing. */
+/* Records the notice of an answer; an empty one withdraws an announced rate limit. */
 NoticesChange notices_record (Notices *notices, const char *server, const Notice *notice);
-/* An answer of the server held a value that cannot be read. True: for the first time. */
+/* Records that an answer contained a malformed notice. True: the first one of this server. */
 bool notices_record_unreadable (Notices *notices, const char *server);
-/* Why nothing may be sent to the server: "leaving" or "backoff"; NULL: it may. *out: what holds of
- * what it said, its backoff from now on. */
+/* Why nothing may be sent to the server: "leaving" or "backoff"; NULL: requests are allowed. *out:
+ * the notice in force, with the remaining backoff. */
 const char *notices_block_reason (const Notices *notices, const char *server, Notice *out);
-/* Calls back for each server that has said something, with what holds of it. age: of the latest
- * answer that said something. */
+/* Calls func for each server with a notice in force. age: time since the last answer of the server
+ * that was recorded. */
 typedef void (*NoticesFunc) (void *data, const char *server, const Notice *notice, int64_t age);
-void notices_each (const Notices *notices, NoticesFunc each, void *data);
+void notices_each (const Notices *notices, NoticesFunc func, void *data);
 
 #endif
--- a/src/quota.c
+++ b/src/quota.c
@@ -41,8 +41,8 @@
 /* Older reports are ignored, since a bucket fills within one or two seconds. */
 #define REPORT_VALID_FOR (2 * FT_SECOND)
 #define SHARE_MIN        1e-4 /* one of 10,000 entries; avoids a division by zero */
-#define RANK_AVERAGE_US  1e6 /* time constant of QuotaStatus.higher_rank_rate: the time of a burst \
-                              */
+/* Time constant of QuotaStatus.higher_rank_rate: the time of a burst. */
+#define RANK_AVERAGE_US 1e6
 
 typedef struct
 {
--- a/src/shares.c
+++ b/src/shares.c
@@ -15,19 +15,21 @@
 #include <math.h>
 
 /* Tuning. */
-#define FORGET_AFTER                                                                               \
-  (5 * FT_SECOND)      /* arrivals and service are averaged over less than half of this */
-#define ORGS_MAX   512 /* organisations with state; beyond it idle ones are freed early */
-#define SWEEP_MAX  4   /* organisations checked for this when one is used */
-#define AVERAGE_US 2e6 /* time constant of the averages of arrivals and service, as for a tier */
-#define INFLOW_VALID_FOR                                                                           \
-  (10 * FT_MS)               /* an average of arrivals changes by half a percent in this time */
-#define WEIGHT_MIN       1.0 /* so that an organisation that needs less than an equal share is served */
+/* Arrivals and service are averaged over less than half of this. */
+#define FORGET_AFTER (5 * FT_SECOND)
+#define ORGS_MAX     512 /* organisations with state; beyond it idle ones are freed early */
+#define SWEEP_MAX    4   /* organisations checked for this when one is used */
+/* Time constant of the averages of arrivals and service, as for a tier. */
+#define AVERAGE_US 2e6
+/* The average of arrivals changes by half a percent in this time. */
+#define INFLOW_VALID_FOR (10 * FT_MS)
+/* An organisation that needs less than an equal share is served. */
+#define WEIGHT_MIN       1.0
 #define WORK_MIN         1.0 /* microseconds; keeps the tags of one organisation distinct */
-#define NEWTON_STEPS_MAX 16  /* steps to estimate a new request's start; two to four suffice */
-#define PLACES_LEFT_MIN                                                                            \
-  0.05 /* share of the places that a new request gets even if more work arrives before it */
-#define DESCRIBED_MAX 16 /* organisations listed by shr_describe */
+#define NEWTON_STEPS_MAX 16  /* to estimate a new request's start; two to four suffice */
+/* Share of the places that a new request gets even if more work arrives before it. */
+#define PLACES_LEFT_MIN 0.05
+#define DESCRIBED_MAX   16 /* organisations listed by shr_describe */
 
 struct ShrWeights
 {
