--- a/src/handover.c
+++ b/src/handover.c
@@ -84,9 +84,9 @@
 }
 
 void
-hand_set_max_wait (Hand *hand, int64_t most_us)
+hand_set_max_wait (Hand *hand, int64_t max_us)
 {
-  hand->max_wait_us = most_us;
+  hand->max_wait_us = max_us;
 }
 
 /* ---- Reports ---- */
--- a/src/handover.h
+++ b/src/handover.h
@@ -15,7 +15,7 @@
 Hand *hand_new (FtClock *clock);
 void hand_free (Hand *hand);
 /* Sets the longest duration of a handover in microseconds; 0, the initial value: no handovers. */
-void hand_set_max_wait (Hand *hand, int64_t most_us);
+void hand_set_max_wait (Hand *hand, int64_t max_us);
 /* Begins a handover with this number of owners. Earlier reports stay valid. */
 void hand_begin (Hand *hand, unsigned expected);
 /* The owner sends a request. Begins a handover and returns true if the owner is new and less than
--- a/src/returns.c
+++ b/src/returns.c
@@ -66,8 +66,8 @@
 struct Returns
 {
   FtClock *clock;
-  double share; /* of the capacity that may be reserved */
-  unsigned most;
+  double share;          /* of the capacity that may be reserved */
+  unsigned max_entries;  /* per table */
   GHashTable *resources; /* id: Resource */
   Table reservations;
   Table waits; /* return times without a reservation */
@@ -97,12 +97,12 @@
 }
 
 Returns *
-ret_new (FtClock *clock, unsigned most)
+ret_new (FtClock *clock, unsigned max_reservations)
 {
   Returns *ret = g_new0 (Returns, 1);
 
   ret->clock = clock;
-  ret->most = most;
+  ret->max_entries = max_reservations;
   ret->resources = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   table_init (&ret->reservations);
   table_init (&ret->waits);
@@ -121,7 +121,7 @@
 }
 
 static void
-drop (Table *table, Reservation *reservation)
+remove_entry (Table *table, Reservation *reservation)
 {
   cds_list_del (&reservation->link);
   cds_list_del (&reservation->age);
@@ -139,7 +139,7 @@
 lapse (Returns *ret, Reservation *reservation)
 {
   ret->counts.lapsed++;
-  drop (&ret->reservations, reservation);
+  remove_entry (&ret->reservations, reservation);
 }
 
 void
@@ -149,7 +149,7 @@
   while (share <= 0 && oldest (&ret->reservations))
     lapse (ret, oldest (&ret->reservations));
   while (share <= 0 && oldest (&ret->waits))
-    drop (&ret->waits, oldest (&ret->waits));
+    remove_entry (&ret->waits, oldest (&ret->waits));
 }
 
 double
@@ -209,7 +209,7 @@
         g_hash_table_iter_remove (&iter);
     }
   while (oldest (&ret->waits) && oldest (&ret->waits)->ready_at <= now)
-    drop (&ret->waits, oldest (&ret->waits));
+    remove_entry (&ret->waits, oldest (&ret->waits));
 }
 
 int64_t
@@ -284,7 +284,7 @@
 }
 
 static Reservation *
-add (Returns *ret, Table *table, const RetDemand *demand, int64_t ready_at)
+add_entry (Returns *ret, Table *table, const RetDemand *demand, int64_t ready_at)
 {
   Reservation *reservation = g_new0 (Reservation, 1);
 
@@ -293,10 +293,10 @@
                                 .rank = demand->rank,
                                 .cost = demand->cost,
                                 .end_at = demand->end_at };
-  if (g_hash_table_size (table->by_key) >= ret->most)
+  if (g_hash_table_size (table->by_key) >= ret->max_entries)
     {
       ret->counts.lapsed += table == &ret->reservations;
-      drop (table, oldest (table));
+      remove_entry (table, oldest (table));
     }
   CDS_INIT_LIST_HEAD (&reservation->link);
   cds_list_add_tail (&reservation->age, &table->ages);
@@ -310,7 +310,7 @@
   Reservation *wait = g_hash_table_lookup (ret->waits.by_key, key);
 
   if (wait)
-    drop (&ret->waits, wait);
+    remove_entry (&ret->waits, wait);
 }
 
 bool
@@ -333,7 +333,7 @@
   if (*at > latest || reservation_of (ret, &key))
     return false;
   forget_wait (ret, &key);
-  Reservation *reservation = add (ret, &ret->reservations, demand, *at - RET_EARLY_US);
+  Reservation *reservation = add_entry (ret, &ret->reservations, demand, *at - RET_EARLY_US);
   Resource *resource = resource_of (ret, demand->resource);
   reservation->fill_us = (float) fill_us;
   cds_list_add_tail (&reservation->link, &resource->reservations);
@@ -347,12 +347,12 @@
 {
   Key key = { demand->resource, demand->content };
   int64_t now = ft_clock_now (ret->clock);
-  int64_t wait_at_most = MIN (wait_us, MAX (0, demand->end_at - now) / RET_WAIT_DIVISOR);
+  int64_t observed_wait_us = MIN (wait_us, MAX (0, demand->end_at - now) / RET_WAIT_DIVISOR);
 
   if (ret->share <= 0 || demand->content == 0)
     return;
   forget_wait (ret, &key);
-  add (ret, &ret->waits, demand, now + wait_at_most - RET_EARLY_US);
+  add_entry (ret, &ret->waits, demand, now + observed_wait_us - RET_EARLY_US);
 }
 
 bool
@@ -363,7 +363,7 @@
 
   forget_wait (ret, &key);
   if (reservation)
-    drop (&ret->reservations, reservation);
+    remove_entry (&ret->reservations, reservation);
   return reservation != NULL;
 }
 
--- a/src/returns.h
+++ b/src/returns.h
@@ -46,8 +46,8 @@
   int64_t end_at;       /* the caller's own time limit */
 } RetDemand;
 
-/* most: reservations at a time. */
-Returns *ret_new (FtClock *clock, unsigned most);
+/* max_reservations: bound on reservations, and on recorded waits without one. */
+Returns *ret_new (FtClock *clock, unsigned max_reservations);
 void ret_free (Returns *ret);
 /* Sets the share of the capacity that may be reserved, 0 to 1. With 0, the initial value, no
  * reservations are made and existing ones lapse. */
