--- a/node/broker.c
+++ b/node/broker.c
@@ -13,7 +13,7 @@
 {
   uint64_t request;
   char *server; /* NULL: refused */
-  int64_t rest_most;
+  int64_t max_idle_us;
   SchedRefusal refusal;
 } Verdict;
 
@@ -37,7 +37,7 @@
 {
   Grant grant = { .server = { .id = verdict->server, .name = verdict->server, .leaving = true },
                   .listed_at = loop_now (broker->loop),
-                  .rest_most = verdict->rest_most };
+                  .max_idle_us = verdict->max_idle_us };
   const SeamServer *server = find (broker, verdict->server);
 
   if (server)
@@ -92,7 +92,7 @@
 
 static void
 on_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
-          int64_t rest_most)
+          int64_t max_idle_us)
 {
   Broker *broker = host;
   Asker *asker = g_hash_table_lookup (broker->askers, &owner);
@@ -102,12 +102,12 @@
   if (owner == BROKER_SELF)
     deliver_soon (
         broker,
-        (Verdict){ .request = request, .server = g_strdup (server), .rest_most = rest_most });
+        (Verdict){ .request = request, .server = g_strdup (server), .max_idle_us = max_idle_us });
   if (asker == NULL)
     return;
   asker->waiting -= asker->waiting > 0;
   put_grant (broker, request, server, &msg.MeshMsg_u.grant);
-  msg.MeshMsg_u.grant.rest_most_ms = (u_int) (rest_most / FT_MS);
+  msg.MeshMsg_u.grant.rest_most_ms = (u_int) (max_idle_us / FT_MS);
   msg.MeshMsg_u.grant.org_fill = fill_of (broker, org);
   msg.MeshMsg_u.grant.paced = sched_is_paced (broker->sched, server);
   mesh_send (asker->peer, &msg);
@@ -155,7 +155,7 @@
 }
 
 static void
-on_judged (void *host, const SchedJudged *judged)
+on_judged (void *host, const SchedVerdict *judged)
 {
   const Broker *broker = host;
 
@@ -237,10 +237,10 @@
   bool shared
       = !hand_is_over (broker->hand) || (broker_hands_over (broker) && broker_askers (broker) > 0);
 
-  sched_share (broker->sched, places, broker->salt);
-  sched_grant_part (broker->sched, shared ? MIN (broker->places, part) : SCHED_UNBOUNDED,
-                    !hand_is_over (broker->hand));
-  sched_rate_part (broker->sched, broker->limits);
+  sched_set_share (broker->sched, places, broker->salt);
+  sched_set_grant_share (broker->sched, shared ? MIN (broker->places, part) : SCHED_UNBOUNDED,
+                         !hand_is_over (broker->hand));
+  sched_set_rate_share (broker->sched, broker->limits);
   quota_set_share (broker->quota, MIN (broker->limits, part));
 }
 
@@ -292,7 +292,7 @@
 void
 broker_first (Broker *broker, uint64_t request, int64_t after_us)
 {
-  sched_first (broker->sched, BROKER_SELF, request, after_us);
+  sched_first_event (broker->sched, BROKER_SELF, request, after_us);
 }
 
 void
@@ -310,7 +310,7 @@
 void
 broker_notice_before (Broker *broker, const char *server, const Notice *notice, int64_t age)
 {
-  sched_notice_before (broker->sched, BROKER_SELF, server, notice, age);
+  sched_older_notice (broker->sched, BROKER_SELF, server, notice, age);
 }
 
 void
@@ -346,11 +346,11 @@
 {
   double means[2] = { mean_rate (cat, false), mean_rate (cat, true) };
 
-  sched_no_weights (broker->sched);
+  sched_clear_weights (broker->sched);
   for (unsigned i = 0; i < rt_cat_org_count (cat); i++)
     {
       const RtOrg *org = rt_cat_org_at (cat, i);
-      sched_weight (broker->sched, org->name, org->rate / means[org->by_tokens]);
+      sched_set_weight (broker->sched, org->name, org->rate / means[org->by_tokens]);
     }
 }
 
@@ -361,7 +361,7 @@
     {
       const RtService *service = rt_cat_service_at (cat, i);
       SchedServiceConf conf = { service->engine, service->stride, service->memory };
-      sched_service (broker->sched, service->name, &conf);
+      sched_set_service (broker->sched, service->name, &conf);
     }
   give_weights (broker, cat);
   for (unsigned i = 0; i < rt_cat_org_count (cat); i++)
@@ -409,8 +409,8 @@
   broker->conf = *conf;
   hand_set_max_wait (broker->hand, conf->handover_us);
   ret_set_share (broker->returns, conf->return_part);
-  sched_returns (broker->sched, conf->return_place_part);
-  sched_fair (broker->sched, conf->fair_shares);
+  sched_set_return_share (broker->sched, conf->return_place_part);
+  sched_set_fair (broker->sched, conf->fair_shares);
 }
 
 static void
@@ -428,7 +428,7 @@
 count_returns (Broker *broker)
 {
   const RetCounts *limits = ret_counts (broker->returns);
-  RetCounts places = sched_returned (broker->sched);
+  RetCounts places = sched_return_counts (broker->sched);
   RetCounts all = { limits->promised + places.promised, limits->kept + places.kept,
                     limits->lapsed + places.lapsed, limits->lost + places.lost };
 
@@ -452,11 +452,11 @@
 void
 broker_versions (Broker *broker, const char *service, const SchedVersions *versions)
 {
-  sched_versions (broker->sched, service, versions);
+  sched_set_versions (broker->sched, service, versions);
 }
 
 void
-broker_watch (Broker *broker, void (*judged) (void *host, const SchedJudged *judged), void *host)
+broker_watch (Broker *broker, void (*judged) (void *host, const SchedVerdict *judged), void *host)
 {
   broker->judged = judged;
   broker->watcher = host;
--- a/node/broker.h
+++ b/node/broker.h
@@ -13,10 +13,10 @@
 /* A place for a request, by one scheduler's list. */
 typedef struct
 {
-  SeamServer server; /* id, name, address and whether it leaves, borrowed; one that the list has
-                        lost leaves */
-  int64_t listed_at; /* when that list was asked for */
-  int64_t rest_most; /* connections that rested longer are not used for what may run once only */
+  SeamServer server;   /* id, name, address and whether it leaves, borrowed; one that the list has
+                          lost leaves */
+  int64_t listed_at;   /* when that list was asked for */
+  int64_t max_idle_us; /* connections that rested longer are not used for what may run once only */
 } Grant;
 
 /* Verdicts on requests of the own instance. Never called from within broker_ask. */
@@ -33,7 +33,7 @@
 /* The list has changed. servers must outlive the broker. */
 void broker_servers (Broker *broker, const Servers *servers);
 /* Parts of the places and of the limits, of organisations and servers, that it may give away; salt
- * as in sched_share. Both follow who asks: set them after broker_expect. */
+ * as in sched_set_share. Both follow who asks: set them after broker_expect. */
 void broker_share (Broker *broker, double places, double limits, uint64_t salt);
 /* The same for one that schedules for all, of which so many are heard and so many lost lately. */
 void broker_share_heard (Broker *broker, unsigned heard, unsigned lost);
@@ -87,9 +87,9 @@
 /* Linked instances that have said that they ask another now. */
 unsigned broker_away (const Broker *broker);
 
-/* See sched_versions and SchedOps.judged. */
+/* See sched_set_versions and SchedOps.judged. */
 void broker_versions (Broker *broker, const char *service, const SchedVersions *versions);
-void broker_watch (Broker *broker, void (*judged) (void *host, const SchedJudged *judged),
+void broker_watch (Broker *broker, void (*judged) (void *host, const SchedVerdict *judged),
                    void *host);
 void broker_service_stats (const Broker *broker, const char *service, SchedServiceStats *stats);
 
--- a/node/brokerint.h
+++ b/node/brokerint.h
@@ -38,7 +38,7 @@
   unsigned heard, lost; /* by broker_share_heard; heard 0: the parts were set otherwise */
   GArray *verdicts;     /* Verdict on own requests, delivered by soon */
   LoopTimer soon;
-  void (*judged) (void *host, const SchedJudged *judged); /* NULL: nobody watches */
+  void (*judged) (void *host, const SchedVerdict *judged); /* NULL: nobody watches */
   void *watcher;
 };
 
--- a/node/brokerlink.c
+++ b/node/brokerlink.c
@@ -168,8 +168,7 @@
   if (from->request)
     sched_notice (broker->sched, peer->lifetime, from->request, from->server, &notice);
   else
-    sched_notice_before (broker->sched, peer->lifetime, from->server, &notice,
-                         from->age_ms * FT_MS);
+    sched_older_notice (broker->sched, peer->lifetime, from->server, &notice, from->age_ms * FT_MS);
 }
 
 static void
@@ -200,8 +199,8 @@
         take_report (broker, asker, &msg->MeshMsg_u.reported);
       return true;
     case MESH_FIRST:
-      sched_first (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
-                   msg->MeshMsg_u.first.after_us);
+      sched_first_event (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
+                         msg->MeshMsg_u.first.after_us);
       return true;
     case MESH_NOTICE:
       take_notice (broker, peer, &msg->MeshMsg_u.notice);
--- a/node/placemsg.c
+++ b/node/placemsg.c
@@ -119,7 +119,7 @@
                      .event_us = result->event_us,
                      .answer_us = result->answer_us,
                      .broke = result->broke,
-                     .rested_ms = (u_int) ((result->rested_us + FT_MS - 1) / FT_MS) };
+                     .rested_ms = (u_int) ((result->conn_idle_us + FT_MS - 1) / FT_MS) };
 }
 
 void
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -35,8 +35,8 @@
 static unsigned
 name_kept (HCli *cli, uint32_t *kept)
 {
-  const char *keys[SCHED_KEPT_MOST];
-  unsigned count = hcli_idle_keys (cli, keys, SCHED_KEPT_MOST);
+  const char *keys[SCHED_CONNECTED_MAX];
+  unsigned count = hcli_idle_keys (cli, keys, SCHED_CONNECTED_MAX);
 
   for (unsigned i = 0; i < count; i++)
     kept[i] = sched_server_digest (keys[i]);
@@ -47,7 +47,7 @@
 ask (Req *req)
 {
   SchedAsk out = { 0 };
-  uint32_t kept[SCHED_KEPT_MOST];
+  uint32_t kept[SCHED_CONNECTED_MAX];
 
   req->number = ++req->all->next_number;
   g_hash_table_insert (req->all->by_number, &req->number, req);
--- a/node/reqend.c
+++ b/node/reqend.c
@@ -84,7 +84,7 @@
   if (req->sent_at)
     result.answer_us = now - req->sent_at;
   result.broke = req->broke;
-  result.rested_us = req->rested;
+  result.conn_idle_us = req->rested;
   place_done (req->all->conf.place, req->number, &result);
   req_forget_number (req);
 }
--- a/node/requests.c
+++ b/node/requests.c
@@ -93,7 +93,7 @@
       g_free (req->avoid);
       req->avoid = g_strdup (req->server);
       if (req->stream)
-        events_restart (req->stream);
+        events_drop_partial (req->stream);
       if (event != RETRY_NOT_CONNECTED)
         count_up (step == RETRY_RESUME ? COUNT_RESUMES : COUNT_REPEATS);
       req_ask (req);
--- a/node/try.c
+++ b/node/try.c
@@ -176,7 +176,7 @@
 relay_events (Req *req, const char *data, size_t size)
 {
   GString *out = g_string_sized_new (size);
-  unsigned count = events_take (req->stream, data, size, out);
+  unsigned count = events_feed (req->stream, data, size, out);
   int64_t now = req_now (req);
 
   if (count > 0)
@@ -267,7 +267,7 @@
     note_break (req);
   else if (is_proof (req))
     witness_answered (req->all->conf.witness, req->server, req->content, req->sent_at);
-  if (req->is_stream && events_within (req->stream))
+  if (req->is_stream && events_has_partial (req->stream))
     req_after_try (req, RETRY_STREAM_CUT);
   else if (req->is_stream)
     {
@@ -328,7 +328,7 @@
   const GByteArray *body = hcall_body (req->call);
   bool once = !rt_route_repeatable (req->route);
   HCliTarget target = { server->addr, server->id, CONNECT_MOST,
-                        once ? grant->rest_most : MAX (IDLE_MOST, grant->rest_most),
+                        once ? grant->max_idle_us : MAX (IDLE_MOST, grant->max_idle_us),
                         strcmp (hmsg_method (hcall_msg (req->call)), "HEAD") == 0 };
   SeamForward forward = { .server = server->name,
                           .org = req->org ? req->org->name : NULL,
--- a/test/decide.c
+++ b/test/decide.c
@@ -211,7 +211,7 @@
 {
   GString *out = g_string_new (NULL);
 
-  g_assert_cmpuint (events_take (events, text, strlen (text), out), ==, count);
+  g_assert_cmpuint (events_feed (events, text, strlen (text), out), ==, count);
   g_assert_cmpstr (out->str, ==, passed);
   g_string_free (out, TRUE);
 }
@@ -225,10 +225,10 @@
 
   take (events, "id: 1\ndata: a\n\nid: 2\ndata", 1, "id: 1\ndata: a\n\n");
   take (events, ": b\n\nid: 3\nda", 1, "id: 2\ndata: b\n\n");
-  g_assert_true (events_within (events));
+  g_assert_true (events_has_partial (events));
   g_assert_cmpstr (events_last_id (events), ==, "2");
-  events_restart (events);
-  g_assert_false (events_within (events));
+  events_drop_partial (events);
+  g_assert_false (events_has_partial (events));
   take (events, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n", 1, "id: 3\ndata: c\n\n");
   take (events, ": ping\r\n\r\n", 1, ": ping\r\n\r\n");
   g_assert_cmpstr (events_last_id (events), ==, "3");
--- a/test/handover.c
+++ b/test/handover.c
@@ -252,7 +252,7 @@
   (void) servers;
   for (unsigned i = 0; i < server_count; i++)
     list[i] = (SchedServer){ .id = server_ids[i], .service = "s", .domain = "z", .slots = SLOTS };
-  sched_list (sched, list, server_count);
+  sched_set_servers (sched, list, server_count);
   g_free (list);
 }
 
--- a/test/returns.c
+++ b/test/returns.c
@@ -513,7 +513,7 @@
 {
   forget_callers ();
   begin (SERVERS, 6, true);
-  sched_returns (world->sched, part);
+  sched_set_return_share (world->sched, part);
   load (4, 30, usual); /* speeds are learned */
 }
 
@@ -558,7 +558,7 @@
       places_begin (i * PART);
       sums[i] = run_places (150, 5, obey, 1);
       report ("twice the places for 5 s", i * PART, &sums[i]);
-      RetCounts counts = sched_returned (world->sched);
+      RetCounts counts = sched_return_counts (world->sched);
       g_assert_cmpuint (counts.promised, ==, counts.kept + counts.lapsed + counts.lost);
       g_assert_cmpuint (counts.kept, ==, sums[i].promised_served);
       end ();
@@ -583,7 +583,7 @@
 {
   forget_callers ();
   begin (2, 2, false);
-  sched_returns (world->sched, PART);
+  sched_set_return_share (world->sched, PART);
   for (int i = 0; i < 100; i++)
     {
       Caller *caller = new_caller (world->clock.now, OBEYS);
@@ -614,10 +614,10 @@
       queued += !world->work[place_asked (newcomer, 2)].refused;
     }
   g_assert_cmpuint (queued, >, 0);
-  g_assert_cmpuint (sched_returned (world->sched).kept, ==, 0);
+  g_assert_cmpuint (sched_return_counts (world->sched).kept, ==, 0);
   place_asked (caller, 2);
   settle ();
-  g_assert_cmpuint (sched_returned (world->sched).kept, ==, 1);
+  g_assert_cmpuint (sched_return_counts (world->sched).kept, ==, 1);
   end ();
 }
 
@@ -634,7 +634,7 @@
       Sum sum = run_places (150, 5, never, 1);
       report ("twice the places, nobody comes back", i * PART, &sum);
       in_time[i] = sum.in_time;
-      RetCounts counts = sched_returned (world->sched);
+      RetCounts counts = sched_return_counts (world->sched);
       g_assert_cmpuint (counts.lapsed, ==, counts.promised);
       g_assert_cmpuint (counts.promised > 0, ==, i > 0);
       end ();
@@ -662,7 +662,7 @@
   settle ();
   for (unsigned i = 0; i < 2; i++)
     g_assert_cmpint (world->work[waiting[i]].sent_at, <, world->work[waiting[i + 1]].sent_at);
-  g_assert_cmpuint (sched_returned (world->sched).kept, ==, 1);
+  g_assert_cmpuint (sched_return_counts (world->sched).kept, ==, 1);
   end ();
 }
 
--- a/test/shares.c
+++ b/test/shares.c
@@ -82,10 +82,10 @@
 play (const char *what, bool fair, double seconds)
 {
   begin (SERVERS, slots, true);
-  sched_fair (world->sched, fair);
+  sched_set_fair (world->sched, fair);
   for (unsigned i = 0; i < ORGS; i++)
     {
-      sched_weight (world->sched, names[i], askers[i].limit);
+      sched_set_weight (world->sched, names[i], askers[i].limit);
       askers[i].asked = askers[i].in_time = askers[i].refused = askers[i].kept = 0;
       askers[i].work = 0;
     }
@@ -212,9 +212,9 @@
   for (unsigned fair = 0; fair < 2; fair++)
     {
       begin (SERVERS, 6, true);
-      sched_fair (world->sched, fair);
-      sched_weight (world->sched, "o", 3);
-      sched_weight (world->sched, "another", 1000);
+      sched_set_fair (world->sched, fair);
+      sched_set_weight (world->sched, "o", 3);
+      sched_set_weight (world->sched, "another", 1000);
       load (4, 30, parts);
       load (10, 110, parts);
       settle ();
@@ -271,7 +271,7 @@
 late_ones_are_seen_anywhere (void)
 {
   begin (1, 1, false);
-  sched_fair (world->sched, true);
+  sched_set_fair (world->sched, true);
   world->patience = 1000 * FT_SECOND;
   ask (0, 100, 1000);
   for (unsigned i = 0; i < 200; i++)
@@ -295,7 +295,7 @@
 hopeless_is_not_what_goes_first (void)
 {
   begin (1, 1, false);
-  sched_fair (world->sched, true);
+  sched_set_fair (world->sched, true);
   ask (0, 100, 100);
   unsigned number = ask (0, 100, 3);
   world->aim /= 2;
@@ -324,7 +324,7 @@
   for (unsigned i = 0; i < 1000; i++)
     {
       if (i % 50 == 0)
-        sched_fair (world->sched, i % 100 == 0);
+        sched_set_fair (world->sched, i % 100 == 0);
       ask_all (world->clock.now);
       step ();
       char *text = sched_describe (world->sched);
