--- a/node/entry.c
+++ b/node/entry.c
@@ -126,7 +126,7 @@
   g_clear_pointer (&entry->text, g_bytes_unref);
   entry->text = text;
   apply_limits (entry, cat);
-  requests_catalogue (entry->requests, cat);
+  requests_set_catalogue (entry->requests, cat);
   broker_catalogue (place_broker (entry->place), cat);
   mesh_say (entry->mesh, entry->leaving_since != 0, rt_cat_version (cat));
   confirm (entry);
@@ -343,25 +343,25 @@
 static void
 on_verdicts_changed (void *host)
 {
-  requests_review (((Entry *) host)->requests);
+  requests_recheck (((Entry *) host)->requests);
 }
 
 static void
 on_request (void *owner, HCall *call)
 {
-  requests_take (((Entry *) owner)->requests, call);
+  requests_handle (((Entry *) owner)->requests, call);
 }
 
 static void
 on_gone (void *owner, HCall *call)
 {
-  requests_gone (((Entry *) owner)->requests, call);
+  requests_caller_left (((Entry *) owner)->requests, call);
 }
 
 static void
 on_room (void *owner, HCall *call)
 {
-  requests_room (((Entry *) owner)->requests, call);
+  requests_caller_drained (((Entry *) owner)->requests, call);
 }
 
 static const HSrvOps callers_ops = { on_request, on_gone, on_room };
@@ -408,7 +408,7 @@
   if (entry->leaving_since == 0 || entry->closed || now - entry->leaving_since < LEAVE_LEAST)
     return;
   entry->closed = true;
-  jlog (JLOG_INFO, "close", NULL, JL_INT ("open", requests_open (entry->requests)),
+  jlog (JLOG_INFO, "close", NULL, JL_INT ("open", requests_open_count (entry->requests)),
         JL_INT ("connections", hsrv_connections (entry->callers)));
   hsrv_close_idle (entry->callers);
 }
@@ -423,7 +423,7 @@
 
   hsrv_held (entry->callers, &held);
   return since > most
-         || (since > LEAVE_LEAST && requests_open (entry->requests) == 0
+         || (since > LEAVE_LEAST && requests_open_count (entry->requests) == 0
              && hsrv_busy (entry->callers) == 0 && held.answers == 0);
 }
 
@@ -462,7 +462,7 @@
   close_when_noticed (entry, now);
   if (entry->leaving_since && may_end (entry, now))
     {
-      jlog (JLOG_INFO, "stop", NULL, JL_INT ("open", requests_open (entry->requests)),
+      jlog (JLOG_INFO, "stop", NULL, JL_INT ("open", requests_open_count (entry->requests)),
             JL_MS ("after_ms", now - entry->leaving_since));
       loop_stop (entry->loop);
     }
@@ -479,7 +479,7 @@
   entry->leaving_since = loop_now (entry->loop);
   hsrv_last_answers (entry->callers);
   mesh_say (entry->mesh, true, entry->cat ? rt_cat_version (entry->cat) : 0);
-  jlog (JLOG_INFO, "leave", NULL, JL_INT ("open", requests_open (entry->requests)),
+  jlog (JLOG_INFO, "leave", NULL, JL_INT ("open", requests_open_count (entry->requests)),
         JL_INT ("connections", hsrv_connections (entry->callers)));
 }
 
@@ -527,7 +527,7 @@
       "foxtail_server_connections_opened_total %" G_GUINT64_FORMAT
       "\nfoxtail_scheduler{by=\"%s\"} 1\nfoxtail_list_age_seconds %g\n",
       is_ready (entry), entry->cat ? rt_cat_version (entry->cat) : 0,
-      requests_open (entry->requests), place_waiting (entry->place),
+      requests_open_count (entry->requests), place_waiting (entry->place),
       hsrv_connections (entry->callers), hcli_opened (entry->cli), place_by (entry->place),
       (double) (loop_now (entry->loop) - servers_asked_at (entry->servers)) / 1e6);
   describe_held (entry, out);
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -1,16 +1,16 @@
-/* reqask.c - how a request comes to a place: asked for, granted or refused; or stopped, since
- * servers ended under its content. */
+/* reqask.c - asks a scheduler for a place for a request and acts on its grant or refusal; stops
+ * requests whose content is quarantined, that is, has ended several servers. */
 #include "reqint.h"
 #include "count.h"
 #include "jlog.h"
 
-/* Tuning; each row with its reason. */
-#define GUESS_PART 2 /* of the caller's bound, when it gives no estimate */
+#define OUTPUT_GUESS_DIVISOR                                                                       \
+  2 /* expected output without an estimate: half of the caller's maximum */
 
 /* ---- Asking for a place ---- */
 
 static double
-cost_of (const Req *req)
+limit_cost (const Req *req)
 {
   if (req->org == NULL || req->org->rate <= 0)
     return 0;
@@ -24,16 +24,18 @@
 static unsigned
 expected_tokens (const SeamRequest *facts)
 {
-  unsigned guess = facts->output_guess ? facts->output_guess : facts->output_most / GUESS_PART;
+  unsigned guess
+      = facts->output_guess ? facts->output_guess : facts->output_most / OUTPUT_GUESS_DIVISOR;
 
   return facts->output_most ? MIN (guess, facts->output_most) : guess;
 }
 
-/* Failure: hundreds of entries send a few requests a second each to hundreds of servers, placed
- * without a word on whom they are connected to. Symptom: four in five requests to engines wait for
- * a new connection, although the entry has 23 idle ones to others. An ask names these. */
+/* Names the servers to which this entry has idle connections, so that the scheduler can prefer
+ * them. Without it, with hundreds of entries that each send a few requests a second to hundreds of
+ * servers, four in five requests to engines waited for a new connection, although the entry had 23
+ * idle ones to other servers. */
 static unsigned
-name_kept (HCli *cli, uint32_t *kept)
+list_idle_connections (HCli *cli, uint32_t *kept)
 {
   const char *keys[SCHED_KEPT_MOST];
   unsigned count = hcli_idle_keys (cli, keys, SCHED_KEPT_MOST);
@@ -49,15 +51,15 @@
   SchedAsk out = { 0 };
   uint32_t kept[SCHED_KEPT_MOST];
 
-  req->number = ++req->all->next_number;
-  g_hash_table_insert (req->all->by_number, &req->number, req);
-  req->head_seen = req->is_stream = req->rejected = req->elsewhere = req->faulty = false;
-  req->unframed = false;
-  req->sent_at = req->first_at = req->event_at = req->event_sum = 0;
+  req->number = ++req->requests->next_number;
+  g_hash_table_insert (req->requests->by_number, &req->number, req);
+  req->head_seen = req->is_stream = req->rejected = req->wrong_server = req->has_fault = false;
+  req->close_delimited = false;
+  req->sent_at = req->first_at = req->event_at = req->event_gap_sum = 0;
   req->events = 0;
-  req->rested = 0;
-  req->broke = false;
-  g_string_truncate (req->held, 0);
+  req->conn_idle = 0;
+  req->broke_on_send = false;
+  g_string_truncate (req->buffered, 0);
   hcall_note_held (req->call, 0);
   out.request = req->number;
   out.service = req->service;
@@ -72,18 +74,18 @@
   out.route = g_str_hash (req->route->name);
   out.gap_us = req->route->gap_us;
   out.aim_at = req->arrived + req->route->aim_us - req->waited_before;
-  out.limit_at = req->begun ? req_now (req) + SILENT_EVENT : req->first_by;
-  out.end_at = req->end_at;
-  out.avoid = req->avoid;
+  out.limit_at = req->begun ? req_now (req) + EVENT_TIMEOUT : req->first_deadline;
+  out.end_at = req->deadline;
+  out.avoid = req->avoid_server;
   out.kept = kept;
-  out.kept_count = name_kept (req->all->conf.cli, kept);
-  place_ask (req->all->conf.place, &out, req->placed ? 0 : cost_of (req));
+  out.kept_count = list_idle_connections (req->requests->conf.cli, kept);
+  place_ask (req->requests->conf.place, &out, req->was_granted ? 0 : limit_cost (req));
 }
 
-/* ---- Contents under which servers ended ---- */
+/* ---- Quarantined contents ---- */
 
 static void
-end_quarantined (Req *req, const QuarVerdict *verdict)
+end_as_quarantined (Req *req, const QuarVerdict *verdict)
 {
   char content[CONTENT_TEXT];
   const char *why = ft_reason_info (FT_REASON_QUARANTINED)->code;
@@ -95,92 +97,93 @@
   if (req->begun)
     req_break_off (req, why);
   else if (req->may_have_run)
-    req_answer_own (req, 502, 0, why);
-  else /* as late as a caller heeds: nothing lets the content go within its time */
-    req_answer_own (req, 503, MAX (50 * FT_MS, (req->end_at - req_now (req)) / 3), why);
+    req_answer_error (req, 502, 0, why);
+  else /* a long Retry-After: the content stays quarantined beyond the caller's deadline */
+    req_answer_error (req, 503, MAX (50 * FT_MS, (req->deadline - req_now (req)) / 3), why);
 }
 
 void
 req_ask (Req *req)
 {
-  QuarVerdict verdict = witness_judge (req->all->conf.witness, req->content);
+  QuarVerdict verdict = witness_judge (req->requests->conf.witness, req->content);
 
   if (verdict.state == QUAR_HELD)
-    end_quarantined (req, &verdict);
+    end_as_quarantined (req, &verdict);
   else if (verdict.state == QUAR_SETTLES)
-    loop_timer_set (req->all->conf.loop, &req->settle, verdict.settles_at);
+    loop_timer_set (req->requests->conf.loop, &req->verdict_wait, verdict.settles_at);
   else
     ask (req);
 }
 
 void
-req_on_settled (LoopTimer *timer)
+req_on_verdict_wait_over (LoopTimer *timer)
 {
-  req_ask ((Req *) ((char *) timer - offsetof (Req, settle)));
+  req_ask ((Req *) ((char *) timer - offsetof (Req, verdict_wait)));
 }
 
 static bool
-is_stopped (const Req *req)
+is_quarantined (const Req *req)
 {
-  return witness_judge (req->all->conf.witness, req->content).state >= QUAR_SETTLES;
+  return witness_judge (req->requests->conf.witness, req->content).state >= QUAR_SETTLES;
 }
 
-/* Gives back the place that was granted or is waited for, and asks again. */
+/* Withdraws the open ask, with the place if one was granted, and asks again. */
 static void
-ask_anew (Req *req)
+ask_again (Req *req)
 {
   static const SchedResult withdrawn = { .outcome = SCHED_LEFT };
 
-  place_done (req->all->conf.place, req->number, &withdrawn);
-  req_forget_number (req);
+  place_done (req->requests->conf.place, req->number, &withdrawn);
+  req_clear_number (req);
   req_ask (req);
 }
 
 void
-req_on_review (LoopTimer *timer)
+req_on_recheck (LoopTimer *timer)
 {
-  Requests *all = (Requests *) ((char *) timer - offsetof (Requests, review));
-  GPtrArray *stopped = g_ptr_array_new ();
+  Requests *requests = (Requests *) ((char *) timer - offsetof (Requests, recheck));
+  GPtrArray *quarantined = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, all->by_number);
+  g_hash_table_iter_init (&iter, requests->by_number);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((Req *) value)->xfer == NULL && is_stopped (value))
-      g_ptr_array_add (stopped, value);
-  for (unsigned i = 0; i < stopped->len; i++)
-    ask_anew (stopped->pdata[i]);
-  g_ptr_array_unref (stopped);
+    if (((Req *) value)->xfer == NULL && is_quarantined (value))
+      g_ptr_array_add (quarantined, value);
+  for (unsigned i = 0; i < quarantined->len; i++)
+    ask_again (quarantined->pdata[i]);
+  g_ptr_array_unref (quarantined);
 }
 
-/* Failure: a connection breaks late, and the end of its server, which that tells of, is known.
- * Symptom: its request, looked at in the middle of its own break, is ended twice, and the entry
- * dies. In the loop's next turn each request without a transfer waits for a place. */
+/* Deferred to the next turn of the loop. This may be called while a broken connection is being
+ * handled, and checking that connection's request then would end it twice and crash the entry. In
+ * the next turn every request without a transfer waits for a place. */
 void
-requests_review (Requests *all)
+requests_recheck (Requests *requests)
 {
-  loop_timer_set (all->conf.loop, &all->review, loop_now (all->conf.loop));
+  loop_timer_set (requests->conf.loop, &requests->recheck, loop_now (requests->conf.loop));
 }
 
-/* ---- Verdicts of the scheduler ---- */
+/* ---- Decisions of the scheduler ---- */
 
-/* Does the list held here say that the server leaves or has a version that gets nothing, or, if it
- * is newer than the one by which it was granted, no longer name it? */
+/* True if this entry's server list shows the server as leaving or with a version that gets no
+ * requests, or lacks it and is newer than the list by which the scheduler granted it. */
 static bool
-is_known_gone (const Requests *all, const char *id, int64_t listed_at)
+is_known_unusable (const Requests *requests, const char *id, int64_t listed_at)
 {
-  const SeamServer *held = servers_find (all->conf.servers, id);
+  const SeamServer *held = servers_find (requests->conf.servers, id);
 
   if (held)
-    return held->leaving || versions_bar (all->conf.versions, held->service, held->version);
-  return servers_asked_at (all->conf.servers) > listed_at;
+    return held->leaving || versions_bar (requests->conf.versions, held->service, held->version);
+  return servers_asked_at (requests->conf.servers) > listed_at;
 }
 
-/* A grant may have been made before the scheduler learned of the server's notice. */
+/* True if the server itself asked not to be sent requests. The scheduler may have granted it before
+ * it learned of that. */
 static bool
 is_withheld (const Req *req)
 {
-  Place *place = req->all->conf.place;
+  Place *place = req->requests->conf.place;
   int64_t left;
   const char *why = place_withholds (place, req->server, &left);
 
@@ -193,49 +196,51 @@
 }
 
 void
-requests_grant (Requests *all, uint64_t number, const Grant *grant)
+requests_grant (Requests *requests, uint64_t number, const Grant *grant)
 {
   const SeamServer *server = &grant->server;
-  Req *req = g_hash_table_lookup (all->by_number, &number);
+  Req *req = g_hash_table_lookup (requests->by_number, &number);
 
   if (req == NULL)
     return;
-  req->placed = true;
+  req->was_granted = true;
   count_time (TIMED_WAIT, req_now (req) - req->arrived);
   g_free (req->server);
   req->server = g_strdup (server->id);
   jlog (JLOG_DEBUG, "send", req->id, JL_TEXT ("server", server->id),
         JL_MS ("waited_ms", req_now (req) - req->arrived),
-        JL_TEXT ("by", place_by (all->conf.place)),
+        JL_TEXT ("by", place_by (requests->conf.place)),
         JL_MS ("list_age_ms", req_now (req) - grant->listed_at));
-  if (server->leaving || is_known_gone (all, server->id, grant->listed_at) || is_withheld (req))
+  if (server->leaving || is_known_unusable (requests, server->id, grant->listed_at)
+      || is_withheld (req))
     {
-      g_free (req->avoid);
-      req->avoid = g_strdup (server->id);
-      ask_anew (req);
+      g_free (req->avoid_server);
+      req->avoid_server = g_strdup (server->id);
+      ask_again (req);
     }
-  else if (is_stopped (req))
-    ask_anew (req);
+  else if (is_quarantined (req))
+    ask_again (req);
   else
     try_send (req, grant);
 }
 
 void
-requests_refuse (Requests *all, uint64_t number, const SchedRefusal *refusal)
+requests_refuse (Requests *requests, uint64_t number, const SchedRefusal *refusal)
 {
-  Req *req = g_hash_table_lookup (all->by_number, &number);
+  Req *req = g_hash_table_lookup (requests->by_number, &number);
   const FtReasonInfo *info = ft_reason_info (refusal->reason);
 
   if (req == NULL)
     return;
-  req_forget_number (req);
+  req_clear_number (req);
   jlog (JLOG_INFO, "decision", req->id, JL_TEXT ("reason", info->code),
         JL_TEXT ("rule", refusal->rule), JL_MS ("retry_ms", refusal->retry_after_us),
-        JL_TEXT ("by", place_by (all->conf.place)));
+        JL_TEXT ("by", place_by (requests->conf.place)));
   if (req->begun)
     req_break_off (req, info->code);
   else if (req->may_have_run)
-    req_answer_own (req, 502, 0, "outcome-unknown");
+    req_answer_error (req, 502, 0, "outcome-unknown");
   else
-    req_answer_own (req, info->http_status == 429 ? 429 : 503, refusal->retry_after_us, info->code);
+    req_answer_error (req, info->http_status == 429 ? 429 : 503, refusal->retry_after_us,
+                      info->code);
 }
--- a/node/reqend.c
+++ b/node/reqend.c
@@ -1,5 +1,5 @@
-/* reqend.c - the ends of a request and of its tries: what its caller is told, what is logged and
- * what the scheduler hears. */
+/* reqend.c - ends requests and tries: answers the caller, writes the log and reports to the
+ * scheduler. */
 #include "reqint.h"
 #include "count.h"
 #include "jlog.h"
@@ -7,28 +7,28 @@
 #include <string.h>
 
 void
-req_forget_number (Req *req)
+req_clear_number (Req *req)
 {
   if (req->number)
-    g_hash_table_remove (req->all->by_number, &req->number);
+    g_hash_table_remove (req->requests->by_number, &req->number);
   req->number = 0;
 }
 
 void
 req_free (Req *req)
 {
-  Loop *loop = req->all->conf.loop;
+  Loop *loop = req->requests->conf.loop;
 
-  req_forget_number (req);
-  g_ptr_array_remove_fast (req->all->parked, req);
-  loop_timer_stop (loop, &req->limit);
+  req_clear_number (req);
+  g_ptr_array_remove_fast (req->requests->awaiting_catalogue, req);
+  loop_timer_stop (loop, &req->deadline_timer);
   loop_timer_stop (loop, &req->silence);
-  loop_timer_stop (loop, &req->settle);
-  req->all->open--;
+  loop_timer_stop (loop, &req->verdict_wait);
+  req->requests->open_count--;
   events_free (req->stream);
   g_string_free (req->fields, TRUE);
-  g_string_free (req->held, TRUE);
-  g_free (req->avoid);
+  g_string_free (req->buffered, TRUE);
+  g_free (req->avoid_server);
   g_free (req->server);
   rt_cat_unref (req->cat);
   loop_free_later (loop, req);
@@ -37,7 +37,7 @@
 int64_t
 req_now (const Req *req)
 {
-  return loop_now (req->all->conf.loop);
+  return loop_now (req->requests->conf.loop);
 }
 
 void
@@ -57,10 +57,10 @@
         JL_MS ("back_ms", req->waited_before),
         JL_INT ("tier", req->route ? rt_order (req->route, req->org) : 0),
         JL_INT ("prompt", req->facts.prompt_tokens), JL_INT ("most", req->facts.output_most),
-        JL_INT ("guess", req->facts.output_guess), JL_MS ("pause_ms", req->pause_most),
-        JL_INT ("slowness", req->slowness), JL_INT ("kept", req->rested > 0),
+        JL_INT ("guess", req->facts.output_guess), JL_MS ("pause_ms", req->longest_pause),
+        JL_INT ("slowness", req->slowness), JL_INT ("kept", req->conn_idle > 0),
         JL_MS ("took_ms", req_now (req) - req->arrived),
-        JL_MS ("left_ms", req->end_at - req_now (req)));
+        JL_MS ("left_ms", req->deadline - req_now (req)));
 }
 
 void
@@ -70,27 +70,27 @@
   int64_t now = req_now (req);
   HXfer *xfer = req->xfer;
 
-  loop_timer_stop (req->all->conf.loop, &req->silence);
+  loop_timer_stop (req->requests->conf.loop, &req->silence);
   req->xfer = NULL;
   if (xfer)
     {
-      witness_left (req->all->conf.witness, req->server, req->content, req->id);
+      witness_left (req->requests->conf.witness, req->server, req->content, req->id);
       hxfer_cancel (xfer);
     }
   if (req->number == 0)
     return;
   if (req->events > 4)
-    result.event_us = req->event_sum / (req->events - 1);
+    result.event_us = req->event_gap_sum / (req->events - 1);
   if (req->sent_at)
     result.answer_us = now - req->sent_at;
-  result.broke = req->broke;
-  result.rested_us = req->rested;
-  place_done (req->all->conf.place, req->number, &result);
-  req_forget_number (req);
+  result.broke = req->broke_on_send;
+  result.rested_us = req->conn_idle;
+  place_done (req->requests->conf.place, req->number, &result);
+  req_clear_number (req);
 }
 
 void
-req_answer_own (Req *req, unsigned status, int64_t retry_us, const char *why)
+req_answer_error (Req *req, unsigned status, int64_t retry_us, const char *why)
 {
   GString *fields = g_string_new (NULL);
   bool refused = status == 503 || status == 429;
@@ -100,7 +100,7 @@
   count_up (refused ? COUNT_REFUSED : COUNT_UNKNOWN);
   req_log_end (req, refused ? "refuse" : "fail", status, why);
   hwrite_field (fields, "Content-Type", "application/json");
-  req->all->conf.seam->write_own (fields, *req->id ? req->id : NULL, retry_us);
+  req->requests->conf.seam->write_own (fields, *req->id ? req->id : NULL, retry_us);
   hcall_reply (req->call, status, fields, body, strlen (body));
   g_string_free (fields, TRUE);
   g_free (body);
@@ -125,6 +125,6 @@
   if (req->begun)
     hcall_end (req->call);
   else
-    hcall_reply (req->call, req->status, req->fields, req->held->str, req->held->len);
+    hcall_reply (req->call, req->status, req->fields, req->buffered->str, req->buffered->len);
   req_free (req);
 }
--- a/node/reqint.h
+++ b/node/reqint.h
@@ -1,4 +1,4 @@
-/* reqint.h - the record of a request, shared by requests.c, reqask.c, try.c and reqend.c only. */
+/* reqint.h - the state of a request; private to requests.c, reqask.c, try.c and reqend.c. */
 #ifndef REQINT_H
 #define REQINT_H
 
@@ -9,50 +9,58 @@
 #include "retry.h"
 #include "witness.h"
 
-#define SILENT_EVENT                                                                               \
-  (1200 * FT_MS) /* between events: above a long prompt's stall of neighbours                      \
-                  */
+#define EVENT_TIMEOUT                                                                              \
+  (1200 * FT_MS) /* between two events: longer than the prefill of a long prompt stalls the        \
+                    other streams of its server */
 
 typedef struct
 {
-  Requests *all;
-  uint64_t number; /* of the ask that is open; another one for each try */
+  Requests *requests;
+  uint64_t number; /* of the open ask, a new one for each try; 0: none is open */
   HCall *call;
   RtCat *cat;
   const RtRoute *route;
   const RtOrg *org;
   SeamRequest facts;
   char id[SEAM_ID_MOST];
-  uint64_t content; /* its identity; 0: the organisation is not known yet */
+  uint64_t content; /* content_id of the request; 0: not computed yet */
   const char *service;
-  int64_t arrived, end_at, first_by;
-  int64_t waited_before; /* by its caller, before it came back */
-  LoopTimer limit, silence;
-  LoopTimer settle; /* armed: it waits for what others say of its content */
-  bool placed;      /* a place was granted once: it is counted against its limit */
+  int64_t arrived;
+  int64_t deadline;         /* deadline of the whole answer */
+  int64_t first_deadline;   /* deadline of the first byte of the answer */
+  int64_t waited_before;    /* time that the caller spent on an earlier attempt that was refused */
+  LoopTimer deadline_timer; /* fires at the deadline */
+  LoopTimer silence;        /* fires when the server has sent nothing for too long */
+  LoopTimer verdict_wait;   /* armed while the quarantine verdict on its content is awaited */
+  bool was_granted; /* a place was granted before: the organisation's limit has been charged */
   /* The tries. */
   unsigned sends, unreached;
-  bool may_have_run, may_have_run_before; /* before: by an earlier try */
-  char *avoid, *server;
+  bool may_have_run;
+  bool may_have_run_before; /* in a try before the current one */
+  char *avoid_server;       /* server of the last failed try; the next one goes to another */
+  char *server;
   SockAddr addr; /* of server */
   HXfer *xfer;
-  /* The answer of the try. */
-  int64_t sent_at, first_at, event_at, event_sum;
-  int64_t rested;     /* how long the connection had; 0: a new one */
-  bool broke;         /* it did so as the request was sent */
-  int64_t pause_most; /* longest between two events */
-  unsigned slowness;  /* that the answer's head told of its server's machine, percent; 0: nothing */
+  /* The answer to the current try. */
+  int64_t sent_at, first_at, event_at, event_gap_sum;
+  int64_t conn_idle;     /* how long the reused connection had been idle; 0: a new one */
+  bool broke_on_send;    /* the connection broke right after the request was sent */
+  int64_t longest_pause; /* longest between two events */
+  unsigned slowness; /* of the server's machine in percent, as the answer's head states it; 0: not
+                        stated */
   unsigned events, status;
-  HXferFault fault; /* what ended its connection, if one did */
-  bool faulty;      /* one did */
+  HXferFault fault; /* why the connection failed; valid if has_fault */
+  bool has_fault;
   bool head_seen, is_stream, rejected;
-  bool elsewhere; /* rejected, by another server than the one that was meant */
-  bool unframed;  /* the answer ends with its connection, so a broken one looks whole */
-  bool slowed;    /* its caller reads too slowly, so the answer's rest stays with the server */
-  GString *fields, *held;
+  bool wrong_server;    /* rejected by a server other than the addressed one */
+  bool close_delimited; /* the end of the connection ends the answer, so a truncated one looks
+                           complete */
+  bool read_paused;     /* the caller reads too slowly, so reading from the server is paused */
+  GString *fields;      /* header fields of the answer */
+  GString *buffered;    /* body of a plain answer that is not complete yet */
   /* The answer to the caller. */
   Events *stream;
-  bool begun;
+  bool begun; /* its head has been sent */
 } Req;
 
 struct Requests
@@ -60,53 +68,53 @@
   RequestsConf conf;
   RtCat *cat;
   Patience *patience;
-  GHashTable *by_number; /* number: Req */
-  GPtrArray *parked;     /* Req that wait for the first catalogue */
-  LoopTimer review;      /* armed: verdicts on contents have changed */
+  GHashTable *by_number;         /* number -> Req */
+  GPtrArray *awaiting_catalogue; /* Req, waiting for the first catalogue */
+  LoopTimer recheck;             /* armed when quarantine verdicts have changed */
   uint64_t next_number;
-  unsigned open;
+  unsigned open_count;
 };
 
 /* ---- Life of a request (requests.c) ---- */
 
-/* The try has come to this; what follows is decided and done. req may be gone after. */
+/* Ends or continues the request after this outcome of a try. May free req. */
 void req_after_try (Req *req, RetryEvent event);
 
-/* ---- Its way to a place (reqask.c) ---- */
+/* ---- Asking for a place (reqask.c) ---- */
 
-/* Asks for a place, unless servers have ended under the content: then it is held back for a moment
- * or ended. */
+/* Asks for a place. A request whose content has ended servers is delayed until the quarantine
+ * verdict is final, or ended. */
 void req_ask (Req *req);
-/* When it has been held back for long enough. */
-void req_on_settled (LoopTimer *timer);
-/* When verdicts on contents have changed. */
-void req_on_review (LoopTimer *timer);
+/* Timer: the request has waited long enough for the quarantine verdict. */
+void req_on_verdict_wait_over (LoopTimer *timer);
+/* Timer: quarantine verdicts have changed. */
+void req_on_recheck (LoopTimer *timer);
 
-/* ---- Ends (reqend.c) ---- */
+/* ---- Ending requests and tries (reqend.c) ---- */
 
 int64_t req_now (const Req *req);
-/* Verdicts on the ask that was open are no longer for this request. */
-void req_forget_number (Req *req);
-/* The line of the request's end, with all that decided it. */
+/* Closes the open ask: a decision on it that still arrives is ignored. */
+void req_clear_number (Req *req);
+/* Logs the end of the request with everything that decided it. */
 void req_log_end (const Req *req, const char *event, unsigned status, const char *why);
-/* Ends the try that is open, if one is, and tells the scheduler what came of it. */
+/* Ends the current try, if there is one, and tells the scheduler its outcome. */
 void req_end_try (Req *req, SchedOutcome outcome);
-/* The three ends of a request; req is gone after. An answer of this instance's own, which no server
- * has signed; retry_us: advice when to come back, 0: none. */
-void req_answer_own (Req *req, unsigned status, int64_t retry_us, const char *why);
-/* The caller's connection is broken off, so that what it has cannot be taken for whole. */
+/* The three ways to end a request; each frees req. Answers with an error of this instance's own,
+ * without a server's identifier in it; retry_us: when the caller should retry, 0: not stated. */
+void req_answer_error (Req *req, unsigned status, int64_t retry_us, const char *why);
+/* Aborts the caller's connection, so that the partial answer cannot be taken for a complete one. */
 void req_break_off (Req *req, const char *why);
-/* The server's answer is whole. */
+/* Delivers or ends the server's complete answer. */
 void req_finish (Req *req);
 void req_free (Req *req);
 
 /* ---- One try at a server (try.c) ---- */
 
-/* Sends the request; req_after_try follows. */
+/* Sends the request to the granted server; req_after_try is called with the outcome. */
 void try_send (Req *req, const Grant *grant);
-/* The caller has read on. */
-void try_room (Req *req);
-/* When the server of a try has been silent for too long. */
+/* The caller has caught up: resumes reading from the server. */
+void try_caller_drained (Req *req);
+/* Timer: the server has sent nothing for too long. */
 void try_on_silence (LoopTimer *timer);
 
 #endif
--- a/node/requests.c
+++ b/node/requests.c
@@ -1,15 +1,19 @@
-/* requests.c - one record a request.
+/* requests.c - accepts requests and decides what follows each try.
  *
- *     take -> route, organisation -> ask for a place -> send -> relay -> end
- *                                      ^                 |
- *                                      +--- again -------+   as retry.c decides
+ *     handle -> route, organisation -> ask for a place -> send -> relay -> end
+ *                                        ^                 |
+ *                                        +---- retry ------+   as retry.c decides
  *
- * The entry alone sends its callers' requests, so "once at most" is decided here and nowhere else:
- * may_have_run is set before the first byte of a try can leave, and only a server's own word that
- * it did not run the request takes it back.
+ * A place is one of a backend server's slots, granted by a scheduler. A try is one sending of the
+ * request to one server.
  *
- * A plain answer is held until it is whole, so that a broken one can still become a clear failure
- * or another try. A stream's head waits for its first event, and only whole events pass.
+ * Only the entry sends its callers' requests, so at-most-once execution is enforced here alone:
+ * may_have_run is set before the first byte of a try can be sent, and is reset only when the server
+ * states that it did not run the request or when no connection was established.
+ *
+ * A plain answer is buffered until it is complete, so that a broken one can still be turned into an
+ * error or a retry. A stream's head is sent with its first event, and only whole events are
+ * relayed.
  */
 #include "reqint.h"
 #include "count.h"
@@ -17,19 +21,17 @@
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define ADVICE_STARTING (500 * FT_MS) /* until a catalogue is here */
-#define PARK_MOST                                                                                  \
-  (1200 * FT_MS)    /* a request waits so long for the first catalogue: an election                \
-                     */
-#define PARK_PART 3 /* and for a third of its caller's patience at most */
+#define RETRY_AFTER_STARTING (500 * FT_MS) /* Retry-After without a catalogue */
+#define CATALOGUE_WAIT_MAX                                                                         \
+  (1200 * FT_MS) /* longest wait for the first catalogue: covers an election of the voters */
+#define CATALOGUE_WAIT_DIVISOR 3 /* ... and a third of the caller's own time limit at most */
 
 /* ---- After a try ---- */
 
 static int64_t
-advice (const Req *req)
+retry_after (const Req *req)
 {
-  return MAX (50 * FT_MS, MIN (300 * FT_MS, (req->end_at - req_now (req)) / 3));
+  return MAX (50 * FT_MS, MIN (300 * FT_MS, (req->deadline - req_now (req)) / 3));
 }
 
 static SchedOutcome
@@ -55,7 +57,7 @@
 void
 req_after_try (Req *req, RetryEvent event)
 {
-  Requests *all = req->all;
+  Requests *requests = req->requests;
   RetryFacts facts = { .kind = req->route->kind,
                        .resumable = req->route->resumable,
                        .begun = req->begun,
@@ -63,12 +65,12 @@
                        .sends = req->sends,
                        .most_sends = req->route->attempts,
                        .unreached = req->unreached,
-                       .left_us = req->end_at - req_now (req),
-                       .suspect = witness_judge (all->conf.witness, req->content).ends > 0,
+                       .left_us = req->deadline - req_now (req),
+                       .suspect = witness_judge (requests->conf.witness, req->content).ends > 0,
                        .budget = true };
   RetryStep step = retry_next (event, &facts);
 
-  if (retry_draws (event, step) && !budget_take (all->conf.budget, req->service))
+  if (retry_draws (event, step) && !budget_take (requests->conf.budget, req->service))
     {
       facts.budget = false;
       step = retry_next (event, &facts);
@@ -79,10 +81,10 @@
           JL_INT ("status", req->head_seen ? req->status : 0), JL_INT ("sends", req->sends),
           JL_INT ("most", req->route->attempts), JL_INT ("budget", facts.budget),
           JL_MS ("after_ms", req->sent_at ? req_now (req) - req->sent_at : 0),
-          JL_TEXT ("fault", req->faulty ? hxfer_fault_name (req->fault) : ""));
+          JL_TEXT ("fault", req->has_fault ? hxfer_fault_name (req->fault) : ""));
   if (step == RETRY_WAIT)
     {
-      place_silent (all->conf.place, req->number);
+      place_silent (requests->conf.place, req->number);
       return;
     }
   req_end_try (req, outcome_of (event));
@@ -90,8 +92,8 @@
     {
     case RETRY_AGAIN:
     case RETRY_RESUME:
-      g_free (req->avoid);
-      req->avoid = g_strdup (req->server);
+      g_free (req->avoid_server);
+      req->avoid_server = g_strdup (req->server);
       if (req->stream)
         events_restart (req->stream);
       if (event != RETRY_UNREACHED)
@@ -102,61 +104,61 @@
       req_finish (req);
       break;
     case RETRY_SAY_NOT_RUN:
-      req_answer_own (req, 503, advice (req), "no-server-took-it");
+      req_answer_error (req, 503, retry_after (req), "no-server-took-it");
       break;
     case RETRY_BREAK_OFF:
       req_break_off (req, retry_event_name (event));
       break;
     default:
-      req_answer_own (req, 502, 0, "outcome-unknown");
+      req_answer_error (req, 502, 0, "outcome-unknown");
       break;
     }
 }
 
-/* ---- Taking requests ---- */
+/* ---- New requests ---- */
 
 static void
-on_limit (LoopTimer *timer)
+on_deadline (LoopTimer *timer)
 {
-  Req *req = (Req *) ((char *) timer - offsetof (Req, limit));
+  Req *req = (Req *) ((char *) timer - offsetof (Req, deadline_timer));
 
   req_end_try (req, SCHED_LEFT);
   if (req->route == NULL)
-    req_answer_own (req, 503, ADVICE_STARTING, "no-catalogue");
+    req_answer_error (req, 503, RETRY_AFTER_STARTING, "no-catalogue");
   else if (req->begun)
     req_break_off (req, "time-limit");
   else if (req->may_have_run)
-    req_answer_own (req, 504, 0, "time-limit");
+    req_answer_error (req, 504, 0, "time-limit");
   else
-    req_answer_own (req, 503, advice (req), "time-limit");
+    req_answer_error (req, 503, retry_after (req), "time-limit");
 }
 
 static Req *
-req_new (Requests *all, HCall *call)
+req_new (Requests *requests, HCall *call)
 {
   Req *req = g_new0 (Req, 1);
 
-  req->all = all;
+  req->requests = requests;
   req->call = call;
-  req->cat = all->cat ? rt_cat_ref (all->cat) : NULL;
+  req->cat = requests->cat ? rt_cat_ref (requests->cat) : NULL;
   req->fields = g_string_new (NULL);
-  req->held = g_string_new (NULL);
-  req->limit.fire = on_limit;
+  req->buffered = g_string_new (NULL);
+  req->deadline_timer.fire = on_deadline;
   req->silence.fire = try_on_silence;
-  req->settle.fire = req_on_settled;
-  req->arrived = req->end_at = hcall_arrived (call);
-  all->conf.seam->read_request (hcall_msg (call), &req->facts);
+  req->verdict_wait.fire = req_on_verdict_wait_over;
+  req->arrived = req->deadline = hcall_arrived (call);
+  requests->conf.seam->read_request (hcall_msg (call), &req->facts);
   if (req->facts.id)
     g_strlcpy (req->id, req->facts.id, sizeof req->id);
-  all->open++;
+  requests->open_count++;
   count_up (COUNT_REQUESTS);
   hcall_set_user (call, req);
   return req;
 }
 
-/* Finds route and organisation; false: it was answered. */
+/* Finds route and organisation. False: there is none, and an error was answered. */
 static bool
-admit (Req *req)
+resolve_route (Req *req)
 {
   const HMsg *msg = hcall_msg (req->call);
   const char *host = hmsg_field (msg, "Host");
@@ -164,13 +166,13 @@
   req->route = rt_cat_route (req->cat, host ? host : "", hmsg_target (msg));
   if (req->route == NULL)
     {
-      req_answer_own (req, 404, 0, "no-such-route");
+      req_answer_error (req, 404, 0, "no-such-route");
       return false;
     }
   req->org = rt_cat_org_by_key (req->cat, req->facts.key);
   if (req->org == NULL && rt_cat_has_orgs (req->cat) && !req->route->open)
     {
-      req_answer_own (req, 401, 0, "no-key");
+      req_answer_error (req, 401, 0, "no-key");
       return false;
     }
   return true;
@@ -191,59 +193,61 @@
 }
 
 static void
-proceed (Req *req)
+process (Req *req)
 {
-  Requests *all = req->all;
+  Requests *requests = req->requests;
 
-  if (!admit (req))
+  if (!resolve_route (req))
     return;
   req->content = content_of (req);
   int64_t patience = req->facts.patience_us ? MIN (req->facts.patience_us, req->route->timeout_us)
                                             : req->route->timeout_us;
-  req->end_at = req->arrived + patience;
+  req->deadline = req->arrived + patience;
   if (req->facts.patience_us)
-    req->waited_before = patience_note (all->patience, req->route->name, req->facts.patience_us);
-  req->first_by = req->end_at;
+    req->waited_before
+        = patience_note (requests->patience, req->route->name, req->facts.patience_us);
+  req->first_deadline = req->deadline;
   if (req->route->kind == RT_STREAM)
-    req->first_by = MIN (
-        req->end_at,
-        req->arrived + all->conf.seam->first_patience (req->route->aim_us, req->route->gap_us));
+    req->first_deadline
+        = MIN (req->deadline,
+               req->arrived
+                   + requests->conf.seam->first_patience (req->route->aim_us, req->route->gap_us));
   req->service = rt_route_target (req->route, g_random_int ());
-  budget_note (all->conf.budget, req->service);
-  loop_timer_set (all->conf.loop, &req->limit, req->end_at);
+  budget_note (requests->conf.budget, req->service);
+  loop_timer_set (requests->conf.loop, &req->deadline_timer, req->deadline);
   req_ask (req);
 }
 
-/* Failure: all instances start anew, and callers come before the catalogue does. Symptom: each is
- * refused and uses up its retries within the second that it takes. It waits a moment instead. */
+/* When all instances restart, callers arrive before the catalogue does. Refused at once, they would
+ * use up their retries within the second that it takes to arrive, so the request waits for it. */
 static void
-park (Req *req)
+await_catalogue (Req *req)
 {
-  int64_t most = PARK_MOST;
+  int64_t wait = CATALOGUE_WAIT_MAX;
 
   if (req->facts.patience_us)
-    most = MIN (most, req->facts.patience_us / PARK_PART);
-  g_ptr_array_add (req->all->parked, req);
-  loop_timer_set (req->all->conf.loop, &req->limit, req->arrived + most);
+    wait = MIN (wait, req->facts.patience_us / CATALOGUE_WAIT_DIVISOR);
+  g_ptr_array_add (req->requests->awaiting_catalogue, req);
+  loop_timer_set (req->requests->conf.loop, &req->deadline_timer, req->arrived + wait);
 }
 
 void
-requests_take (Requests *all, HCall *call)
+requests_handle (Requests *requests, HCall *call)
 {
-  Req *req = req_new (all, call);
+  Req *req = req_new (requests, call);
 
   if (req->cat)
-    proceed (req);
+    process (req);
   else
-    park (req);
+    await_catalogue (req);
 }
 
 void
-requests_gone (Requests *all, HCall *call)
+requests_caller_left (Requests *requests, HCall *call)
 {
   Req *req = hcall_user (call);
 
-  (void) all;
+  (void) requests;
   if (req == NULL)
     return;
   count_up (COUNT_LEFT);
@@ -253,59 +257,59 @@
 }
 
 void
-requests_room (Requests *all, HCall *call)
+requests_caller_drained (Requests *requests, HCall *call)
 {
   Req *req = hcall_user (call);
 
-  (void) all;
+  (void) requests;
   if (req)
-    try_room (req);
+    try_caller_drained (req);
 }
 
-/* ---- All of them ---- */
+/* ---- Interface ---- */
 
 Requests *
 requests_new (const RequestsConf *conf)
 {
-  Requests *all = g_new0 (Requests, 1);
-
-  all->conf = *conf;
-  all->patience = patience_new (loop_clock (conf->loop));
-  all->review.fire = req_on_review;
-  all->by_number = g_hash_table_new (g_int64_hash, g_int64_equal);
-  all->parked = g_ptr_array_new ();
-  return all;
+  Requests *requests = g_new0 (Requests, 1);
+
+  requests->conf = *conf;
+  requests->patience = patience_new (loop_clock (conf->loop));
+  requests->recheck.fire = req_on_recheck;
+  requests->by_number = g_hash_table_new (g_int64_hash, g_int64_equal);
+  requests->awaiting_catalogue = g_ptr_array_new ();
+  return requests;
 }
 
 void
-requests_free (Requests *all)
+requests_free (Requests *requests)
 {
-  if (all == NULL)
+  if (requests == NULL)
     return;
-  loop_timer_stop (all->conf.loop, &all->review);
-  g_hash_table_unref (all->by_number);
-  g_ptr_array_unref (all->parked);
-  rt_cat_unref (all->cat);
-  patience_free (all->patience);
-  g_free (all);
+  loop_timer_stop (requests->conf.loop, &requests->recheck);
+  g_hash_table_unref (requests->by_number);
+  g_ptr_array_unref (requests->awaiting_catalogue);
+  rt_cat_unref (requests->cat);
+  patience_free (requests->patience);
+  g_free (requests);
 }
 
 void
-requests_catalogue (Requests *all, RtCat *cat)
+requests_set_catalogue (Requests *requests, RtCat *cat)
 {
-  rt_cat_unref (all->cat);
-  all->cat = rt_cat_ref (cat);
-  while (all->parked->len > 0)
+  rt_cat_unref (requests->cat);
+  requests->cat = rt_cat_ref (cat);
+  while (requests->awaiting_catalogue->len > 0)
     {
-      Req *req = g_ptr_array_remove_index (all->parked, 0);
-      loop_timer_stop (all->conf.loop, &req->limit);
+      Req *req = g_ptr_array_remove_index (requests->awaiting_catalogue, 0);
+      loop_timer_stop (requests->conf.loop, &req->deadline_timer);
       req->cat = rt_cat_ref (cat);
-      proceed (req);
+      process (req);
     }
 }
 
 unsigned
-requests_open (const Requests *all)
+requests_open_count (const Requests *requests)
 {
-  return all->open;
+  return requests->open_count;
 }
--- a/node/requests.h
+++ b/node/requests.h
@@ -1,5 +1,5 @@
-/* requests.h - the life of callers' requests at an entry, from the whole request to the last byte
- * of its answer. */
+/* requests.h - callers' requests at an entry, from the complete request to the last byte of its
+ * answer. */
 #ifndef REQUESTS_H
 #define REQUESTS_H
 
@@ -27,19 +27,20 @@
 
 Requests *requests_new (const RequestsConf *conf);
 void requests_free (Requests *requests);
-/* Requests that come from now on are handled by cat; those under way keep theirs. */
-void requests_catalogue (Requests *requests, RtCat *cat);
-/* A whole request of a caller; answered from within or later. */
-void requests_take (Requests *requests, HCall *call);
-/* Its caller has left. */
-void requests_gone (Requests *requests, HCall *call);
-/* Its caller, who read its answer too slowly, has read on. */
-void requests_room (Requests *requests, HCall *call);
-/* The scheduler's verdicts. */
+/* Handles requests that arrive from now on by cat; open requests keep the catalogue that they
+ * arrived under. */
+void requests_set_catalogue (Requests *requests, RtCat *cat);
+/* Handles a completely received request; it may be answered before this returns. */
+void requests_handle (Requests *requests, HCall *call);
+/* The caller has closed its connection before the answer ended. */
+void requests_caller_left (Requests *requests, HCall *call);
+/* A caller that read its answer too slowly has caught up: more can be written. */
+void requests_caller_drained (Requests *requests, HCall *call);
+/* The scheduler's decisions on the ask with this number. */
 void requests_grant (Requests *requests, uint64_t number, const Grant *grant);
 void requests_refuse (Requests *requests, uint64_t number, const SchedRefusal *refusal);
-/* The witness's verdicts may have changed: looks again at requests that wait for a place. */
-void requests_review (Requests *requests);
-unsigned requests_open (const Requests *requests);
+/* Quarantine verdicts may have changed: checks again the requests that wait for a place. */
+void requests_recheck (Requests *requests);
+unsigned requests_open_count (const Requests *requests);
 
 #endif
--- a/node/try.c
+++ b/node/try.c
@@ -1,10 +1,11 @@
 /* try.c - one try of a request at one server, from the first byte sent to the end of the answer.
  *
- * may_have_run is set before the first byte can leave, and taken back only by the server's own word
- * that it did not run the request, or when no connection was established.
+ * may_have_run is set before the first byte can be sent, and reset only when the server states that
+ * it did not run the request, or when no connection was established.
  *
- * A plain answer is held until it is whole, so that a broken one can still become a clear failure
- * or another try. A stream's head waits for its first event, and only whole events pass.
+ * A plain answer is buffered until it is complete, so that a broken one can still be turned into an
+ * error or a retry. A stream's head is sent with its first event, and only whole events are
+ * relayed.
  */
 #include "reqint.h"
 #include "count.h"
@@ -12,28 +13,30 @@
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define CONNECT_MOST (250 * FT_MS)   /* a connection takes two one-way delays and 1 ms */
-#define IDLE_MOST    (8 * FT_SECOND) /* rest of a connection, where rested ones have broken lately */
-#define BREAKS_AT_ONCE                                                                             \
-  (25 * FT_MS) /* the reset of a connection that the other end has forgotten is back within a      \
-                  round trip, some 2 ms between failure domains; answers take longer */
-#define HELD_MOST       (1u << 20)  /* a longer plain answer is passed on as it comes, bytes ... */
-#define HELD_PRESSED    (16u << 10) /* ... and a shorter one while callers read too slowly */
-#define SILENT_PLAIN    2.0         /* times the aim without a plain answer */
-#define SILENT_STREAM   2.0         /* times the aim without a first event ... */
-#define SILENT_TOKEN_US 60 /* ... and so long for each token of the prompt: the slowest seen */
-#define SILENT_LEAST    (600 * FT_MS)
-
-/* Does the answer speak of our request? */
+#define CONNECT_TIMEOUT (250 * FT_MS) /* connecting takes one round trip and 1 ms */
+#define REUSE_IDLE_MIN                                                                             \
+  (8 * FT_SECOND) /* for repeatable requests connections idle this long are always reused */
+#define STALE_RESET_MAX                                                                            \
+  (25 * FT_MS) /* the reset of a connection that the server has dropped arrives within a round     \
+                  trip, some 2 ms between failure domains; answers take longer */
+#define BUFFER_MAX (1u << 20) /* bytes; a longer plain answer is relayed as it arrives ... */
+#define BUFFER_MAX_PRESSED                                                                         \
+  (16u << 10)                     /* ... this limit applies while slow callers fill the memory */
+#define PLAIN_TIMEOUT_FACTOR  2.0 /* times the route's aim, without any of a plain answer */
+#define STREAM_TIMEOUT_FACTOR 2.0 /* times the route's aim, without a first event ... */
+#define PREFILL_TIMEOUT_TOKEN_US                                                                   \
+  60 /* ... and this for each token of the prompt: the slowest prefill seen */
+#define STREAM_TIMEOUT_MIN (600 * FT_MS)
+
+/* True unless the answer names another request. */
 static bool
-is_ours (const Req *req, const SeamAnswer *answer)
+matches_request (const Req *req, const SeamAnswer *answer)
 {
   return answer->id == NULL || strcmp (answer->id, req->id) == 0;
 }
 
 static void
-note_first (Req *req)
+record_first_byte (Req *req)
 {
   int64_t now = req_now (req);
 
@@ -41,15 +44,15 @@
     return;
   req->first_at = now;
   count_time (TIMED_FIRST, now - req->sent_at);
-  place_first (req->all->conf.place, req->number, now - req->sent_at);
+  place_first (req->requests->conf.place, req->number, now - req->sent_at);
 }
 
-/* The server said that it did not run the request. One that is not the server that was meant says
- * nothing of that one but that it is gone: no server of the request's was reached. */
+/* The server states that it did not run the request. If it is not the server that was addressed,
+ * the addressed one no longer exists, and the try counts as one that reached no server. */
 static void
-after_rejection (Req *req)
+handle_rejection (Req *req)
 {
-  if (!req->elsewhere)
+  if (!req->wrong_server)
     {
       req_after_try (req, RETRY_REJECTED);
       return;
@@ -59,13 +62,13 @@
   req_after_try (req, RETRY_GONE);
 }
 
-/* What the server says of itself counts if the answer is its own, to this request. A value that
- * cannot be read takes nothing back. */
+/* Takes the server's notice about itself, if the answer comes from that server and belongs to this
+ * request. A value that cannot be parsed leaves the earlier notice in force. */
 static void
 take_notice (const Req *req, const SeamAnswer *answer)
 {
   const Notice *notice = &answer->notice;
-  Place *place = req->all->conf.place;
+  Place *place = req->requests->conf.place;
   bool news = false;
 
   if (answer->elsewhere || (answer->id == NULL && *req->id))
@@ -89,9 +92,9 @@
   Req *req = user;
   SeamAnswer answer;
 
-  req->all->conf.seam->read_answer (msg, &answer);
-  req->unframed = hmsg_ends_with_connection (msg);
-  if (!is_ours (req, &answer))
+  req->requests->conf.seam->read_answer (msg, &answer);
+  req->close_delimited = hmsg_ends_with_connection (msg);
+  if (!matches_request (req, &answer))
     {
       jlog (JLOG_WARN, "foreign-answer", req->id, JL_TEXT ("server", req->server),
             JL_TEXT ("other", answer.id));
@@ -103,30 +106,31 @@
   take_notice (req, &answer);
   if (answer.not_run && (answer.id || req->status == 400))
     {
-      /* Its own word that this try did not run; earlier tries stand. */
+      /* The server states that this try did not run; earlier tries may still have. */
       req->may_have_run = req->may_have_run_before;
       req->rejected = true;
-      req->elsewhere = answer.elsewhere;
+      req->wrong_server = answer.elsewhere;
       return true;
     }
-  bool promises
+  bool claims_not_run
       = req->status == 503 || req->status == 429 || req->status == 408 || req->status == 421;
-  if (promises || (answer.id == NULL && *req->id))
+  if (claims_not_run || (answer.id == NULL && *req->id))
     {
-      /* Not the word of the server that holds our request: it proves nothing. */
+      /* A status that implies that the request did not run, without the server's statement of
+       * it, or an answer that does not name our request: neither proves anything. */
       req_after_try (req, RETRY_BROKEN);
       return true;
     }
   req->is_stream = answer.event_stream && req->status / 100 == 2;
   if (req->begun && !req->is_stream)
     {
-      req_after_try (req, RETRY_CUT); /* it cannot go on behind what the caller has */
+      req_after_try (req, RETRY_CUT); /* not a continuation of the stream that the caller has */
       return true;
     }
   if (!req->begun)
     {
       g_string_truncate (req->fields, 0);
-      req->all->conf.seam->write_answer (req->fields, msg);
+      req->requests->conf.seam->write_answer (req->fields, msg);
     }
   if (req->is_stream && req->stream == NULL)
     req->stream = events_new ();
@@ -134,42 +138,42 @@
 }
 
 static void
-begin (Req *req)
+begin_answer (Req *req)
 {
   req->begun = true;
   hcall_begin (req->call, req->status, req->fields);
 }
 
 static void
-arm_silence (Req *req, int64_t in)
+arm_silence_timer (Req *req, int64_t in)
 {
-  loop_timer_set (req->all->conf.loop, &req->silence, req_now (req) + in);
+  loop_timer_set (req->requests->conf.loop, &req->silence, req_now (req) + in);
 }
 
-/* Failure: callers read more slowly than their streams come. Symptom: what they have not read fills
- * the memory, and the process ends with all that it holds. A server whose caller does not keep up
- * is no longer read from; its silence says nothing then. */
+/* Stops reading from the server while the caller does not keep up: unread output of slow callers
+ * would fill the memory until the process is killed. The silence timer stops too, since nothing
+ * is received meanwhile. */
 static void
-hold_if_full (Req *req)
+pause_if_full (Req *req)
 {
-  if (req->xfer == NULL || req->slowed || !hcall_is_full (req->call))
+  if (req->xfer == NULL || req->read_paused || !hcall_is_full (req->call))
     return;
-  req->slowed = true;
+  req->read_paused = true;
   hxfer_hold (req->xfer, true);
-  loop_timer_stop (req->all->conf.loop, &req->silence);
+  loop_timer_stop (req->requests->conf.loop, &req->silence);
 }
 
 void
-try_room (Req *req)
+try_caller_drained (Req *req)
 {
-  req->slowed = false;
+  req->read_paused = false;
   if (req->xfer == NULL)
     return;
   hxfer_hold (req->xfer, false);
   if (req->event_at)
     req->event_at = req_now (req);
   if (req->is_stream)
-    arm_silence (req, MAX (SILENT_EVENT, 4 * req->route->gap_us));
+    arm_silence_timer (req, MAX (EVENT_TIMEOUT, 4 * req->route->gap_us));
 }
 
 static void
@@ -181,43 +185,43 @@
 
   if (count > 0)
     {
-      note_first (req);
+      record_first_byte (req);
       if (req->event_at)
         {
-          req->event_sum += now - req->event_at;
-          req->pause_most = MAX (req->pause_most, now - req->event_at);
+          req->event_gap_sum += now - req->event_at;
+          req->longest_pause = MAX (req->longest_pause, now - req->event_at);
         }
       req->event_at = now;
       req->events += count;
       if (!req->begun)
-        begin (req);
-      arm_silence (req, MAX (SILENT_EVENT, 4 * req->route->gap_us));
+        begin_answer (req);
+      arm_silence_timer (req, MAX (EVENT_TIMEOUT, 4 * req->route->gap_us));
       hcall_data (req->call, out->str, out->len);
-      hold_if_full (req);
+      pause_if_full (req);
     }
   g_string_free (out, TRUE);
 }
 
-/* A plain answer is held until it is whole, unless it is too long for that. */
+/* Buffers a plain answer until it is complete, unless it is too long for that. */
 static void
-take_plain (Req *req, const char *data, size_t size)
+buffer_plain (Req *req, const char *data, size_t size)
 {
-  size_t most = hcall_is_pressed (req->call) ? HELD_PRESSED : HELD_MOST;
+  size_t limit = hcall_is_pressed (req->call) ? BUFFER_MAX_PRESSED : BUFFER_MAX;
 
   if (!req->begun)
-    g_string_append_len (req->held, data, (gssize) size);
+    g_string_append_len (req->buffered, data, (gssize) size);
   else
     hcall_data (req->call, data, size);
-  if (!req->begun && req->held->len > most)
+  if (!req->begun && req->buffered->len > limit)
     {
-      begin (req);
-      hcall_data (req->call, req->held->str, req->held->len);
-      g_string_free (req->held, TRUE); /* truncated it would keep its memory */
-      req->held = g_string_new (NULL);
+      begin_answer (req);
+      hcall_data (req->call, req->buffered->str, req->buffered->len);
+      g_string_free (req->buffered, TRUE); /* truncating would keep its memory */
+      req->buffered = g_string_new (NULL);
     }
-  hcall_note_held (req->call, req->held->len);
+  hcall_note_held (req->call, req->buffered->len);
   if (req->begun)
-    hold_if_full (req);
+    pause_if_full (req);
 }
 
 static void
@@ -226,29 +230,29 @@
   Req *req = user;
 
   if (req->xfer == NULL || req->rejected)
-    return; /* the try was ended by its head */
+    return; /* on_head has ended the try */
   if (req->is_stream)
     {
       relay_events (req, data, size);
       return;
     }
-  note_first (req);
-  take_plain (req, data, size);
+  record_first_byte (req);
+  buffer_plain (req, data, size);
 }
 
-/* Does its end show that the server has outlived the request? */
+/* True if the complete answer shows that the server survived the request. */
 static bool
-is_proof (const Req *req)
+proves_survival (const Req *req)
 {
-  return !req->unframed && req->status < 500 && (!req->is_stream || req->events > 0);
+  return !req->close_delimited && req->status < 500 && (!req->is_stream || req->events > 0);
 }
 
-/* The server may be gone; what it ran is found out by the witness. */
+/* The server may have ended; the witness finds out whether it did and what it ran. */
 static void
-note_break (const Req *req)
+report_break (const Req *req)
 {
   if (!req->rejected)
-    witness_broke (req->all->conf.witness, req->server, req->addr, req->content, req->id);
+    witness_broke (req->requests->conf.witness, req->server, req->addr, req->content, req->id);
 }
 
 static void
@@ -259,20 +263,20 @@
   req->xfer = NULL;
   if (req->rejected)
     {
-      after_rejection (req);
+      handle_rejection (req);
       return;
     }
-  note_first (req);
-  if (req->unframed)
-    note_break (req);
-  else if (is_proof (req))
-    witness_answered (req->all->conf.witness, req->server, req->content, req->sent_at);
+  record_first_byte (req);
+  if (req->close_delimited)
+    report_break (req);
+  else if (proves_survival (req))
+    witness_answered (req->requests->conf.witness, req->server, req->content, req->sent_at);
   if (req->is_stream && events_within (req->stream))
     req_after_try (req, RETRY_CUT);
   else if (req->is_stream)
     {
       if (!req->begun)
-        begin (req);
+        begin_answer (req);
       req_after_try (req, RETRY_ANSWERED);
     }
   else
@@ -286,9 +290,9 @@
 
   req->xfer = NULL;
   req->fault = fault;
-  req->faulty = true;
+  req->has_fault = true;
   if (fault == HXFER_BROKEN)
-    note_break (req);
+    report_break (req);
   if (fault == HXFER_UNREACHED || fault == HXFER_REFUSED)
     {
       req->unreached++;
@@ -296,13 +300,13 @@
       req->may_have_run = req->may_have_run_before;
       count_up (COUNT_UNREACHED);
       if (fault == HXFER_REFUSED)
-        witness_refused (req->all->conf.witness, req->server);
+        witness_refused (req->requests->conf.witness, req->server);
       req_after_try (req, RETRY_UNREACHED);
       return;
     }
-  req->broke = !req->head_seen && req_now (req) - req->sent_at < BREAKS_AT_ONCE;
+  req->broke_on_send = !req->head_seen && req_now (req) - req->sent_at < STALE_RESET_MAX;
   if (req->rejected)
-    after_rejection (req);
+    handle_rejection (req);
   else
     req_after_try (req, req->begun ? RETRY_CUT : RETRY_BROKEN);
 }
@@ -310,47 +314,48 @@
 static const HXferOps xfer_ops = { on_head, on_body, on_end, on_failed };
 
 static int64_t
-silence_bound (const Req *req)
+silence_timeout (const Req *req)
 {
   double aim = (double) req->route->aim_us;
 
   if (req->route->kind != RT_STREAM)
-    return MAX (SILENT_LEAST / 2, (int64_t) (aim * SILENT_PLAIN));
-  return MAX (SILENT_LEAST, (int64_t) (aim * SILENT_STREAM)
-                                + (int64_t) req->facts.prompt_tokens * SILENT_TOKEN_US);
+    return MAX (STREAM_TIMEOUT_MIN / 2, (int64_t) (aim * PLAIN_TIMEOUT_FACTOR));
+  return MAX (STREAM_TIMEOUT_MIN,
+              (int64_t) (aim * STREAM_TIMEOUT_FACTOR)
+                  + (int64_t) req->facts.prompt_tokens * PREFILL_TIMEOUT_TOKEN_US);
 }
 
 void
 try_send (Req *req, const Grant *grant)
 {
   const SeamServer *server = &grant->server;
-  Requests *all = req->all;
+  Requests *requests = req->requests;
   const GByteArray *body = hcall_body (req->call);
   bool once = !rt_route_repeatable (req->route);
-  HCliTarget target = { server->addr, server->id, CONNECT_MOST,
-                        once ? grant->rest_most : MAX (IDLE_MOST, grant->rest_most),
+  HCliTarget target = { server->addr, server->id, CONNECT_TIMEOUT,
+                        once ? grant->rest_most : MAX (REUSE_IDLE_MIN, grant->rest_most),
                         strcmp (hmsg_method (hcall_msg (req->call)), "HEAD") == 0 };
   SeamForward forward = { .server = server->name,
                           .org = req->org ? req->org->name : NULL,
-                          .left_us = req->end_at - req_now (req),
+                          .left_us = req->deadline - req_now (req),
                           .last_event = req->begun ? events_last_id (req->stream) : NULL,
                           .body = body->data,
                           .body_size = body->len };
   GString *message = g_string_sized_new (1024 + body->len);
 
-  all->conf.seam->write_request (message, hcall_msg (req->call), &forward);
+  requests->conf.seam->write_request (message, hcall_msg (req->call), &forward);
   req->sends++;
-  req->slowed = false;
+  req->read_paused = false;
   req->addr = server->addr;
   req->may_have_run_before = req->may_have_run;
-  req->may_have_run = true; /* from here on only a server's word, or no connection, denies it */
+  req->may_have_run = true; /* until the server denies it or no connection is established */
   req->sent_at = req_now (req);
   count_up (COUNT_SENDS);
-  arm_silence (req, silence_bound (req));
-  req->xfer = hcli_send (all->conf.cli, &target, message, &xfer_ops, req);
+  arm_silence_timer (req, silence_timeout (req));
+  req->xfer = hcli_send (requests->conf.cli, &target, message, &xfer_ops, req);
   g_string_free (message, TRUE);
   if (req->xfer)
-    req->rested = hxfer_rested (req->xfer);
+    req->conn_idle = hxfer_rested (req->xfer);
   else
     on_failed (req, HXFER_UNREACHED);
 }
