--- a/node/broker.c
+++ b/node/broker.c
@@ -98,7 +98,7 @@
   Asker *asker = g_hash_table_lookup (broker->askers, &owner);
   MeshMsg msg = { .kind = MESH_GRANT };
 
-  count_up (COUNT_GRANTS);
+  count_inc (COUNT_GRANTS);
   if (owner == BROKER_SELF)
     deliver_soon (
         broker,
@@ -206,7 +206,7 @@
         return true;
       if (hand_hold (broker->hand, ask))
         {
-          count_up (COUNT_HELD);
+          count_inc (COUNT_HELD_ASKS);
           return false;
         }
     }
@@ -230,12 +230,12 @@
 
 /* While a handover goes on queues are judged by all places, since their part is about to grow. */
 void
-broker_apply_parts (Broker *broker)
+broker_apply_shares (Broker *broker)
 {
   double part = hand_part (broker->hand);
   double places = hand_settled (broker->hand) ? broker->places : 1;
-  bool shared
-      = !hand_settled (broker->hand) || (broker_hands_over (broker) && broker_askers (broker) > 0);
+  bool shared = !hand_settled (broker->hand)
+                || (broker_handover_enabled (broker) && broker_asker_count (broker) > 0);
 
   sched_share (broker->sched, places, broker->salt);
   sched_grant_part (broker->sched, shared ? MIN (broker->places, part) : SCHED_UNBOUNDED,
@@ -245,7 +245,7 @@
 }
 
 void
-broker_settle (Broker *broker)
+broker_check_handover (Broker *broker)
 {
   HandSettled how;
   bool ended = hand_ended (broker->hand, &how);
@@ -253,11 +253,11 @@
 
   if (ended)
     {
-      count_up (COUNT_HANDOVERS);
+      count_inc (COUNT_HANDOVERS);
       jlog (JLOG_INFO, "settled", NULL, JL_INT ("reported", how.reported),
             JL_INT ("expected", how.expected), JL_MS ("after_ms", how.after_us),
             JL_TEXT ("why", how.why), JL_TEXT ("by", broker->name));
-      broker_apply_parts (broker);
+      broker_apply_shares (broker);
     }
   while ((ask = hand_due (broker->hand)))
     {
@@ -290,13 +290,13 @@
 }
 
 void
-broker_first (Broker *broker, uint64_t request, int64_t after_us)
+broker_report_first (Broker *broker, uint64_t request, int64_t after_us)
 {
   sched_first (broker->sched, BROKER_SELF, request, after_us);
 }
 
 void
-broker_silent (Broker *broker, uint64_t request)
+broker_report_silence (Broker *broker, uint64_t request)
 {
   sched_silent (broker->sched, BROKER_SELF, request);
 }
@@ -308,13 +308,13 @@
 }
 
 void
-broker_notice_before (Broker *broker, const char *server, const Notice *notice, int64_t age)
+broker_past_notice (Broker *broker, const char *server, const Notice *notice, int64_t age)
 {
   sched_notice_before (broker->sched, BROKER_SELF, server, notice, age);
 }
 
 void
-broker_done (Broker *broker, uint64_t request, const SchedResult *result)
+broker_end (Broker *broker, uint64_t request, const SchedResult *result)
 {
   hand_drop (broker->hand, BROKER_SELF, request);
   sched_done (broker->sched, BROKER_SELF, request, result);
@@ -355,7 +355,7 @@
 }
 
 void
-broker_catalogue (Broker *broker, const RtCat *cat)
+broker_set_catalogue (Broker *broker, const RtCat *cat)
 {
   for (unsigned i = 0; i < rt_cat_service_count (cat); i++)
     {
@@ -372,33 +372,33 @@
 }
 
 void
-broker_servers (Broker *broker, const Servers *servers)
+broker_set_servers (Broker *broker, const Servers *servers)
 {
   broker->servers = servers;
-  servers_give (servers, broker->sched);
+  servers_give_to (servers, broker->sched);
 }
 
 void
-broker_share (Broker *broker, double places, double limits, uint64_t salt)
+broker_set_shares (Broker *broker, double places, double limits, uint64_t salt)
 {
   broker->places = places;
   broker->limits = limits;
   broker->salt = salt;
   broker->heard = 0;
-  broker_apply_parts (broker);
+  broker_apply_shares (broker);
 }
 
 void
-broker_share_heard (Broker *broker, unsigned heard, unsigned lost)
+broker_set_shares_by_heard (Broker *broker, unsigned heard, unsigned lost)
 {
-  broker_expected (broker, heard);
+  broker_set_expected (broker, heard);
   broker->heard = heard;
   broker->lost = lost;
-  broker_share_by_heard (broker);
+  broker_apply_heard (broker);
 }
 
 void
-broker_margin (Broker *broker, double overage, double slack, double window_s, bool alone)
+broker_set_margin (Broker *broker, double overage, double slack, double window_s, bool alone)
 {
   quota_margin (broker->quota, overage, slack, window_s, alone);
 }
@@ -432,17 +432,17 @@
   RetCounts all = { limits->promised + places.promised, limits->kept + places.kept,
                     limits->lapsed + places.lapsed, limits->lost + places.lost };
 
-  count_add (COUNT_PROMISED, all.promised - broker->returned.promised);
-  count_add (COUNT_KEPT, all.kept - broker->returned.kept);
-  count_add (COUNT_LAPSED, all.lapsed - broker->returned.lapsed);
-  count_add (COUNT_LOST, all.lost - broker->returned.lost);
+  count_add (COUNT_RETURNS_PROMISED, all.promised - broker->returned.promised);
+  count_add (COUNT_RETURNS_KEPT, all.kept - broker->returned.kept);
+  count_add (COUNT_RETURNS_LAPSED, all.lapsed - broker->returned.lapsed);
+  count_add (COUNT_RETURNS_LOST, all.lost - broker->returned.lost);
   broker->returned = all;
 }
 
 void
 broker_tick (Broker *broker)
 {
-  broker_settle (broker);
+  broker_check_handover (broker);
   sched_tick (broker->sched);
   ret_tick (broker->returns);
   count_returns (broker);
@@ -450,13 +450,14 @@
 }
 
 void
-broker_versions (Broker *broker, const char *service, const SchedVersions *versions)
+broker_set_versions (Broker *broker, const char *service, const SchedVersions *versions)
 {
   sched_versions (broker->sched, service, versions);
 }
 
 void
-broker_watch (Broker *broker, void (*judged) (void *host, const SchedJudged *judged), void *host)
+broker_set_judged_callback (Broker *broker, void (*judged) (void *host, const SchedJudged *judged),
+                            void *host)
 {
   broker->judged = judged;
   broker->watcher = host;
--- a/node/brokerlink.c
+++ b/node/brokerlink.c
@@ -6,7 +6,7 @@
   (3 * FT_SECOND) /* an instance that asked then is taken for a user of this one */
 
 void
-broker_up (Broker *broker, MeshPeer *peer)
+broker_link_up (Broker *broker, MeshPeer *peer)
 {
   Asker *asker = g_new0 (Asker, 1);
 
@@ -17,7 +17,7 @@
 }
 
 void
-broker_down (Broker *broker, MeshPeer *peer)
+broker_link_down (Broker *broker, MeshPeer *peer)
 {
   Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
@@ -31,14 +31,14 @@
 }
 
 void
-broker_share_by_heard (Broker *broker)
+broker_apply_heard (Broker *broker)
 {
-  unsigned heard = broker->heard, away = MIN (broker_away (broker), heard);
+  unsigned heard = broker->heard, away = MIN (broker_away_count (broker), heard);
 
   broker->places = 1;
   broker->limits = heard ? (double) (heard - away) / (heard + broker->lost) : 1;
   broker->salt = 0;
-  broker_apply_parts (broker);
+  broker_apply_shares (broker);
 }
 
 /* Failure: all entries had turned to another scheduler, and come back. Symptom: until the next tick
@@ -51,9 +51,9 @@
   asker->away = false;
   bool begins = hand_asked (broker->hand, asker->owner, broker->expected);
   if (away && broker->heard > 0)
-    broker_share_by_heard (broker);
+    broker_apply_heard (broker);
   else if (begins)
-    broker_apply_parts (broker);
+    broker_apply_shares (broker);
 }
 
 static void
@@ -75,8 +75,8 @@
   for (unsigned i = 0; i < from->accounts.accounts_len; i++)
     take_account (broker, &from->accounts.accounts_val[i]);
   hand_reported (broker->hand, asker->owner);
-  broker_apply_parts (broker);
-  broker_settle (broker);
+  broker_apply_shares (broker);
+  broker_check_handover (broker);
 }
 
 static void
@@ -121,7 +121,7 @@
 }
 
 void
-broker_expect (Broker *broker, MeshPeer *peer)
+broker_note_asker (Broker *broker, MeshPeer *peer)
 {
   Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
@@ -132,7 +132,7 @@
 }
 
 void
-broker_expected (Broker *broker, unsigned instances)
+broker_set_expected (Broker *broker, unsigned instances)
 {
   broker->expected = instances;
 }
@@ -141,17 +141,17 @@
 broker_take_over (Broker *broker)
 {
   hand_begin (broker->hand, broker->expected);
-  broker_apply_parts (broker);
+  broker_apply_shares (broker);
 }
 
 bool
-broker_hands_over (const Broker *broker)
+broker_handover_enabled (const Broker *broker)
 {
   return broker->conf.handover_us > 0;
 }
 
 bool
-broker_takes_over (const Broker *broker)
+broker_is_taking_over (const Broker *broker)
 {
   return !hand_settled (broker->hand);
 }
@@ -194,7 +194,7 @@
         take_ask (broker, asker, &msg->MeshMsg_u.ask);
       return true;
     case MESH_REPORTED:
-      if (asker && broker_hands_over (broker))
+      if (asker && broker_handover_enabled (broker))
         take_report (broker, asker, &msg->MeshMsg_u.reported);
       return true;
     case MESH_FIRST:
@@ -225,7 +225,7 @@
 }
 
 bool
-broker_waits (const Broker *broker, const MeshPeer *peer)
+broker_peer_waits (const Broker *broker, const MeshPeer *peer)
 {
   const Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
@@ -233,7 +233,7 @@
 }
 
 bool
-broker_asked (const Broker *broker, const MeshPeer *peer)
+broker_peer_asked (const Broker *broker, const MeshPeer *peer)
 {
   const Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
@@ -241,7 +241,7 @@
 }
 
 unsigned
-broker_askers (const Broker *broker)
+broker_asker_count (const Broker *broker)
 {
   int64_t since = loop_now (broker->loop) - ASKED_LATELY;
   GHashTableIter iter;
@@ -255,7 +255,7 @@
 }
 
 unsigned
-broker_away (const Broker *broker)
+broker_away_count (const Broker *broker)
 {
   GHashTableIter iter;
   gpointer value;
--- a/node/entry.c
+++ b/node/entry.c
@@ -1,9 +1,9 @@
-/* entry.c - an instance that takes callers.
+/* entry.c - an instance that accepts callers' requests.
  *
- * It holds no state that must survive: the catalogue, the list of servers and the place of each
- * request come from voters. When these cannot be reached it serves on with what it holds; it never
- * goes back to an older catalogue, and after a start it is ready only once a voter in charge has
- * said that its catalogue is the newest, or none could be heard for CONFIRM_MOST.
+ * It holds no state that must survive: the catalogue, the server list and the place of each request
+ * come from voters. While no voter can be reached it goes on serving with what it holds. It never
+ * returns to an older catalogue, and after a start it becomes ready only when the voter in charge
+ * has confirmed its catalogue as the newest, or no voter has been heard for CONFIRM_MAX.
  */
 #include "count.h"
 #include "delta.h"
@@ -16,13 +16,14 @@
 #include <errno.h>
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define TICK         (40 * FT_MS)  /* a third of the silence after which a deputy is passed over */
-#define SPEAK_EVERY  (200 * FT_MS) /* three in the 700 ms after which it is not fresh */
-#define CONFIRM_MOST (4 * FT_SECOND) /* longer than an election: the voters are not coming soon */
-#define UNSENT_SMALL 16384           /* bytes under way to an entry beyond which no list is added */
-#define LEAVE_LEAST  (2600 * FT_MS)  /* the balancer asks every second and wants two misses */
-#define LEAVE_MARGIN (700 * FT_MS)   /* before the process would be killed */
+#define TICK (40 * FT_MS) /* a third of the silence after which entries give a deputy up */
+#define KEEPALIVE_INTERVAL                                                                         \
+  (200 * FT_MS) /* three times in the 700 ms after which a silent scheduler is not asked */
+#define CONFIRM_MAX (4 * FT_SECOND) /* longer than an election: no voter will answer soon */
+#define UNSENT_MAX  16384           /* bytes queued on a link above which no server list is added */
+#define LEAVE_MIN                                                                                  \
+  (2600 * FT_MS) /* the balancer checks every second and removes an entry after two failures */
+#define LEAVE_MARGIN (700 * FT_MS) /* time left between stopping and the kill */
 
 typedef struct
 {
@@ -41,16 +42,16 @@
   Requests *requests;
   Witness *witness;
   RtCat *cat;
-  GBytes *text; /* that cat was read from, which changes are against */
+  GBytes *text; /* the text of cat, to which deltas are applied */
   LoopTimer tick;
-  int64_t started, leaving_since, list_at;
+  int64_t started, leaving_since, next_read_at;
   unsigned entries;
-  uint64_t newest;             /* version that the voter in charge has shown; 0: none has */
-  const MeshPeer *newest_from; /* that voter */
+  uint64_t newest_version;     /* catalogue version announced by the voter in charge; 0: none */
+  const MeshPeer *newest_from; /* the voter that announced it */
   bool confirmed, was_ready, closed;
 } Entry;
 
-/* ---- Catalogue and list ---- */
+/* ---- Catalogue and server list ---- */
 
 static void
 apply_limits (Entry *entry, const RtCat *cat)
@@ -61,22 +62,24 @@
   hsrv_limits (entry->callers, &limits);
 }
 
-/* The voter in charge has said what is newest, and this entry has it. */
+/* Marks the catalogue as confirmed once it is as new as the one that the voter in charge
+ * announced. */
 static void
-confirm (Entry *entry)
+confirm_catalogue (Entry *entry)
 {
-  if (entry->confirmed || entry->newest == 0 || entry->cat == NULL
-      || rt_cat_version (entry->cat) < entry->newest)
+  if (entry->confirmed || entry->newest_version == 0 || entry->cat == NULL
+      || rt_cat_version (entry->cat) < entry->newest_version)
     return;
   entry->confirmed = true;
   jlog (JLOG_INFO, "confirmed", NULL, JL_INT ("version", rt_cat_version (entry->cat)),
-        JL_INT ("newest", entry->newest));
+        JL_INT ("newest", entry->newest_version));
 }
 
-/* NULL: it cannot be unpacked, or changes a version that is not held here; the voter sends the
- * whole when it hears nothing of it. */
+/* Returns the document's catalogue text. NULL: it cannot be decompressed, or is a delta to a
+ * version that is not held here; the voter sends the whole text when this entry's version stays
+ * the same. */
 static GBytes *
-read_text (const Entry *entry, const MeshDocument *document)
+document_text (const Entry *entry, const MeshDocument *document)
 {
   const char *data = document->text.text_val;
   size_t size = document->text.text_len;
@@ -89,14 +92,14 @@
 }
 
 static void
-take_catalogue (Entry *entry, const MeshDocument *document, const MeshPeer *peer)
+apply_catalogue (Entry *entry, const MeshDocument *document, const MeshPeer *peer)
 {
   FtError error = { 0 };
   RtCat *cat = NULL;
 
   if (entry->cat && document->number <= rt_cat_version (entry->cat))
     return;
-  GBytes *text = read_text (entry, document);
+  GBytes *text = document_text (entry, document);
   if (text == NULL && document->base != 0)
     {
       jlog (JLOG_INFO, "catalogue-base", NULL, JL_INT ("version", document->number),
@@ -110,7 +113,7 @@
              != FT_OK)
     jlog (JLOG_ERROR, "catalogue-bad", NULL, JL_INT ("version", document->number),
           JL_TEXT ("field", error.field),
-          JL_TEXT ("why", text ? error.text : "it cannot be unpacked"));
+          JL_TEXT ("why", text ? error.text : "cannot be decompressed"));
   if (cat == NULL)
     {
       g_clear_pointer (&text, g_bytes_unref);
@@ -120,46 +123,46 @@
         JL_INT ("before", entry->cat ? rt_cat_version (entry->cat) : 0),
         JL_INT ("bytes", document->text.text_len), JL_INT ("changes", document->base != 0),
         JL_INT ("routes", rt_cat_route_count (cat)), JL_INT ("from_voter", peer->ip));
-  count_up (COUNT_CATALOGUES);
+  count_inc (COUNT_CATALOGUES);
   rt_cat_unref (entry->cat);
   entry->cat = cat;
   g_clear_pointer (&entry->text, g_bytes_unref);
   entry->text = text;
   apply_limits (entry, cat);
   requests_set_catalogue (entry->requests, cat);
-  broker_catalogue (place_broker (entry->place), cat);
+  broker_set_catalogue (place_own_broker (entry->place), cat);
   mesh_say (entry->mesh, entry->leaving_since != 0, rt_cat_version (cat));
-  confirm (entry);
+  confirm_catalogue (entry);
 }
 
-/* Failure: a deputy sends the whole list to all entries at each reading. Symptom: at 3,000 servers
- * and 299 instances it passes its memory limit (260 MB wait for slow links). Only who asks it gets
- * the list, only what has changed, and nothing while what was sent before is not taken. peer->user
- * holds the digest of the list that the peer was sent last. */
+/* Sends the peer what changed in the server list, if it asks this deputy and has received the
+ * list sent before. Sent whole to everyone at each reading, at 3,000 servers and 299 instances,
+ * 260 MB of lists waited for slow links and the deputy passed its memory limit. peer->user holds
+ * the digest of the list that the peer was sent last. */
 static void
 push_list (MeshPeer *peer, void *data)
 {
   Entry *entry = data;
 
-  if (peer->dialled || peer->role != MESH_ENTRY || mesh_unsent (peer) > UNSENT_SMALL
-      || !broker_asked (place_broker (entry->place), peer))
+  if (peer->dialled || peer->role != MESH_ENTRY || mesh_unsent (peer) > UNSENT_MAX
+      || !broker_peer_asked (place_own_broker (entry->place), peer))
     return;
   servers_send (entry->servers, peer, loop_now (entry->loop), GPOINTER_TO_UINT (peer->user));
   peer->user = GUINT_TO_POINTER (servers_digest (entry->servers));
 }
 
-/* Failure: entries that cannot reach a voter each read the list, and together they may do so
- * rarely. Symptom: a leaving server gets new work for seconds. A deputy reads for those that ask
- * it. */
+/* Uses a new list and, as a deputy, passes it on to the entries that ask it. Entries without a
+ * voter may each read the list only rarely, since they share the platform's rate; alone they
+ * would send work to leaving servers for seconds. */
 static void
-list_changed (Entry *entry, const char *from, bool pass_on)
+use_new_list (Entry *entry, const char *from, bool relay)
 {
-  count_up (COUNT_LISTS);
-  if (pass_on && broker_askers (place_broker (entry->place)) > 0)
+  count_inc (COUNT_LISTS);
+  if (relay && broker_asker_count (place_own_broker (entry->place)) > 0)
     mesh_each (entry->mesh, push_list, entry);
-  if (!servers_changed (entry->servers))
+  if (!servers_poll_changed (entry->servers))
     return;
-  broker_servers (place_broker (entry->place), entry->servers);
+  broker_set_servers (place_own_broker (entry->place), entry->servers);
   jlog (JLOG_INFO, "list", NULL, JL_INT ("servers", servers_count (entry->servers)),
         JL_TEXT ("from", from),
         JL_MS ("age_ms", loop_now (entry->loop) - servers_asked_at (entry->servers)));
@@ -170,52 +173,52 @@
 {
   Entry *entry = host;
 
-  if (list && servers_take_read (entry->servers, list, asked_at))
-    list_changed (entry, "own reading", true);
+  if (list && servers_apply_read (entry->servers, list, asked_at))
+    use_new_list (entry, "own reading", true);
   else if (list == NULL)
     {
-      count_up (COUNT_LIST_FAILURES);
+      count_inc (COUNT_LIST_FAILURES);
       jlog (JLOG_WARN, "list-failed", NULL, JL_TEXT ("why", why));
     }
 }
 
-/* Failure: the voters cannot be reached, and servers leave meanwhile. Symptom: a leaving server
- * gets new work. The entry reads the list itself, so rarely that all entries together stay within a
- * part of the platform's rate. */
+/* Reads the server list from the platform when no voter supplies it, so that leaving servers get
+ * no new work. All entries together stay within a part of the platform's rate. */
 static void
 read_list_if_old (Entry *entry, int64_t now)
 {
-  ReaderNeed need = { .calls = reader_calls (entry->reader, servers_count (entry->servers)),
-                      .readers = MAX (entry->entries, 4),
-                      .rate = entry->settings->list_rate,
-                      .for_others = broker_askers (place_broker (entry->place)) > 0 };
-  int64_t every = reader_interval (&need);
-  int64_t newest = MAX (servers_asked_at (entry->servers), entry->started);
+  ReaderFallback fallback
+      = { .calls = reader_estimate_calls (entry->reader, servers_count (entry->servers)),
+          .readers = MAX (entry->entries, 4),
+          .rate = entry->settings->list_rate,
+          .for_others = broker_asker_count (place_own_broker (entry->place)) > 0 };
+  int64_t interval = reader_fallback_interval (&fallback);
+  int64_t last_read = MAX (servers_asked_at (entry->servers), entry->started);
 
-  /* Without a catalogue nothing can be sent, and voters that have one have the list. */
-  if (entry->cat == NULL || now - newest < reader_age_borne (&need))
+  /* Without a catalogue nothing can be sent, and the voter that sends it sends the list, too. */
+  if (entry->cat == NULL || now - last_read < reader_max_age (&fallback))
     {
-      entry->list_at = 0;
+      entry->next_read_at = 0;
       return;
     }
-  if (entry->list_at == 0)
-    entry->list_at = now + reader_first (&need, instance_random ());
-  if (now < entry->list_at)
+  if (entry->next_read_at == 0)
+    entry->next_read_at = now + reader_first_delay (&fallback, instance_random ());
+  if (now < entry->next_read_at)
     return;
-  entry->list_at = now + every / 2 + (int64_t) (instance_random () % (uint64_t) every);
+  entry->next_read_at = now + interval / 2 + (int64_t) (instance_random () % (uint64_t) interval);
   reader_start (entry->reader);
 }
 
 /* ---- Voters ---- */
 
-/* A voter that has started dials this entry to name the voters (greet.h). What it says of the
- * charge, and whether it schedules, counts on links that this entry has dialled only. */
+/* A voter that has started dials this entry to name the voters (greet.h). Its statements on which
+ * voter is in charge, and its scheduling, count only on links that this entry has dialled. */
 static void
-take_greeting (Entry *entry, const MeshPeer *peer, const MeshView *view)
+handle_greeting (Entry *entry, const MeshPeer *peer, const MeshView *view)
 {
   for (unsigned i = 0; i < view->voters.voters_len; i++)
     mesh_dial (entry->mesh, view->voters.voters_val[i]);
-  count_up (COUNT_GREETINGS);
+  count_inc (COUNT_GREETINGS);
   jlog (JLOG_INFO, "greeted", NULL, JL_INT ("peer", peer->ip),
         JL_INT ("voters", view->voters.voters_len));
 }
@@ -225,52 +228,53 @@
 {
   if (!peer->dialled)
     {
-      take_greeting (entry, peer, view);
+      handle_greeting (entry, peer, view);
       return;
     }
   for (unsigned i = 0; i < view->voters.voters_len; i++)
     mesh_dial (entry->mesh, view->voters.voters_val[i]);
   if (view->proved)
     {
-      entry->newest = view->document;
+      entry->newest_version = view->document;
       entry->newest_from = peer;
-      confirm (entry);
+      confirm_catalogue (entry);
     }
   else if (entry->newest_from == peer)
-    entry->newest = 0;
-  if (view->proved || entry->newest == 0)
+    entry->newest_version = 0;
+  if (view->proved || entry->newest_version == 0)
     witness_voter (entry->witness, view->proved ? peer : NULL);
   if (view->proved && view->entries > 0)
     {
       entry->entries = view->entries;
       budget_share (entry->budget, 1.0 / view->entries);
     }
-  place_view (entry->place, peer, view);
+  place_apply_view (entry->place, peer, view);
 }
 
 static void
 on_up (void *host, MeshPeer *peer)
 {
-  place_up (((Entry *) host)->place, peer);
+  place_link_up (((Entry *) host)->place, peer);
   jlog (JLOG_INFO, "link-up", NULL, JL_INT ("peer", peer->ip), JL_TEXT ("domain", peer->domain));
 }
 
 static void
-took_list (Entry *entry, MeshPeer *peer, ServersTaken taken)
+handle_list_result (Entry *entry, MeshPeer *peer, ServersResult result)
 {
   bool from_voter = peer->role == MESH_VOTER;
   MeshMsg want = { .kind = MESH_WANT_LIST };
 
-  if (taken == SERVERS_TAKEN)
-    list_changed (entry, from_voter ? "voter" : "deputy", from_voter);
-  else if (taken == SERVERS_FOREIGN && servers_may_want (entry->servers, loop_now (entry->loop)))
+  if (result == SERVERS_APPLIED)
+    use_new_list (entry, from_voter ? "voter" : "deputy", from_voter);
+  else if (result == SERVERS_UNKNOWN_BASE
+           && servers_may_request (entry->servers, loop_now (entry->loop)))
     mesh_send (peer, &want);
 }
 
 static void
 send_whole_list (Entry *entry, MeshPeer *peer)
 {
-  if (mesh_unsent (peer) <= UNSENT_SMALL)
+  if (mesh_unsent (peer) <= UNSENT_MAX)
     servers_send_whole (entry->servers, peer, loop_now (entry->loop));
   peer->user = GUINT_TO_POINTER (servers_digest (entry->servers));
 }
@@ -287,17 +291,19 @@
       on_view (entry, peer, &msg->MeshMsg_u.view);
       break;
     case MESH_DOCUMENT:
-      take_catalogue (entry, &msg->MeshMsg_u.document, peer);
+      apply_catalogue (entry, &msg->MeshMsg_u.document, peer);
       break;
     case MESH_WANT_LIST:
       if (!peer->dialled)
         send_whole_list (entry, peer);
       break;
     case MESH_PACKED_LIST:
-      took_list (entry, peer, servers_take_packed (entry->servers, &msg->MeshMsg_u.packed, now));
+      handle_list_result (entry, peer,
+                          servers_apply_packed (entry->servers, &msg->MeshMsg_u.packed, now));
       break;
     case MESH_LIST:
-      took_list (entry, peer, servers_take_message (entry->servers, &msg->MeshMsg_u.list, now));
+      handle_list_result (entry, peer,
+                          servers_apply_message (entry->servers, &msg->MeshMsg_u.list, now));
       break;
     case MESH_ROLLOUTS:
       versions_take (entry->versions, &msg->MeshMsg_u.rollouts);
@@ -317,9 +323,9 @@
   jlog (JLOG_WARN, "link-down", NULL, JL_INT ("peer", peer->ip), JL_TEXT ("domain", peer->domain),
         JL_MS ("silent_ms", loop_now (entry->loop) - peer->heard));
   if (entry->newest_from == peer)
-    entry->newest = 0;
+    entry->newest_version = 0;
   witness_down (entry->witness, peer);
-  place_down (entry->place, peer);
+  place_link_down (entry->place, peer);
 }
 
 static const MeshOps mesh_ops = { on_up, on_message, on_down };
@@ -353,27 +359,27 @@
 }
 
 static void
-on_gone (void *owner, HCall *call)
+on_caller_left (void *owner, HCall *call)
 {
   requests_caller_left (((Entry *) owner)->requests, call);
 }
 
 static void
-on_room (void *owner, HCall *call)
+on_caller_drained (void *owner, HCall *call)
 {
   requests_caller_drained (((Entry *) owner)->requests, call);
 }
 
-static const HSrvOps callers_ops = { on_request, on_gone, on_room };
+static const HSrvOps callers_ops = { on_request, on_caller_left, on_caller_drained };
 
 static bool
 is_ready (const Entry *entry)
 {
-  bool waited = loop_now (entry->loop) - entry->started > CONFIRM_MOST;
+  bool timed_out = loop_now (entry->loop) - entry->started > CONFIRM_MAX;
 
-  bool placed = servers_asked_at (entry->servers) > 0 || place_by_voter (entry->place);
+  bool can_schedule = servers_asked_at (entry->servers) > 0 || place_uses_voter (entry->place);
 
-  return entry->leaving_since == 0 && entry->cat && placed && (entry->confirmed || waited);
+  return entry->leaving_since == 0 && entry->cat && can_schedule && (entry->confirmed || timed_out);
 }
 
 static void
@@ -389,23 +395,23 @@
 }
 
 static void
-ready_gone (void *owner, HCall *call)
+on_ready_gone (void *owner, HCall *call)
 {
   (void) owner;
   (void) call;
 }
 
-static const HSrvOps ready_ops = { on_ready_call, ready_gone, NULL };
+static const HSrvOps ready_ops = { on_ready_call, on_ready_gone, NULL };
 
-/* ---- Time and the end ---- */
+/* ---- Timer and shutdown ---- */
 
-/* Failure: callers go on sending on the connections that they keep, until the process is killed.
- * Symptom: a long answer that was asked for late is cut. Once the balancer has noticed, connections
- * without a request are closed, so that what is open can end in the time that is left. */
+/* Closes idle connections once the balancer has noticed that this entry leaves. Callers would go
+ * on sending on their kept-alive connections, and a long answer that began late would be cut when
+ * the process is killed. */
 static void
-close_when_noticed (Entry *entry, int64_t now)
+close_idle_when_leaving (Entry *entry, int64_t now)
 {
-  if (entry->leaving_since == 0 || entry->closed || now - entry->leaving_since < LEAVE_LEAST)
+  if (entry->leaving_since == 0 || entry->closed || now - entry->leaving_since < LEAVE_MIN)
     return;
   entry->closed = true;
   jlog (JLOG_INFO, "close", NULL, JL_INT ("open", requests_open_count (entry->requests)),
@@ -413,34 +419,34 @@
   hsrv_close_idle (entry->callers);
 }
 
-/* The balancer has noticed and everything open is done, or the process would be killed. */
+/* True if the balancer has noticed and all requests have ended, or the process is about to be
+ * killed. */
 static bool
-may_end (const Entry *entry, int64_t now)
+may_stop (const Entry *entry, int64_t now)
 {
   int64_t since = now - entry->leaving_since;
-  int64_t most = entry->settings->grace_s * FT_SECOND - LEAVE_MARGIN;
+  int64_t limit = entry->settings->grace_s * FT_SECOND - LEAVE_MARGIN;
   HSrvHeld held;
 
   hsrv_held (entry->callers, &held);
-  return since > most
-         || (since > LEAVE_LEAST && requests_open_count (entry->requests) == 0
+  return since > limit
+         || (since > LEAVE_MIN && requests_open_count (entry->requests) == 0
              && hsrv_busy (entry->callers) == 0 && held.answers == 0);
 }
 
-/* A deputy speaks to the entries that have dialled it, often to those that wait for a verdict.
- *
- * Failure: all entries tell a deputy at once what they run, and its link is full for 200 ms.
- * Symptom: it has not read yet who waits, says nothing to them, and they pass it over for the next
- * one. While it takes over it speaks often to all. */
+/* Sends keep-alives to the entries that have dialled this one, more often to those that wait for
+ * a decision. During a takeover all entries get them often: their reports can fill the deputy's
+ * link for 200 ms, so that it has not read yet which of them wait, and they would give it up for
+ * the next deputy. */
 static void
-speak (MeshPeer *peer, void *data)
+send_keep_alive (MeshPeer *peer, void *data)
 {
   Entry *entry = data;
-  const Broker *broker = place_broker (entry->place);
-  bool waits = broker_waits (broker, peer) || broker_takes_over (broker);
+  const Broker *broker = place_own_broker (entry->place);
+  bool urgent = broker_peer_waits (broker, peer) || broker_is_taking_over (broker);
 
   if (!peer->dialled)
-    mesh_keep_alive (peer, waits ? TICK : SPEAK_EVERY);
+    mesh_keep_alive (peer, urgent ? TICK : KEEPALIVE_INTERVAL);
 }
 
 static void
@@ -458,9 +464,9 @@
   entry->was_ready = ready;
   read_list_if_old (entry, now);
   witness_tick (entry->witness);
-  mesh_each (entry->mesh, speak, entry);
-  close_when_noticed (entry, now);
-  if (entry->leaving_since && may_end (entry, now))
+  mesh_each (entry->mesh, send_keep_alive, entry);
+  close_idle_when_leaving (entry, now);
+  if (entry->leaving_since && may_stop (entry, now))
     {
       jlog (JLOG_INFO, "stop", NULL, JL_INT ("open", requests_open_count (entry->requests)),
             JL_MS ("after_ms", now - entry->leaving_since));
@@ -497,7 +503,7 @@
 }
 
 static void
-describe_held (const Entry *entry, GString *out)
+describe_memory (const Entry *entry, GString *out)
 {
   HSrvHeld held;
 
@@ -517,7 +523,7 @@
 describe (Instance *base)
 {
   Entry *entry = (Entry *) base;
-  char *servers = broker_describe (place_broker (entry->place));
+  char *servers = broker_describe (place_own_broker (entry->place));
   GString *out = g_string_new (NULL);
 
   g_string_append_printf (
@@ -527,10 +533,11 @@
       "foxtail_server_connections_opened_total %" G_GUINT64_FORMAT
       "\nfoxtail_scheduler{by=\"%s\"} 1\nfoxtail_list_age_seconds %g\n",
       is_ready (entry), entry->cat ? rt_cat_version (entry->cat) : 0,
-      requests_open_count (entry->requests), place_waiting (entry->place),
-      hsrv_connections (entry->callers), hcli_opened (entry->cli), place_by (entry->place),
+      requests_open_count (entry->requests), place_waiting_count (entry->place),
+      hsrv_connections (entry->callers), hcli_opened (entry->cli),
+      place_scheduler_name (entry->place),
       (double) (loop_now (entry->loop) - servers_asked_at (entry->servers)) / 1e6);
-  describe_held (entry, out);
+  describe_memory (entry, out);
   witness_describe (entry->witness, out);
   mesh_describe (entry->mesh, out);
   g_string_append (out, "# servers as this entry sees them\n");
@@ -572,9 +579,9 @@
   if (entry->mesh == NULL)
     return FT_IO;
   entry->place = place_new (entry->loop, entry->mesh, s->ip, &place_ops, entry);
-  instance_broker (s, place_broker (entry->place), false);
+  instance_broker (s, place_own_broker (entry->place), false);
   entry->witness = witness_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
-  entry->versions = versions_new (place_broker (entry->place));
+  entry->versions = versions_new (place_own_broker (entry->place));
   RequestsConf conf = { entry->loop,   entry->seam,    entry->cli,     entry->place,
                         entry->budget, entry->servers, entry->witness, entry->versions };
   entry->requests = requests_new (&conf);
--- a/node/place.c
+++ b/node/place.c
@@ -1,17 +1,21 @@
-/* place.c - who schedules for this entry.
+/* place.c - chooses the scheduler for this entry and tracks the entry's requests there.
  *
- * The voter in charge of the log schedules for everybody: one ledger of the places, one queue by
- * tier, one account of the limits, at the price of one round trip. It needs no lease, since only an
- * entry sends its own requests: two schedulers at once overcommit a little, nothing runs twice.
+ * The voter in charge of the log schedules for all entries: one ledger of the places, one queue
+ * ordered by tier and one account of the limits, at the cost of one round trip a request. It needs
+ * no lease, since only an entry sends its own requests: two schedulers active at once overcommit
+ * servers a little, but nothing runs twice.
  *
- * Failure: that voter dies, freezes or is cut off. Symptom: every request waits for an election, a
- * second or more, and if all voters are gone, for good. So a scheduler that has said nothing for
- * SILENT while a request waits there is passed over, and the next one is asked:
- *     the voter in charge; deputies, entries that the voter in charge has named beforehand, in
- * their order; the entry's own scheduler, with its part of the places and limits. All entries have
- * the same deputies in the same order, so they usually meet at the same one, which then has the
- * whole queue and ledger. As soon as a better one speaks again it is asked instead. The own
- * scheduler follows all along what the entry's requests run on and how fast.
+ * If that voter dies, freezes or is cut off, requests must not wait for an election, which takes a
+ * second or more and never ends when all voters are gone. So a scheduler that has sent nothing for
+ * SILENCE_MAX while a request waits there is skipped and the next one is asked. The order is:
+ *
+ *   1. the voter in charge;
+ *   2. the deputies, entries that the voter in charge has named beforehand, in their order;
+ *   3. the entry's own scheduler, with its part of the places and limits.
+ *
+ * All entries have the same deputies in the same order, so they usually choose the same one, which
+ * then has the whole queue and ledger. As soon as a better one is heard again it is asked instead.
+ * The own scheduler is always kept informed of what the entry's requests run on and how fast.
  */
 #include "placeint.h"
 #include "count.h"
@@ -19,88 +23,93 @@
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define SILENT                                                                                     \
-  (120 * FT_MS) /* three of the 40 ms in which a scheduler speaks to who waits there               \
-                 */
-#define FRESH         (700 * FT_MS) /* a scheduler that nobody waits for speaks every 200 ms */
-#define BACKOFF_LEAST (200 * FT_MS) /* a lost packet is sent again within that */
-#define BACKOFF_MOST  (2 * FT_SECOND)
-#define CALM          (4 * FT_SECOND) /* without a silence, after which the time starts anew */
-#define TICK          (20 * FT_MS)
-#define COUNTED_AFTER (20 * FT_MS) /* a scheduler that speaks so long after an ask has read it */
+#define SILENCE_MAX                                                                                \
+  (120 * FT_MS) /* three of the 40 ms intervals at which a scheduler sends keep-alives to entries  \
+                   that wait there */
+#define HEARD_WITHIN                                                                               \
+  (700 * FT_MS) /* where nobody waits a scheduler sends keep-alives every 200 ms; one not heard    \
+                   for this long is not asked */
+#define BACKOFF_MIN (200 * FT_MS) /* a lost packet is retransmitted within this time */
+#define BACKOFF_MAX (2 * FT_SECOND)
+#define BACKOFF_RESET                                                                              \
+  (4 * FT_SECOND) /* after this time without a silence the backoff restarts at its minimum */
+#define TICK (20 * FT_MS)
+#define CHARGED_AFTER                                                                              \
+  (20 * FT_MS) /* a scheduler that is heard this long after an ask has read it */
 #define OVERCOMMIT                                                                                 \
-  1.4 /* callers are spread unevenly over entries: a bare part leaves places idle */
+  1.4 /* callers are spread unevenly over entries, so that exact parts would leave places idle */
 
 typedef struct
 {
-  int64_t heard; /* when it was last heard, as it was passed over */
-  int64_t until, at, backoff;
-} PassedOver;
+  int64_t heard;   /* when it had last been heard as it was skipped */
+  int64_t until;   /* not asked before */
+  int64_t at;      /* when it was skipped last */
+  int64_t backoff; /* doubles with each silence */
+} SkippedPeer;
 
-/* ---- Items ---- */
+/* ---- Requests ---- */
 
 static void
-item_free (void *data)
+place_req_free (void *data)
 {
-  Item *item = data;
+  PlaceReq *req = data;
 
-  g_free (item->service);
-  g_free (item->org);
-  g_free (item->avoid);
-  g_free (item->server);
-  g_free (item->kept);
-  g_free (item);
+  g_free (req->service);
+  g_free (req->org);
+  g_free (req->avoid);
+  g_free (req->server);
+  g_free (req->kept);
+  g_free (req);
 }
 
 static void
-run (Place *place, Item *item, const char *server)
+mark_running (Place *place, PlaceReq *req, const char *server)
 {
-  g_free (item->server);
-  item->server = g_strdup (server);
-  item->running = true;
+  g_free (req->server);
+  req->server = g_strdup (server);
+  req->running = true;
   place->waiting--;
 }
 
 static void
-drop (Place *place, Item *item)
+remove_req (Place *place, PlaceReq *req)
 {
-  if (!item->running)
+  if (!req->running)
     place->waiting--;
-  g_hash_table_remove (place->items, &item->number);
+  g_hash_table_remove (place->reqs, &req->number);
 }
 
-/* ---- Asking whoever is current ---- */
+/* ---- Asking the current scheduler ---- */
 
 static const SchedResult withdrawn = { .outcome = SCHED_LEFT };
 
 static void
-ask_current (Place *place, Item *item)
+ask_scheduler (Place *place, PlaceReq *req)
 {
-  item->at = place->current;
-  item->asked_at = loop_now (place->loop);
-  if (item->at)
+  req->scheduler = place->current;
+  req->asked_at = loop_now (place->loop);
+  if (req->scheduler)
     {
-      pmsg_ask (place, item->at, item);
+      pmsg_ask (place, req->scheduler, req);
       return;
     }
-  broker_ask (place->own, &item->ask, item->counted ? 0 : item->cost);
+  broker_ask (place->own, &req->ask, req->charged ? 0 : req->cost);
 }
 
 static void
-withdraw (Place *place, const Item *item)
+withdraw (Place *place, const PlaceReq *req)
 {
-  if (item->at)
-    pmsg_done (item->at, item->number, &withdrawn);
+  if (req->scheduler)
+    pmsg_done (req->scheduler, req->number, &withdrawn);
   else
-    broker_done (place->own, item->number, &withdrawn);
+    broker_end (place->own, req->number, &withdrawn);
 }
 
-/* Failure: an entry behind a lossy path goes between schedulers several times a second, and each
- * counts it as its own for a while. Symptom: each gives away this entry's part of the limits, and
- * an organisation passes its own. Who is left is told so. */
+/* Tells a scheduler that this entry asks another one now. An entry behind a lossy path changes
+ * schedulers several times a second. If each counted it as its own for a while, each would give
+ * away this entry's part of the limits, and organisations would exceed theirs. */
 static void
-say_turned_away (MeshPeer *peer)
+send_turned_away (MeshPeer *peer)
 {
   MeshMsg msg = { .kind = MESH_DONE };
 
@@ -108,17 +117,18 @@
   mesh_send (peer, &msg);
 }
 
-/* The own scheduler's part: alone its part of all, more when other entries ask it too. */
+/* Sets the own scheduler's parts of places and limits: one entry's part, and one more for each
+ * other entry that asks it. */
 static void
-share (Place *place)
+update_shares (Place *place)
 {
-  unsigned askers = broker_askers (place->own), all = MAX (place->entries, 1);
-  double places = (1.0 + askers) / all;
-  double overcommit = askers > 0 && broker_hands_over (place->own) ? 1 : OVERCOMMIT;
-  double limits = (double) (askers + (place->current == NULL)) / all;
+  unsigned askers = broker_asker_count (place->own), entries = MAX (place->entries, 1);
+  double places = (1.0 + askers) / entries;
+  double overcommit = askers > 0 && broker_handover_enabled (place->own) ? 1 : OVERCOMMIT;
+  double limits = (double) (askers + (place->current == NULL)) / entries;
 
-  broker_expected (place->own, all);
-  broker_share (place->own, MIN (1, places * overcommit), MIN (1, limits), place->self);
+  broker_set_expected (place->own, entries);
+  broker_set_shares (place->own, MIN (1, places * overcommit), MIN (1, limits), place->self);
 }
 
 static bool
@@ -130,93 +140,94 @@
   return false;
 }
 
-/* Failure: a second of requests waits at full load, and the next scheduler counts all of them once
- * more within some milliseconds, against accounts that go on from where the one before had counted
- * them. Symptom: organisations at 0.85 of their limits are refused by the hundred. What was counted
- * stays counted, wherever it waits; not what an entry alone counted against its own part, which
- * nobody is told. */
+/* Marks a waiting request as charged to its organisation's limit if the scheduler that it leaves
+ * has charged it. At full load a second of requests waits, and the next scheduler would charge
+ * all of them again within milliseconds, to accounts that already include them: organisations at
+ * 0.85 of their limits would be refused by the hundred. What an entry that is no deputy has
+ * charged to its own part does not count, since no other scheduler is told of it. */
 static void
-note_counted (const Place *place, Item *item)
+mark_charged (const Place *place, PlaceReq *req)
 {
-  if (broker_hands_over (place->own)
-      && (item->at == NULL ? is_deputy (place) : item->at->heard - item->asked_at > COUNTED_AFTER))
-    item->counted = true;
+  if (broker_handover_enabled (place->own)
+      && (req->scheduler == NULL ? is_deputy (place)
+                                 : req->scheduler->heard - req->asked_at > CHARGED_AFTER))
+    req->charged = true;
 }
 
-/* Everything that waits goes to the new one, and it learns what runs. */
+/* Makes next the current scheduler: tells it what runs and asks it for everything that waits. */
 static void
-change_to (Place *place, MeshPeer *next, const char *why)
+switch_scheduler (Place *place, MeshPeer *next, const char *why)
 {
   MeshPeer *before = place->current;
   GHashTableIter iter;
   gpointer value;
 
   place->current = next;
-  share (place);
+  update_shares (place);
   if (next == NULL && is_deputy (place))
     broker_take_over (place->own);
   if (before)
-    say_turned_away (before);
-  jlog (JLOG_INFO, "scheduler", NULL, JL_TEXT ("by", place_by (place)), JL_TEXT ("why", why),
-        JL_INT ("peer", next ? next->ip : 0), JL_INT ("term", place->term),
+    send_turned_away (before);
+  jlog (JLOG_INFO, "scheduler", NULL, JL_TEXT ("by", place_scheduler_name (place)),
+        JL_TEXT ("why", why), JL_INT ("peer", next ? next->ip : 0), JL_INT ("term", place->term),
         JL_INT ("waiting", place->waiting));
   if (next == NULL || next->role == MESH_ENTRY)
-    count_up (COUNT_FALL_BACKS);
+    count_inc (COUNT_FALL_BACKS);
   pmsg_notices (place);
-  g_hash_table_iter_init (&iter, place->items);
+  g_hash_table_iter_init (&iter, place->reqs);
   while (next && g_hash_table_iter_next (&iter, NULL, &value))
-    if (((Item *) value)->running)
+    if (((PlaceReq *) value)->running)
       pmsg_ask (place, next, value);
-  if (next && broker_hands_over (place->own))
-    pmsg_reported (place, next);
-  g_hash_table_iter_init (&iter, place->items);
+  if (next && broker_handover_enabled (place->own))
+    pmsg_report_end (place, next);
+  g_hash_table_iter_init (&iter, place->reqs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      Item *item = value;
-      if (item->running)
+      PlaceReq *req = value;
+      if (req->running)
         continue;
-      note_counted (place, item);
-      withdraw (place, item); /* which gives back what it was counted with */
-      ask_current (place, item);
+      mark_charged (place, req);
+      withdraw (place, req); /* which refunds what the request was charged */
+      ask_scheduler (place, req);
     }
 }
 
-/* ---- Who is to be asked ---- */
+/* ---- Choosing the scheduler ---- */
 
-/* Failure: packets are lost, so a scheduler falls silent again and again for a moment. Symptom:
- * every request that waits goes back and forth. It is asked again only after a time that doubles.
- */
+/* Skips a silent scheduler for a time that doubles with each silence. On a path that loses
+ * packets a scheduler falls silent for a moment again and again, and every waiting request would
+ * move back and forth. */
 static void
-pass_over (Place *place, MeshPeer *peer)
+skip_peer (Place *place, MeshPeer *peer)
 {
   int64_t now = loop_now (place->loop);
-  PassedOver *passed = g_hash_table_lookup (place->passed_over, peer);
+  SkippedPeer *skip = g_hash_table_lookup (place->skipped, peer);
 
-  if (passed == NULL)
+  if (skip == NULL)
     {
-      passed = g_new0 (PassedOver, 1);
-      g_hash_table_insert (place->passed_over, peer, passed);
+      skip = g_new0 (SkippedPeer, 1);
+      g_hash_table_insert (place->skipped, peer, skip);
     }
-  bool again = passed->at && now - passed->at < CALM;
-  passed->backoff = again ? MIN (passed->backoff * 2, BACKOFF_MOST) : BACKOFF_LEAST;
-  passed->at = now;
-  passed->heard = peer->heard;
-  passed->until = now + passed->backoff;
+  bool again = skip->at && now - skip->at < BACKOFF_RESET;
+  skip->backoff = again ? MIN (skip->backoff * 2, BACKOFF_MAX) : BACKOFF_MIN;
+  skip->at = now;
+  skip->heard = peer->heard;
+  skip->until = now + skip->backoff;
 }
 
 static bool
-is_passed_over (const Place *place, const MeshPeer *peer)
+is_skipped (const Place *place, const MeshPeer *peer)
 {
-  const PassedOver *passed = g_hash_table_lookup (place->passed_over, peer);
+  const SkippedPeer *skip = g_hash_table_lookup (place->skipped, peer);
 
-  return passed && (peer->heard <= passed->heard || loop_now (place->loop) < passed->until);
+  return skip && (peer->heard <= skip->heard || loop_now (place->loop) < skip->until);
 }
 
 static bool
 is_usable (Place *place, const MeshPeer *peer)
 {
-  return !peer->leaving && loop_now (place->loop) - peer->heard < FRESH
-         && !is_passed_over (place, peer);
+  return !peer->leaving && loop_now (place->loop) - peer->heard < HEARD_WITHIN
+         && !is_skipped (place, peer);
 }
 
 typedef struct
@@ -236,7 +247,7 @@
 }
 
 static MeshPeer *
-best (Place *place)
+best_scheduler (Place *place)
 {
   Search search = { place, NULL };
 
@@ -255,16 +266,16 @@
 }
 
 static void
-decide (Place *place, const char *why)
+choose_scheduler (Place *place, const char *why)
 {
-  MeshPeer *next = best (place);
+  MeshPeer *next = best_scheduler (place);
 
   if (next != place->current)
-    change_to (place, next, why);
+    switch_scheduler (place, next, why);
 }
 
 void
-place_view (Place *place, MeshPeer *peer, const MeshView *view)
+place_apply_view (Place *place, MeshPeer *peer, const MeshView *view)
 {
   if (peer->role != MESH_VOTER)
     return;
@@ -275,7 +286,7 @@
       if (view->entries > 0)
         place->entries = view->entries;
       place->deputy_count = 0;
-      for (unsigned i = 0; i < view->deputies.deputies_len && i < DEPUTIES; i++)
+      for (unsigned i = 0; i < view->deputies.deputies_len && i < DEPUTIES_MAX; i++)
         {
           place->deputies[place->deputy_count++] = view->deputies.deputies_val[i];
           mesh_dial (place->mesh, view->deputies.deputies_val[i]);
@@ -284,42 +295,43 @@
   else if (place->voter == peer)
     place->voter = NULL;
   if (!view->proved)
-    place->entries = MAX (place->entries, view->entries); /* after a start nobody knows better */
-  decide (place, "a voter's word");
+    /* After a start the largest number heard is the best estimate. */
+    place->entries = MAX (place->entries, view->entries);
+  choose_scheduler (place, "view of a voter");
 }
 
 void
-place_up (Place *place, MeshPeer *peer)
+place_link_up (Place *place, MeshPeer *peer)
 {
   if (!peer->dialled && peer->role == MESH_ENTRY)
-    broker_up (place->own, peer);
+    broker_link_up (place->own, peer);
 }
 
 static void
-forget_peer (Item *item, const MeshPeer *peer)
+forget_peer (PlaceReq *req, const MeshPeer *peer)
 {
-  if (item->at == peer)
-    item->at = NULL;
-  for (unsigned i = 0; i < TOLD_MOST; i++)
-    if (item->told[i] == peer)
-      item->told[i] = NULL;
+  if (req->scheduler == peer)
+    req->scheduler = NULL;
+  for (unsigned i = 0; i < INFORMED_MAX; i++)
+    if (req->informed[i] == peer)
+      req->informed[i] = NULL;
 }
 
 void
-place_down (Place *place, MeshPeer *peer)
+place_link_down (Place *place, MeshPeer *peer)
 {
   GHashTableIter iter;
   gpointer value;
 
   if (!peer->dialled)
-    broker_down (place->own, peer);
-  g_hash_table_remove (place->passed_over, peer);
-  spent_forget (place->spent, peer);
+    broker_link_down (place->own, peer);
+  g_hash_table_remove (place->skipped, peer);
+  spent_forget_scheduler (place->spent, peer);
   if (place->voter == peer)
     place->voter = NULL;
   if (place->current == peer)
-    decide (place, "its link is down");
-  g_hash_table_iter_init (&iter, place->items);
+    choose_scheduler (place, "link down");
+  g_hash_table_iter_init (&iter, place->reqs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     forget_peer (value, peer);
 }
@@ -330,11 +342,11 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, place->items);
+  g_hash_table_iter_init (&iter, place->reqs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const Item *item = value;
-      if (!item->running && item->at == peer && item->asked_at < since)
+      const PlaceReq *req = value;
+      if (!req->running && req->scheduler == peer && req->asked_at < since)
         return true;
     }
   return false;
@@ -347,34 +359,34 @@
   int64_t now = loop_now (place->loop);
   MeshPeer *current = place->current;
 
-  if (current && place->waiting > 0 && now - current->heard > SILENT
-      && anyone_waits_at (place, current, now - SILENT))
-    pass_over (place, current);
-  decide (place, "time");
-  share (place);
+  if (current && place->waiting > 0 && now - current->heard > SILENCE_MAX
+      && anyone_waits_at (place, current, now - SILENCE_MAX))
+    skip_peer (place, current);
+  choose_scheduler (place, "time");
+  update_shares (place);
   broker_tick (place->own);
   loop_timer_set (place->loop, timer, now + TICK);
 }
 
-/* ---- Verdicts ---- */
+/* ---- Decisions of schedulers ---- */
 
 static void
-note_report (Place *place, const MeshPeer *peer, const char *org, u_int fill)
+record_report (Place *place, const MeshPeer *peer, const char *org, u_int fill)
 {
   if (fill != MESH_FILL_UNKNOWN)
-    spent_report (place->spent, peer, org, fill / 1e3);
+    spent_record_report (place->spent, peer, org, fill / 1e3);
 }
 
 static void
 on_own_grant (void *host, uint64_t number, const Grant *grant)
 {
   Place *place = host;
-  Item *item = place_item (place, number);
+  PlaceReq *req = place_find (place, number);
 
-  if (item == NULL || item->running || item->at)
+  if (req == NULL || req->running || req->scheduler)
     return;
-  run (place, item, grant->server.id);
-  spent_granted (place->spent, NULL, item->org, item->cost);
+  mark_running (place, req, grant->server.id);
+  spent_record_grant (place->spent, NULL, req->org, req->cost);
   place->ops->grant (place->host, number, grant);
 }
 
@@ -382,45 +394,46 @@
 on_own_refuse (void *host, uint64_t number, const SchedRefusal *refusal)
 {
   Place *place = host;
-  Item *item = place_item (place, number);
+  PlaceReq *req = place_find (place, number);
 
-  if (item == NULL || item->running || item->at)
+  if (req == NULL || req->running || req->scheduler)
     return;
-  drop (place, item);
+  remove_req (place, req);
   place->ops->refuse (place->host, number, refusal);
 }
 
 static const BrokerOps own_ops = { on_own_grant, on_own_refuse };
 
-/* Failure: a grant is under way while its request is withdrawn, since another scheduler is asked.
- * Symptom: who granted it gives the place to the next, and both run; the scheduler that takes over
- * has been told of neither. */
+/* True for a grant by a scheduler from which the request has been withdrawn, since another one is
+ * asked. The granting scheduler gives the place to its next request as soon as it learns of the
+ * withdrawal. If the grant were used, both requests would run there, and the scheduler that takes
+ * over would know of neither. */
 static bool
-is_withdrawn_from (const Place *place, const Item *item, const MeshPeer *peer)
+is_withdrawn_from (const Place *place, const PlaceReq *req, const MeshPeer *peer)
 {
-  return item->at != peer && broker_hands_over (place->own);
+  return req->scheduler != peer && broker_handover_enabled (place->own);
 }
 
 static void
 on_grant (Place *place, MeshPeer *peer, const MeshGrant *from)
 {
-  Item *item = place_item (place, from->request);
+  PlaceReq *req = place_find (place, from->request);
 
-  if (item == NULL || item->running)
+  if (req == NULL || req->running)
     {
-      if (item == NULL || strcmp (item->server, from->server) != 0)
+      if (req == NULL || strcmp (req->server, from->server) != 0)
         pmsg_done (peer, from->request, &withdrawn);
       return;
     }
-  if (is_withdrawn_from (place, item, peer))
+  if (is_withdrawn_from (place, req, peer))
     return;
-  if (item->at != peer)
-    withdraw (place, item);
-  run (place, item, from->server);
-  item->paced = from->paced;
-  spent_granted (place->spent, peer, item->org, item->cost);
-  note_report (place, peer, item->org, from->org_fill);
-  broker_adopt (place->own, &item->ask, from->server, item->cost);
+  if (req->scheduler != peer)
+    withdraw (place, req);
+  mark_running (place, req, from->server);
+  req->paced = from->paced;
+  spent_record_grant (place->spent, peer, req->org, req->cost);
+  record_report (place, peer, req->org, from->org_fill);
+  broker_adopt (place->own, &req->ask, from->server, req->cost);
   Grant grant = { .server = { .id = from->server,
                               .name = *from->name ? from->name : from->server,
                               .addr = { from->ip, (uint16_t) from->port },
@@ -433,36 +446,35 @@
 static void
 on_refuse (Place *place, const MeshPeer *peer, const MeshRefuse *from)
 {
-  Item *item = place_item (place, from->request);
+  PlaceReq *req = place_find (place, from->request);
   SchedRefusal refusal
       = { .reason = from->reason < FT_REASONS ? from->reason : FT_REASON_SHORTAGE };
 
-  if (item == NULL || item->running || item->at != peer)
+  if (req == NULL || req->running || req->scheduler != peer)
     return;
   refusal.retry_after_us = from->retry_after_ms * FT_MS;
   g_strlcpy (refusal.rule, from->rule, sizeof refusal.rule);
-  note_report (place, peer, item->org, from->org_fill);
-  drop (place, item);
+  record_report (place, peer, req->org, from->org_fill);
+  remove_req (place, req);
   place->ops->refuse (place->host, from->request, &refusal);
 }
 
-/* Failure: a deputy that nobody has asked yet holds next to nothing of the limits until its next
- * tick. Symptom: the first that turn to it when the voters die are refused below their limits. Its
- * part grows with the ask.
- *
- * Failure: nearly all have turned away. Symptom: until the next tick the rest is granted each place
- * that becomes free, which the next scheduler grants as well. Its part falls with them. */
+/* Handles a message of an entry to this one as its scheduler. The parts of the limits follow at
+ * once when an entry begins to ask or turns away, not at the next tick: a deputy that nobody has
+ * asked yet holds next to nothing of the limits and would refuse the first entries that turn to
+ * it when the voters die; and one from which nearly all have turned away would grant places that
+ * the next scheduler grants, too. */
 static void
-take_message (Place *place, MeshPeer *peer, const MeshMsg *msg)
+handle_asker_message (Place *place, MeshPeer *peer, const MeshMsg *msg)
 {
-  if (msg->kind == MESH_ASK && !broker_asked (place->own, peer))
+  if (msg->kind == MESH_ASK && !broker_peer_asked (place->own, peer))
     {
-      broker_expect (place->own, peer);
-      share (place);
+      broker_note_asker (place->own, peer);
+      update_shares (place);
     }
   broker_message (place->own, peer, msg);
   if (msg->kind == MESH_DONE && msg->MeshMsg_u.done.request == MESH_TURNED_AWAY)
-    share (place);
+    update_shares (place);
 }
 
 void
@@ -473,7 +485,7 @@
   else if (msg->kind == MESH_REFUSE)
     on_refuse (place, peer, &msg->MeshMsg_u.refuse);
   else if (!peer->dialled)
-    take_message (place, peer, msg);
+    handle_asker_message (place, peer, msg);
 }
 
 /* ---- Interface ---- */
@@ -489,8 +501,8 @@
   place->ops = ops;
   place->host = host;
   place->entries = 1;
-  place->items = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, item_free);
-  place->passed_over = g_hash_table_new_full (NULL, NULL, NULL, g_free);
+  place->reqs = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, place_req_free);
+  place->skipped = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   place->spent = spent_new (loop_clock (loop));
   place->notices = notices_new (loop_clock (loop));
   place->own = broker_new (loop, "entry", &own_ops, place);
@@ -505,8 +517,8 @@
   if (place == NULL)
     return;
   loop_timer_stop (place->loop, &place->tick);
-  g_hash_table_unref (place->items);
-  g_hash_table_unref (place->passed_over);
+  g_hash_table_unref (place->reqs);
+  g_hash_table_unref (place->skipped);
   spent_free (place->spent);
   notices_free (place->notices);
   broker_free (place->own);
@@ -514,7 +526,7 @@
 }
 
 Broker *
-place_broker (Place *place)
+place_own_broker (Place *place)
 {
   return place->own;
 }
@@ -522,74 +534,74 @@
 void
 place_ask (Place *place, const SchedAsk *ask, double cost)
 {
-  Item *item = g_new0 (Item, 1);
-
-  item->number = ask->request;
-  item->ask = *ask;
-  item->ask.owner = 0;
-  item->ask.service = item->service = g_strdup (ask->service);
-  item->ask.org = item->org = g_strdup (ask->org ? ask->org : "");
-  item->ask.avoid = item->avoid = g_strdup (ask->avoid);
-  item->ask.kept_count = MIN (ask->kept_count, MESH_KEPT_MOST);
-  item->ask.kept = item->kept = g_memdup2 (ask->kept, item->ask.kept_count * sizeof *ask->kept);
-  item->cost = cost;
-  g_hash_table_insert (place->items, &item->number, item);
+  PlaceReq *req = g_new0 (PlaceReq, 1);
+
+  req->number = ask->request;
+  req->ask = *ask;
+  req->ask.owner = 0;
+  req->ask.service = req->service = g_strdup (ask->service);
+  req->ask.org = req->org = g_strdup (ask->org ? ask->org : "");
+  req->ask.avoid = req->avoid = g_strdup (ask->avoid);
+  req->ask.kept_count = MIN (ask->kept_count, MESH_KEPT_MOST);
+  req->ask.kept = req->kept = g_memdup2 (ask->kept, req->ask.kept_count * sizeof *ask->kept);
+  req->cost = cost;
+  g_hash_table_insert (place->reqs, &req->number, req);
   place->waiting++;
-  ask_current (place, item);
+  ask_scheduler (place, req);
 }
 
 void
-place_first (Place *place, uint64_t request, int64_t after_us)
+place_report_first (Place *place, uint64_t request, int64_t after_us)
 {
-  const Item *item = place_item (place, request);
+  const PlaceReq *req = place_find (place, request);
   MeshMsg msg = { .kind = MESH_FIRST };
 
-  broker_first (place->own, request, after_us);
+  broker_report_first (place->own, request, after_us);
   msg.MeshMsg_u.first = (MeshFirst){ request, after_us };
-  if (item)
-    pmsg_tell_all (item, &msg);
+  if (req)
+    pmsg_tell_all (req, &msg);
 }
 
 void
-place_silent (Place *place, uint64_t request)
+place_report_silence (Place *place, uint64_t request)
 {
-  const Item *item = place_item (place, request);
+  const PlaceReq *req = place_find (place, request);
   MeshMsg msg = { .kind = MESH_SILENT };
 
-  broker_silent (place->own, request);
+  broker_report_silence (place->own, request);
   msg.MeshMsg_u.silent.request = request;
-  if (item)
-    pmsg_tell_all (item, &msg);
+  if (req)
+    pmsg_tell_all (req, &msg);
 }
 
 void
-place_done (Place *place, uint64_t request, const SchedResult *result)
+place_end (Place *place, uint64_t request, const SchedResult *result)
 {
-  Item *item = place_item (place, request);
+  PlaceReq *req = place_find (place, request);
 
-  if (item == NULL)
+  if (req == NULL)
     return;
-  pmsg_done_all (item, result);
-  drop (place, item);
-  broker_done (place->own, request, result);
+  pmsg_done_all (req, result);
+  remove_req (place, req);
+  broker_end (place->own, request, result);
 }
 
 bool
-place_by_voter (const Place *place)
+place_uses_voter (const Place *place)
 {
   return place->current && place->current->role == MESH_VOTER;
 }
 
 const char *
-place_by (const Place *place)
+place_scheduler_name (const Place *place)
 {
   if (place->current == NULL)
     return "own";
-  return place_by_voter (place) ? "voter" : "deputy";
+  return place_uses_voter (place) ? "voter" : "deputy";
 }
 
 unsigned
-place_waiting (const Place *place)
+place_waiting_count (const Place *place)
 {
   return place->waiting;
 }
--- a/node/placeint.h
+++ b/node/placeint.h
@@ -1,13 +1,14 @@
-/* placeint.h - an entry's requests that wait for or have a place, shared by place.c and placemsg.c
- * only. */
+/* placeint.h - an entry's requests that wait for or have a place; private to place.c and
+ * placemsg.c. */
 #ifndef PLACEINT_H
 #define PLACEINT_H
 
 #include "place.h"
 #include "spent.h"
 
-#define DEPUTIES  4
-#define TOLD_MOST (DEPUTIES + 2) /* and the voters in charge before and after an election */
+#define DEPUTIES_MAX 4
+#define INFORMED_MAX                                                                               \
+  (DEPUTIES_MAX + 2) /* all deputies, and the voters in charge before and after an election */
 
 typedef struct
 {
@@ -16,13 +17,13 @@
   char *service, *org, *avoid, *server;
   uint32_t *kept;
   double cost;
-  MeshPeer *at;              /* waits at that scheduler; NULL: at the own one */
-  MeshPeer *told[TOLD_MOST]; /* schedulers that have it in their ledgers */
+  MeshPeer *scheduler;              /* asked for a place; NULL: the own scheduler */
+  MeshPeer *informed[INFORMED_MAX]; /* schedulers whose ledgers hold the request */
   bool running;
-  bool counted; /* against its organisation's limit, by a scheduler that was asked before */
-  bool paced;   /* who granted it holds its server to a rate */
+  bool charged; /* charged to its organisation's limit by a scheduler that was asked before */
+  bool paced;   /* the granting scheduler limits the rate of requests to its server */
   int64_t asked_at;
-} Item;
+} PlaceReq;
 
 struct Place
 {
@@ -31,39 +32,39 @@
   uint32_t self;
   const PlaceOps *ops;
   void *host;
-  GHashTable *items; /* number: Item */
+  GHashTable *reqs; /* number -> PlaceReq */
   Broker *own;
-  MeshPeer *voter; /* proved to be in charge; NULL: none */
-  uint64_t term;   /* the highest in which a voter proved that */
-  uint32_t deputies[DEPUTIES];
+  MeshPeer *voter; /* the voter in charge; NULL: none is known */
+  uint64_t term;   /* the highest term in which a voter was in charge */
+  uint32_t deputies[DEPUTIES_MAX];
   unsigned deputy_count;
-  MeshPeer *current;       /* who is asked now; NULL: the own scheduler */
-  GHashTable *passed_over; /* MeshPeer: PassedOver */
+  MeshPeer *current;   /* the scheduler asked now; NULL: the own one */
+  GHashTable *skipped; /* MeshPeer -> SkippedPeer */
   Spent *spent;
   Notices *notices;
   LoopTimer tick;
   unsigned entries, waiting;
 };
 
-static inline Item *
-place_item (const Place *place, uint64_t number)
+static inline PlaceReq *
+place_find (const Place *place, uint64_t number)
 {
-  return g_hash_table_lookup (place->items, &number);
+  return g_hash_table_lookup (place->reqs, &number);
 }
 
 /* ---- Messages to schedulers (placemsg.c) ---- */
 
-/* Asks the scheduler for a place, or tells it where the request runs. */
-void pmsg_ask (Place *place, MeshPeer *peer, Item *item);
-/* Says that the scheduler has been told all that runs, and what is known of the limits. */
-void pmsg_reported (Place *place, MeshPeer *peer);
-/* The request has ended at its server, or waits here no more. */
+/* Asks the scheduler for a place, or tells it on which server the request runs. */
+void pmsg_ask (Place *place, MeshPeer *peer, PlaceReq *req);
+/* Ends the report to a scheduler of what runs, and adds what is known of the limits. */
+void pmsg_report_end (Place *place, MeshPeer *peer);
+/* Tells the scheduler that the request has ended at its server or no longer waits. */
 void pmsg_done (MeshPeer *peer, uint64_t number, const SchedResult *result);
-/* The same to all that have it in their ledgers. */
-void pmsg_done_all (const Item *item, const SchedResult *result);
-/* Any message to all of them. */
-void pmsg_tell_all (const Item *item, const MeshMsg *msg);
-/* What all servers have said of themselves, to whoever schedules from now on. */
+/* Tells the same to all schedulers whose ledgers hold the request. */
+void pmsg_done_all (const PlaceReq *req, const SchedResult *result);
+/* Sends a message to all schedulers whose ledgers hold the request. */
+void pmsg_tell_all (const PlaceReq *req, const MeshMsg *msg);
+/* Sends the notices of all servers to the scheduler that is asked from now on. */
 void pmsg_notices (Place *place);
 
 #endif
--- a/node/placemsg.c
+++ b/node/placemsg.c
@@ -1,45 +1,46 @@
-/* placemsg.c - what an entry tells schedulers: what it asks for, what came of it, and what servers
- * have said of themselves. */
+/* placemsg.c - the messages of an entry to schedulers: asks, outcomes of requests and notices of
+ * servers. */
 #include "placeint.h"
 
 static void
-note_told (Item *item, MeshPeer *peer)
+add_informed (PlaceReq *req, MeshPeer *peer)
 {
-  unsigned free_at = TOLD_MOST;
+  unsigned free_at = INFORMED_MAX;
 
-  for (unsigned i = 0; i < TOLD_MOST; i++)
+  for (unsigned i = 0; i < INFORMED_MAX; i++)
     {
-      if (item->told[i] == peer)
+      if (req->informed[i] == peer)
         return;
-      if (item->told[i] == NULL && free_at == TOLD_MOST)
+      if (req->informed[i] == NULL && free_at == INFORMED_MAX)
         free_at = i;
     }
-  if (free_at < TOLD_MOST)
-    item->told[free_at] = peer;
+  if (free_at < INFORMED_MAX)
+    req->informed[free_at] = peer;
 }
 
-/* Failure: a request is granted by one scheduler and ends while another is asked. Symptom: the
- * first one's ledger holds its place for ever, and requests are refused before idle servers. So
- * whoever was told of it is told of its end. */
+/* Every scheduler that was told of a request is told of its end. Otherwise a request that was
+ * granted by one scheduler and ends while another is asked would hold its place in the first
+ * one's ledger for ever, and requests would be refused although servers are idle. */
 void
-pmsg_tell_all (const Item *item, const MeshMsg *msg)
+pmsg_tell_all (const PlaceReq *req, const MeshMsg *msg)
 {
-  for (unsigned i = 0; i < TOLD_MOST; i++)
-    if (item->told[i])
-      mesh_send (item->told[i], msg);
+  for (unsigned i = 0; i < INFORMED_MAX; i++)
+    if (req->informed[i])
+      mesh_send (req->informed[i], msg);
 }
 
-/* Tells the scheduler what others gave of the limit, and how full the last of them reported it. */
+/* What the scheduler is to be told of an organisation's limit: how much other schedulers granted
+ * of it, and how full the last of them reported the account. */
 static MeshAccount
-account (Place *place, const MeshPeer *peer, const char *org)
+known_account (Place *place, const MeshPeer *peer, const char *org)
 {
   MeshAccount out = { .org = (char *) org, .org_fill_ms = MESH_FILL_UNKNOWN };
   double full;
   int64_t age, given_for;
 
-  out.spent_tokens = (unsigned) spent_elsewhere (place->spent, peer, org, &given_for);
+  out.spent_tokens = (unsigned) spent_take_untold (place->spent, peer, org, &given_for);
   out.spent_ms = (u_int) (given_for / FT_MS);
-  if (!spent_reported (place->spent, peer, org, &full, &age))
+  if (!spent_latest_report (place->spent, peer, org, &full, &age))
     return out;
   out.org_fill = (u_int) (full * 1e3);
   out.org_fill_ms = (u_int) (age / FT_MS);
@@ -47,22 +48,22 @@
 }
 
 void
-pmsg_ask (Place *place, MeshPeer *peer, Item *item)
+pmsg_ask (Place *place, MeshPeer *peer, PlaceReq *req)
 {
   int64_t now = loop_now (place->loop);
   MeshMsg msg = { .kind = MESH_ASK };
-  const SchedAsk *ask = &item->ask;
+  const SchedAsk *ask = &req->ask;
   char none[] = "";
 
-  msg.MeshMsg_u.ask = (MeshAsk){ .request = item->number,
-                                 .service = item->service,
-                                 .org = item->org,
+  msg.MeshMsg_u.ask = (MeshAsk){ .request = req->number,
+                                 .service = req->service,
+                                 .org = req->org,
                                  .tier = ask->tier,
                                  .stream = ask->stream,
                                  .repeatable = ask->repeatable,
                                  .prompt_tokens = ask->prompt_tokens,
                                  .output_tokens = ask->output_tokens,
-                                 .cost_tokens = item->counted ? 0 : (unsigned) item->cost,
+                                 .cost_tokens = req->charged ? 0 : (unsigned) req->cost,
                                  .route = ask->route,
                                  .shared_part = ask->shared_part,
                                  .content = ask->content,
@@ -70,27 +71,27 @@
                                  .aim_in_us = ask->aim_at - now,
                                  .limit_in_us = ask->limit_at - now,
                                  .end_in_us = ask->end_at - now,
-                                 .kept = { item->running ? 0 : ask->kept_count, item->kept },
-                                 .avoid = item->avoid ? item->avoid : none,
-                                 .running = item->running,
-                                 .server = item->server ? item->server : none };
-  MeshAccount known = account (place, peer, item->org);
-  msg.MeshMsg_u.ask.spent_tokens = known.spent_tokens;
-  msg.MeshMsg_u.ask.spent_ms = known.spent_ms;
-  msg.MeshMsg_u.ask.org_fill = known.org_fill;
-  msg.MeshMsg_u.ask.org_fill_ms = known.org_fill_ms;
+                                 .kept = { req->running ? 0 : ask->kept_count, req->kept },
+                                 .avoid = req->avoid ? req->avoid : none,
+                                 .running = req->running,
+                                 .server = req->server ? req->server : none };
+  MeshAccount account = known_account (place, peer, req->org);
+  msg.MeshMsg_u.ask.spent_tokens = account.spent_tokens;
+  msg.MeshMsg_u.ask.spent_ms = account.spent_ms;
+  msg.MeshMsg_u.ask.org_fill = account.org_fill;
+  msg.MeshMsg_u.ask.org_fill_ms = account.org_fill_ms;
   mesh_send (peer, &msg);
-  note_told (item, peer);
+  add_informed (req, peer);
 }
 
 static u_int
 count_running (const Place *place)
 {
-  return g_hash_table_size (place->items) - place->waiting;
+  return g_hash_table_size (place->reqs) - place->waiting;
 }
 
 void
-pmsg_reported (Place *place, MeshPeer *peer)
+pmsg_report_end (Place *place, MeshPeer *peer)
 {
   MeshMsg msg = { .kind = MESH_REPORTED };
   MeshReported *out = &msg.MeshMsg_u.reported;
@@ -100,9 +101,9 @@
   MeshAccount *accounts = g_new (MeshAccount, MAX (orgs->len, 1));
   for (unsigned i = 0; i < orgs->len && i < MESH_ORGS_MOST; i++)
     {
-      MeshAccount known = account (place, peer, orgs->pdata[i]);
-      if (known.spent_tokens > 0 || known.org_fill_ms != MESH_FILL_UNKNOWN)
-        accounts[out->accounts.accounts_len++] = known;
+      MeshAccount account = known_account (place, peer, orgs->pdata[i]);
+      if (account.spent_tokens > 0 || account.org_fill_ms != MESH_FILL_UNKNOWN)
+        accounts[out->accounts.accounts_len++] = account;
     }
   out->running = count_running (place);
   out->accounts.accounts_val = accounts;
@@ -132,15 +133,15 @@
 }
 
 void
-pmsg_done_all (const Item *item, const SchedResult *result)
+pmsg_done_all (const PlaceReq *req, const SchedResult *result)
 {
   MeshMsg msg = { .kind = MESH_DONE };
 
-  msg.MeshMsg_u.done = done_message (item->number, result);
-  pmsg_tell_all (item, &msg);
+  msg.MeshMsg_u.done = done_message (req->number, result);
+  pmsg_tell_all (req, &msg);
 }
 
-/* ---- What servers say of themselves ---- */
+/* ---- Notices of servers ---- */
 
 static void
 send_notice (MeshPeer *peer, uint64_t request, const char *server, const Notice *notice,
@@ -165,7 +166,7 @@
   if (place->current)
     send_notice (place->current, 0, server, notice, age);
   else
-    broker_notice_before (place->own, server, notice, age);
+    broker_past_notice (place->own, server, notice, age);
 }
 
 void
@@ -175,39 +176,39 @@
 }
 
 static bool
-was_told (const Item *item, const MeshPeer *peer)
+is_informed (const PlaceReq *req, const MeshPeer *peer)
 {
-  for (unsigned i = 0; i < TOLD_MOST; i++)
-    if (item->told[i] == peer)
+  for (unsigned i = 0; i < INFORMED_MAX; i++)
+    if (req->informed[i] == peer)
       return true;
   return false;
 }
 
 NoticesTaken
-place_notice (Place *place, uint64_t request, const char *server, const Notice *notice)
+place_report_notice (Place *place, uint64_t request, const char *server, const Notice *notice)
 {
-  const Item *item = place_item (place, request);
-  NoticesTaken taken = notices_take (place->notices, server, notice);
+  const PlaceReq *req = place_find (place, request);
+  NoticesTaken change = notices_take (place->notices, server, notice);
 
   broker_notice (place->own, request, server, notice);
-  if (item == NULL || (taken == NOTICES_NONE && !item->paced))
-    return taken;
-  for (unsigned i = 0; i < TOLD_MOST; i++)
-    if (item->told[i])
-      send_notice (item->told[i], request, server, notice, 0);
-  if (place->current && !was_told (item, place->current))
+  if (req == NULL || (change == NOTICES_NONE && !req->paced))
+    return change;
+  for (unsigned i = 0; i < INFORMED_MAX; i++)
+    if (req->informed[i])
+      send_notice (req->informed[i], request, server, notice, 0);
+  if (place->current && !is_informed (req, place->current))
     send_notice (place->current, 0, server, notice, 0);
-  return taken;
+  return change;
 }
 
 bool
-place_unread (Place *place, const char *server)
+place_report_unreadable (Place *place, const char *server)
 {
   return notices_unread (place->notices, server);
 }
 
 const char *
-place_withholds (Place *place, const char *server, int64_t *for_us)
+place_block_reason (Place *place, const char *server, int64_t *for_us)
 {
   Notice notice;
   const char *why = notices_forbid (place->notices, server, &notice);
@@ -215,8 +216,9 @@
   *for_us = notice.backoff_us;
   if (why == NULL)
     return NULL;
-  /* Whoever granted it has not heard, or has lost it with a list that lacked the server. */
-  broker_notice_before (place->own, server, &notice, 0);
+  /* The scheduler that granted the server has not received its notice, or has dropped it when a
+   * list lacked the server. */
+  broker_past_notice (place->own, server, &notice, 0);
   if (place->current)
     send_notice (place->current, 0, server, &notice, 0);
   return why;
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -90,7 +90,7 @@
   char content[CONTENT_TEXT];
   const char *why = ft_reason_info (FT_REASON_QUARANTINED)->code;
 
-  count_up (COUNT_QUARANTINED);
+  count_inc (COUNT_QUARANTINED);
   jlog (JLOG_INFO, "decision", req->id, JL_TEXT ("reason", why),
         JL_TEXT ("content", content_text (req->content, content)), JL_INT ("ends", verdict->ends),
         JL_MS ("known_ms", verdict->known_us), JL_TEXT ("by", "entry"));
@@ -133,7 +133,7 @@
 {
   static const SchedResult withdrawn = { .outcome = SCHED_LEFT };
 
-  place_done (req->requests->conf.place, req->number, &withdrawn);
+  place_end (req->requests->conf.place, req->number, &withdrawn);
   req_clear_number (req);
   req_ask (req);
 }
@@ -185,13 +185,13 @@
 {
   Place *place = req->requests->conf.place;
   int64_t left;
-  const char *why = place_withholds (place, req->server, &left);
+  const char *why = place_block_reason (place, req->server, &left);
 
   if (why == NULL)
     return false;
-  count_up (COUNT_WITHHELD);
+  count_inc (COUNT_GRANTS_RETURNED);
   jlog (JLOG_INFO, "grant-returned", req->id, JL_TEXT ("server", req->server), JL_TEXT ("why", why),
-        JL_MS ("left_ms", left), JL_TEXT ("by", place_by (place)));
+        JL_MS ("left_ms", left), JL_TEXT ("by", place_scheduler_name (place)));
   return true;
 }
 
@@ -204,12 +204,12 @@
   if (req == NULL)
     return;
   req->was_granted = true;
-  count_time (TIMED_WAIT, req_now (req) - req->arrived);
+  count_observe (TIMED_WAIT, req_now (req) - req->arrived);
   g_free (req->server);
   req->server = g_strdup (server->id);
   jlog (JLOG_DEBUG, "send", req->id, JL_TEXT ("server", server->id),
         JL_MS ("waited_ms", req_now (req) - req->arrived),
-        JL_TEXT ("by", place_by (requests->conf.place)),
+        JL_TEXT ("by", place_scheduler_name (requests->conf.place)),
         JL_MS ("list_age_ms", req_now (req) - grant->listed_at));
   if (server->leaving || is_known_unusable (requests, server->id, grant->listed_at)
       || is_withheld (req))
@@ -235,7 +235,7 @@
   req_clear_number (req);
   jlog (JLOG_INFO, "decision", req->id, JL_TEXT ("reason", info->code),
         JL_TEXT ("rule", refusal->rule), JL_MS ("retry_ms", refusal->retry_after_us),
-        JL_TEXT ("by", place_by (requests->conf.place)));
+        JL_TEXT ("by", place_scheduler_name (requests->conf.place)));
   if (req->begun)
     req_break_off (req, info->code);
   else if (req->may_have_run)
--- a/node/reqend.c
+++ b/node/reqend.c
@@ -85,7 +85,7 @@
     result.answer_us = now - req->sent_at;
   result.broke = req->broke_on_send;
   result.rested_us = req->conn_idle;
-  place_done (req->requests->conf.place, req->number, &result);
+  place_end (req->requests->conf.place, req->number, &result);
   req_clear_number (req);
 }
 
@@ -97,7 +97,7 @@
   char *body = g_strdup_printf ("{\"reason\":\"%s\",\"ran\":\"%s\",\"retry_after_ms\":%d}\n", why,
                                 req->may_have_run ? "unknown" : "no", (int) (retry_us / FT_MS));
 
-  count_up (refused ? COUNT_REFUSED : COUNT_UNKNOWN);
+  count_inc (refused ? COUNT_REFUSED : COUNT_UNKNOWN);
   req_log_end (req, refused ? "refuse" : "fail", status, why);
   hwrite_field (fields, "Content-Type", "application/json");
   req->requests->conf.seam->write_own (fields, *req->id ? req->id : NULL, retry_us);
@@ -110,7 +110,7 @@
 void
 req_break_off (Req *req, const char *why)
 {
-  count_up (COUNT_BROKEN_OFF);
+  count_inc (COUNT_BROKEN_OFF);
   req_log_end (req, "break-off", req->status, why);
   hcall_abort (req->call);
   req_free (req);
@@ -119,8 +119,8 @@
 void
 req_finish (Req *req)
 {
-  count_up (COUNT_ANSWERED);
-  count_time (TIMED_WHOLE, req_now (req) - req->arrived);
+  count_inc (COUNT_ANSWERED);
+  count_observe (TIMED_WHOLE, req_now (req) - req->arrived);
   req_log_end (req, "answer", req->status, "");
   if (req->begun)
     hcall_end (req->call);
--- a/node/requests.c
+++ b/node/requests.c
@@ -84,7 +84,7 @@
           JL_TEXT ("fault", req->has_fault ? hxfer_fault_name (req->fault) : ""));
   if (step == RETRY_WAIT)
     {
-      place_silent (requests->conf.place, req->number);
+      place_report_silence (requests->conf.place, req->number);
       return;
     }
   req_end_try (req, outcome_of (event));
@@ -97,7 +97,7 @@
       if (req->stream)
         events_restart (req->stream);
       if (event != RETRY_UNREACHED)
-        count_up (step == RETRY_RESUME ? COUNT_RESUMES : COUNT_REPEATS);
+        count_inc (step == RETRY_RESUME ? COUNT_RESUMES : COUNT_REPEATS);
       req_ask (req);
       break;
     case RETRY_DELIVER:
@@ -151,7 +151,7 @@
   if (req->facts.id)
     g_strlcpy (req->id, req->facts.id, sizeof req->id);
   requests->open_count++;
-  count_up (COUNT_REQUESTS);
+  count_inc (COUNT_REQUESTS);
   hcall_set_user (call, req);
   return req;
 }
@@ -250,7 +250,7 @@
   (void) requests;
   if (req == NULL)
     return;
-  count_up (COUNT_LEFT);
+  count_inc (COUNT_CALLERS_LEFT);
   req_log_end (req, "left", 0, "the caller closed its connection");
   req_end_try (req, SCHED_LEFT);
   req_free (req);
--- a/node/rollead.c
+++ b/node/rollead.c
@@ -74,7 +74,7 @@
   SchedVersions versions = rollouts_versions_in (rollout, MSG_ROLLOUT_ROLLED_BACK);
 
   versions.watched = true;
-  broker_versions (rollouts->broker, rollout->service, &versions);
+  broker_set_versions (rollouts->broker, rollout->service, &versions);
   if (led->stopped)
     return;
   led->stopped = step->why;
@@ -139,7 +139,7 @@
       unsigned reserved = rollout->trial.reserved;
       versions.share = step.share;
       versions.left = MIN (step.left, reserved > facts.granted ? reserved - facts.granted : 0);
-      broker_versions (rollouts->broker, rollout->service, &versions);
+      broker_set_versions (rollouts->broker, rollout->service, &versions);
     }
   if (led->ticket && now - led->proposed_at < STEP_LOST)
     return;
--- a/node/rollint.h
+++ b/node/rollint.h
@@ -58,7 +58,7 @@
 /* ---- Leading (rollead.c) ---- */
 
 void rollead_free (void *led);
-/* For broker_watch; host: the Rollouts. */
+/* For broker_set_judged_callback; host: the Rollouts. */
 void rollead_judged (void *host, const SchedJudged *judged);
 
 #endif
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -61,7 +61,7 @@
 {
   SchedVersions versions = rollouts_versions_in (rollout, rollout->phase);
 
-  broker_versions (rollouts->broker, rollout->service, &versions);
+  broker_set_versions (rollouts->broker, rollout->service, &versions);
 }
 
 static MeshVersionsPhase
@@ -320,7 +320,7 @@
   rollouts->seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   rollouts->led = g_ptr_array_new_with_free_func (rollead_free);
   rollouts->tell = tell_new (pack_for_entries, rollouts);
-  broker_watch (broker, rollead_judged, rollouts);
+  broker_set_judged_callback (broker, rollead_judged, rollouts);
   return rollouts;
 }
 
--- a/node/try.c
+++ b/node/try.c
@@ -43,8 +43,8 @@
   if (req->first_at)
     return;
   req->first_at = now;
-  count_time (TIMED_FIRST, now - req->sent_at);
-  place_first (req->requests->conf.place, req->number, now - req->sent_at);
+  count_observe (TIMED_FIRST, now - req->sent_at);
+  place_report_first (req->requests->conf.place, req->number, now - req->sent_at);
 }
 
 /* The server states that it did not run the request. If it is not the server that was addressed,
@@ -74,16 +74,16 @@
   if (answer->elsewhere || (answer->id == NULL && *req->id))
     return;
   if (answer->unread == NULL || !notice_is_empty (notice))
-    news = place_notice (place, req->number, req->server, notice) == NOTICES_NEW;
+    news = place_report_notice (place, req->number, req->server, notice) == NOTICES_NEW;
   if (answer->unread)
-    news = place_unread (place, req->server) || news;
+    news = place_report_unreadable (place, req->server) || news;
   if (!notice_is_empty (notice))
-    count_up (COUNT_NOTICES);
+    count_inc (COUNT_NOTICES);
   if (news)
     jlog (JLOG_INFO, "server-notice", req->id, JL_TEXT ("server", req->server),
           JL_INT ("status", req->status), JL_INT ("rate_milli", notice->rate * 1e3),
           JL_INT ("leaving", notice->leaving), JL_MS ("backoff_ms", notice->backoff_us),
-          JL_TEXT ("unread", answer->unread), JL_TEXT ("by", place_by (place)));
+          JL_TEXT ("unread", answer->unread), JL_TEXT ("by", place_scheduler_name (place)));
 }
 
 static bool
@@ -298,7 +298,7 @@
       req->unreached++;
       req->sends--;
       req->may_have_run = req->may_have_run_before;
-      count_up (COUNT_UNREACHED);
+      count_inc (COUNT_UNREACHED);
       if (fault == HXFER_REFUSED)
         witness_refused (req->requests->conf.witness, req->server);
       req_after_try (req, RETRY_UNREACHED);
@@ -350,7 +350,7 @@
   req->may_have_run_before = req->may_have_run;
   req->may_have_run = true; /* until the server denies it or no connection is established */
   req->sent_at = req_now (req);
-  count_up (COUNT_SENDS);
+  count_inc (COUNT_SENDS);
   arm_silence_timer (req, silence_timeout (req));
   req->xfer = hcli_send (requests->conf.cli, &target, message, &xfer_ops, req);
   g_string_free (message, TRUE);
@@ -367,6 +367,6 @@
 
   if (req->xfer == NULL)
     return;
-  count_up (COUNT_SILENT);
+  count_inc (COUNT_SILENT_TRIES);
   req_after_try (req, RETRY_SILENT);
 }
--- a/node/witness.c
+++ b/node/witness.c
@@ -79,7 +79,7 @@
   Report *report = g_new0 (Report, 1);
   char content[CONTENT_TEXT];
 
-  count_up (COUNT_SERVER_ENDS);
+  count_inc (COUNT_SERVER_ENDS);
   report->number = ++witness->next_number;
   report->server = g_strdup (server);
   report->ended_at = at;
--- a/test/shares.c
+++ b/test/shares.c
@@ -609,9 +609,9 @@
 
   g_array_append_val (list, server);
   broker_configure (broker, &conf);
-  broker_catalogue (broker, cat);
-  g_assert_true (servers_take_read (servers, list, loop_now (loop)));
-  broker_servers (broker, servers);
+  broker_set_catalogue (broker, cat);
+  g_assert_true (servers_apply_read (servers, list, loop_now (loop)));
+  broker_set_servers (broker, servers);
   for (unsigned i = 0; i < 30; i++)
     ask_broker (broker, loop, i, "hot");
   for (unsigned i = 0; i < G_N_ELEMENTS (orgs); i++)
@@ -620,8 +620,8 @@
   g_assert_nonnull (strstr (text, "# shares service=s tier=0 organisations=3 hot=29/1.00"));
   g_free (text);
   broker_tick (broker);
-  g_assert_cmpuint (count_of (COUNT_FAIR_QUEUED), ==, 2);
-  char *page = count_text (NULL);
+  g_assert_cmpuint (count_get (COUNT_FAIR_QUEUED), ==, 2);
+  char *page = count_format (NULL);
   g_assert_nonnull (strstr (page, "\nfoxtail_fair_queued_total 2\n"));
   g_assert_nonnull (strstr (page, "\nfoxtail_fair_refused_total 0\n"));
   g_free (page);
