--- a/node/broker.c
+++ b/node/broker.c
@@ -1,7 +1,8 @@
-/* broker.c - one scheduler and one account of the limits, asked by links and by its own instance.
+/* broker.c - combines a scheduler with the account of the organisations' limits, for requests of
+ * linked instances and of its own.
  *
- * A request keeps its place in the ledger until the instance that sent it says that it has ended or
- * its link goes down; on a new link that instance says again what it runs.
+ * A request keeps its place in the ledger until the instance that sent it reports its end or the
+ * link to that instance goes down. On a new link the instance reports again what it runs.
  */
 #include "brokerint.h"
 #include "count.h"
@@ -15,69 +16,69 @@
   char *server; /* NULL: refused */
   int64_t rest_most;
   SchedRefusal refusal;
-} Verdict;
+} Decision;
 
-/* ---- Verdicts ---- */
+/* ---- Decisions ---- */
 
 static void
-deliver_soon (Broker *broker, Verdict verdict)
+deliver_soon (Broker *broker, Decision decision)
 {
-  g_array_append_val (broker->verdicts, verdict);
-  loop_timer_set (broker->loop, &broker->soon, loop_now (broker->loop));
+  g_array_append_val (broker->decisions, decision);
+  loop_timer_set (broker->loop, &broker->deliver_timer, loop_now (broker->loop));
 }
 
 static const SeamServer *
-find (const Broker *broker, const char *id)
+find_server (const Broker *broker, const char *id)
 {
   return broker->servers ? servers_find (broker->servers, id) : NULL;
 }
 
 static void
-deliver_grant (const Broker *broker, const Verdict *verdict)
+deliver_grant (const Broker *broker, const Decision *decision)
 {
-  Grant grant = { .server = { .id = verdict->server, .name = verdict->server, .leaving = true },
+  Grant grant = { .server = { .id = decision->server, .name = decision->server, .leaving = true },
                   .listed_at = loop_now (broker->loop),
-                  .rest_most = verdict->rest_most };
-  const SeamServer *server = find (broker, verdict->server);
+                  .rest_most = decision->rest_most };
+  const SeamServer *server = find_server (broker, decision->server);
 
   if (server)
     grant.server = *server;
-  broker->ops->grant (broker->host, verdict->request, &grant);
+  broker->ops->grant (broker->host, decision->request, &grant);
 }
 
 static void
-on_soon (LoopTimer *timer)
+on_deliver (LoopTimer *timer)
 {
-  Broker *broker = (Broker *) ((char *) timer - offsetof (Broker, soon));
-  GArray *verdicts = broker->verdicts;
+  Broker *broker = (Broker *) ((char *) timer - offsetof (Broker, deliver_timer));
+  GArray *decisions = broker->decisions;
 
-  broker->verdicts = g_array_new (FALSE, FALSE, sizeof (Verdict));
-  for (unsigned i = 0; i < verdicts->len; i++)
+  broker->decisions = g_array_new (FALSE, FALSE, sizeof (Decision));
+  for (unsigned i = 0; i < decisions->len; i++)
     {
-      Verdict *verdict = &g_array_index (verdicts, Verdict, i);
-      if (verdict->server)
-        deliver_grant (broker, verdict);
+      Decision *decision = &g_array_index (decisions, Decision, i);
+      if (decision->server)
+        deliver_grant (broker, decision);
       else
-        broker->ops->refuse (broker->host, verdict->request, &verdict->refusal);
-      g_free (verdict->server);
+        broker->ops->refuse (broker->host, decision->request, &decision->refusal);
+      g_free (decision->server);
     }
-  g_array_unref (verdicts);
+  g_array_unref (decisions);
 }
 
-/* How full the organisation's account is, as messages say it. */
+/* How full the organisation's account is, in thousandths as in messages. */
 static u_int
-fill_of (const Broker *broker, const char *org)
+account_fill (const Broker *broker, const char *org)
 {
   return (u_int) (1000 * quota_full (broker->quota, org));
 }
 
-/* Failure: everything has started, and hundreds of entries have no list yet. Symptom: they can send
- * nothing until each has it, seconds after the scheduler has. A grant says where its server is. */
+/* A grant carries the address of its server. After a start of everything, hundreds of entries get
+ * the server list seconds later than the scheduler, and could send nothing until then. */
 static void
-put_grant (const Broker *broker, uint64_t request, const char *id, MeshGrant *grant)
+fill_grant (const Broker *broker, uint64_t request, const char *id, MeshGrant *grant)
 {
   static char none[] = "";
-  const SeamServer *server = find (broker, id);
+  const SeamServer *server = find_server (broker, id);
 
   *grant = (MeshGrant){ .request = request, .server = (char *) id, .name = none };
   if (server == NULL)
@@ -99,35 +100,35 @@
   MeshMsg msg = { .kind = MESH_GRANT };
 
   count_inc (COUNT_GRANTS);
-  if (owner == BROKER_SELF)
+  if (owner == BROKER_OWN)
     deliver_soon (
         broker,
-        (Verdict){ .request = request, .server = g_strdup (server), .rest_most = rest_most });
+        (Decision){ .request = request, .server = g_strdup (server), .rest_most = rest_most });
   if (asker == NULL)
     return;
   asker->waiting -= asker->waiting > 0;
-  put_grant (broker, request, server, &msg.MeshMsg_u.grant);
+  fill_grant (broker, request, server, &msg.MeshMsg_u.grant);
   msg.MeshMsg_u.grant.rest_most_ms = (u_int) (rest_most / FT_MS);
-  msg.MeshMsg_u.grant.org_fill = fill_of (broker, org);
+  msg.MeshMsg_u.grant.org_fill = account_fill (broker, org);
   msg.MeshMsg_u.grant.paced = sched_is_paced (broker->sched, server);
   mesh_send (asker->peer, &msg);
 }
 
 static void
 send_refusal (Broker *broker, uint64_t owner, uint64_t request, const SchedRefusal *refusal,
-              u_int fill)
+              u_int org_fill)
 {
   Asker *asker = g_hash_table_lookup (broker->askers, &owner);
   MeshMsg msg = { .kind = MESH_REFUSE };
 
-  if (owner == BROKER_SELF)
-    deliver_soon (broker, (Verdict){ .request = request, .refusal = *refusal });
+  if (owner == BROKER_OWN)
+    deliver_soon (broker, (Decision){ .request = request, .refusal = *refusal });
   if (asker == NULL)
     return;
   asker->waiting -= asker->waiting > 0;
   msg.MeshMsg_u.refuse
       = (MeshRefuse){ request, refusal->reason, (u_int) (refusal->retry_after_us / FT_MS),
-                      (char *) refusal->rule, fill };
+                      (char *) refusal->rule, org_fill };
   mesh_send (asker->peer, &msg);
 }
 
@@ -146,8 +147,8 @@
         JL_TEXT ("why", why), JL_MS ("for_ms", for_us), JL_TEXT ("by", broker->name));
 }
 
-/* Failure: a request that was counted against a limit is refused for another reason, or goes to
- * another scheduler. Symptom: its organisation is refused below its limit. */
+/* Refunds a request that was charged to a limit and is then refused for another reason or goes to
+ * another scheduler. Its organisation would otherwise be refused below its limit. */
 static void
 on_unused (void *host, const char *org, double cost)
 {
@@ -160,7 +161,7 @@
   const Broker *broker = host;
 
   if (broker->judged)
-    broker->judged (broker->watcher, judged);
+    broker->judged (broker->judged_host, judged);
 }
 
 static void
@@ -178,10 +179,11 @@
 
 /* ---- Asking ---- */
 
-/* A promised time that leads to a late answer takes its tokens from a newcomer that can be on time.
- * Half of what is left until the aim is for the way here, a place and the first of the answer. */
+/* The latest retry time worth reserving tokens for: a reservation that leads to a late answer
+ * would take tokens from a newcomer that can be on time. Half of the time left until the aim is
+ * kept for the way here, a place and the first byte of the answer. */
 static int64_t
-timely_until (const Broker *broker, const SchedAsk *ask)
+latest_useful_retry (const Broker *broker, const SchedAsk *ask)
 {
   int64_t now = loop_now (broker->loop);
 
@@ -189,17 +191,18 @@
 }
 
 static bool
-within_limit (Broker *broker, const SchedAsk *ask, bool may_wait)
+charge_limit (Broker *broker, const SchedAsk *ask, bool may_hold)
 {
   SchedRefusal refusal = { .reason = FT_REASON_LIMIT_TOKENS };
   unsigned rank = rt_order_rank (ask->tier);
   double cost = ask->cost;
-  RetAsk want = { ask->org, ask->content, cost, rank, ask->end_at, timely_until (broker, ask) };
-  RetWord word;
+  RetAsk request
+      = { ask->org, ask->content, cost, rank, ask->end_at, latest_useful_retry (broker, ask) };
+  RetWord advice;
 
   if (cost <= 0)
     return true;
-  if (may_wait && !hand_settled (broker->hand)
+  if (may_hold && !hand_settled (broker->hand)
       && quota_lacks_part (broker->quota, ask->org, cost, rank))
     {
       if (quota_take (broker->quota, ask->org, cost, rank, &refusal.retry_after_us))
@@ -210,25 +213,26 @@
           return false;
         }
     }
-  if (ret_take_tokens (broker->returns, broker->quota, &want, &refusal.retry_after_us, &word))
+  if (ret_take_tokens (broker->returns, broker->quota, &request, &refusal.retry_after_us, &advice))
     return true;
-  /* Advice beyond the caller's own limit is of no use to it. */
+  /* A retry after the caller's own deadline is of no use to it. */
   refusal.retry_after_us
       = MIN (refusal.retry_after_us, MAX (0, ask->end_at - loop_now (broker->loop)));
   quota_explain (broker->quota, ask->org, cost, refusal.rule, sizeof refusal.rule);
-  ret_explain (word, refusal.retry_after_us, refusal.rule, sizeof refusal.rule);
-  send_refusal (broker, ask->owner, ask->request, &refusal, fill_of (broker, ask->org));
+  ret_explain (advice, refusal.retry_after_us, refusal.rule, sizeof refusal.rule);
+  send_refusal (broker, ask->owner, ask->request, &refusal, account_fill (broker, ask->org));
   return false;
 }
 
 void
-broker_decide (Broker *broker, const SchedAsk *ask, bool may_wait)
+broker_decide (Broker *broker, const SchedAsk *ask, bool may_hold)
 {
-  if (within_limit (broker, ask, may_wait))
+  if (charge_limit (broker, ask, may_hold))
     sched_ask (broker->sched, ask);
 }
 
-/* While a handover goes on queues are judged by all places, since their part is about to grow. */
+/* During a handover queue lengths are judged by all places, since this scheduler's part is about
+ * to grow. */
 void
 broker_apply_shares (Broker *broker)
 {
@@ -273,7 +277,7 @@
 {
   SchedAsk ask = *from;
 
-  ask.owner = BROKER_SELF;
+  ask.owner = BROKER_OWN;
   ask.cost = cost;
   broker_decide (broker, &ask, true);
 }
@@ -283,7 +287,7 @@
 {
   SchedAsk ask = *from;
 
-  ask.owner = BROKER_SELF;
+  ask.owner = BROKER_OWN;
   if (cost > 0)
     quota_used (broker->quota, ask.org, cost, loop_now (broker->loop));
   sched_adopt (broker->sched, &ask, server);
@@ -292,37 +296,37 @@
 void
 broker_report_first (Broker *broker, uint64_t request, int64_t after_us)
 {
-  sched_first (broker->sched, BROKER_SELF, request, after_us);
+  sched_first (broker->sched, BROKER_OWN, request, after_us);
 }
 
 void
 broker_report_silence (Broker *broker, uint64_t request)
 {
-  sched_silent (broker->sched, BROKER_SELF, request);
+  sched_silent (broker->sched, BROKER_OWN, request);
 }
 
 void
 broker_notice (Broker *broker, uint64_t request, const char *server, const Notice *notice)
 {
-  sched_notice (broker->sched, BROKER_SELF, request, server, notice);
+  sched_notice (broker->sched, BROKER_OWN, request, server, notice);
 }
 
 void
 broker_past_notice (Broker *broker, const char *server, const Notice *notice, int64_t age)
 {
-  sched_notice_before (broker->sched, BROKER_SELF, server, notice, age);
+  sched_notice_before (broker->sched, BROKER_OWN, server, notice, age);
 }
 
 void
 broker_end (Broker *broker, uint64_t request, const SchedResult *result)
 {
-  hand_drop (broker->hand, BROKER_SELF, request);
-  sched_done (broker->sched, BROKER_SELF, request, result);
+  hand_drop (broker->hand, BROKER_OWN, request);
+  sched_done (broker->sched, BROKER_OWN, request, result);
 }
 
-/* ---- What it works with ---- */
+/* ---- Configuration ---- */
 
-/* The mean limit of those organisations whose limits count the same. */
+/* The mean limit of the organisations whose limits are in the same unit. */
 static double
 mean_rate (const RtCat *cat, bool by_tokens)
 {
@@ -340,9 +344,10 @@
   return count > 0 ? sum / count : 1;
 }
 
-/* Tokens and requests a second do not compare: each limit counts as a part of its kind's mean. */
+/* Tokens and requests a second are not comparable, so an organisation's weight is its limit
+ * divided by the mean limit in that unit. */
 static void
-give_weights (Broker *broker, const RtCat *cat)
+set_weights (Broker *broker, const RtCat *cat)
 {
   double means[2] = { mean_rate (cat, false), mean_rate (cat, true) };
 
@@ -363,7 +368,7 @@
       SchedServiceConf conf = { service->engine, service->stride, service->memory };
       sched_service (broker->sched, service->name, &conf);
     }
-  give_weights (broker, cat);
+  set_weights (broker, cat);
   for (unsigned i = 0; i < rt_cat_org_count (cat); i++)
     {
       const RtOrg *org = rt_cat_org_at (cat, i);
@@ -414,7 +419,7 @@
 }
 
 static void
-count_fair (Broker *broker)
+count_fair_decisions (Broker *broker)
 {
   SchedFair counts;
 
@@ -446,7 +451,7 @@
   sched_tick (broker->sched);
   ret_tick (broker->returns);
   count_returns (broker);
-  count_fair (broker);
+  count_fair_decisions (broker);
 }
 
 void
@@ -460,7 +465,7 @@
                             void *host)
 {
   broker->judged = judged;
-  broker->watcher = host;
+  broker->judged_host = host;
 }
 
 void
@@ -496,10 +501,10 @@
   broker->hand = hand_new (loop_clock (loop));
   broker->places = broker->limits = 1;
   if (ops)
-    hand_reported (broker->hand, BROKER_SELF); /* what the own instance runs is always known */
+    hand_reported (broker->hand, BROKER_OWN); /* what the own instance runs is always known here */
   broker->askers = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  broker->verdicts = g_array_new (FALSE, FALSE, sizeof (Verdict));
-  broker->soon.fire = on_soon;
+  broker->decisions = g_array_new (FALSE, FALSE, sizeof (Decision));
+  broker->deliver_timer.fire = on_deliver;
   return broker;
 }
 
@@ -508,10 +513,10 @@
 {
   if (broker == NULL)
     return;
-  loop_timer_stop (broker->loop, &broker->soon);
-  for (unsigned i = 0; i < broker->verdicts->len; i++)
-    g_free (g_array_index (broker->verdicts, Verdict, i).server);
-  g_array_unref (broker->verdicts);
+  loop_timer_stop (broker->loop, &broker->deliver_timer);
+  for (unsigned i = 0; i < broker->decisions->len; i++)
+    g_free (g_array_index (broker->decisions, Decision, i).server);
+  g_array_unref (broker->decisions);
   sched_free (broker->sched);
   quota_free (broker->quota);
   ret_free (broker->returns);
--- a/node/broker.h
+++ b/node/broker.h
@@ -1,4 +1,4 @@
-/* broker.h - a scheduler that other instances ask over their links, and its own instance beside. */
+/* broker.h - a scheduler for the requests of its own instance and, over links, of others. */
 #ifndef BROKER_H
 #define BROKER_H
 
@@ -10,81 +10,86 @@
 
 typedef struct Broker Broker;
 
-/* A place for a request, by one scheduler's list. */
+/* A place for a request on a server of the granting scheduler's list. */
 typedef struct
 {
-  SeamServer server; /* id, name, address and whether it leaves, borrowed; one that the list has
-                        lost leaves */
-  int64_t listed_at; /* when that list was asked for */
-  int64_t rest_most; /* connections that rested longer are not used for what may run once only */
+  SeamServer server; /* borrowed; only id, name, addr and leaving are valid. A server that has gone
+                        from the list counts as leaving. */
+  int64_t listed_at; /* when the list was requested from the platform */
+  int64_t rest_most; /* connections idle for longer are not reused for requests that are not
+                        repeatable */
 } Grant;
 
-/* Verdicts on requests of the own instance. Never called from within broker_ask. */
+/* Decisions on requests of the own instance. Never called from within broker_ask. */
 typedef struct
 {
   void (*grant) (void *host, uint64_t request, const Grant *grant);
   void (*refuse) (void *host, uint64_t request, const SchedRefusal *refusal);
 } BrokerOps;
 
-/* ops may be NULL: the own instance asks nothing. name: for the log. */
+/* ops: NULL if the own instance sends no requests. name: for the log. */
 Broker *broker_new (Loop *loop, const char *name, const BrokerOps *ops, void *host);
 void broker_free (Broker *broker);
 void broker_set_catalogue (Broker *broker, const RtCat *cat);
-/* The list has changed. servers must outlive the broker. */
+/* Call when the server list has changed. servers must outlive the broker. */
 void broker_set_servers (Broker *broker, const Servers *servers);
-/* Parts of the places and of the limits, of organisations and servers, that it may give away; salt
- * as in sched_share. Both follow who asks: set them after broker_note_asker. */
+/* Sets which parts of the places and of the limits, of organisations and servers, this scheduler
+ * may give away; salt as in sched_share. The parts depend on which instances ask: set them after
+ * broker_note_asker. */
 void broker_set_shares (Broker *broker, double places, double limits, uint64_t salt);
-/* The same for one that schedules for all, of which so many are heard and so many lost lately. */
+/* The same for a scheduler that serves all instances. heard: how many of them it hears; lost: how
+ * many it has lost lately. */
 void broker_set_shares_by_heard (Broker *broker, unsigned heard, unsigned lost);
-/* What a deployment's settings call for under load; all off at first. */
+/* Settings of a deployment for behaviour under load; all off at first. */
 typedef struct
 {
-  int64_t handover_us;      /* longest wait for entries' reports after a takeover; 0: none */
-  double return_part;       /* of limits, that may be promised to callers that come again */
-  double return_place_part; /* the same of places */
-  bool fair_shares;         /* places that are short go to organisations by shares */
+  int64_t handover_us; /* longest wait for the entries' reports after a takeover; 0: handover is
+                          disabled */
+  double return_part;  /* part of the limits that may be reserved for refused callers that return */
+  double return_place_part; /* the same for places */
+  bool fair_shares;         /* scarce places are divided between organisations by their shares */
 } BrokerConf;
 
 void broker_configure (Broker *broker, const BrokerConf *conf);
 /* See quota_margin. */
 void broker_set_margin (Broker *broker, double overage, double slack, double window_s, bool alone);
-/* Refuses and places what time has decided. Call every 20 ms or so. */
+/* Grants and refuses what has become due. Call about every 20 ms. */
 void broker_tick (Broker *broker);
 
-/* ---- Requests of the own instance; the ask's owner is set here. ---- */
+/* ---- Requests of the own instance; the broker sets the ask's owner ---- */
 void broker_ask (Broker *broker, const SchedAsk *ask, double cost);
+/* The request runs on server by another scheduler's grant. */
 void broker_adopt (Broker *broker, const SchedAsk *ask, const char *server, double cost);
 void broker_report_first (Broker *broker, uint64_t request, int64_t after_us);
 void broker_report_silence (Broker *broker, uint64_t request);
-/* See sched_notice. */
+/* See sched_notice and sched_notice_before. */
 void broker_notice (Broker *broker, uint64_t request, const char *server, const Notice *notice);
 void broker_past_notice (Broker *broker, const char *server, const Notice *notice, int64_t age);
 void broker_end (Broker *broker, uint64_t request, const SchedResult *result);
 
 /* ---- Requests of other instances ---- */
-/* A link over which it may be asked has come up or gone down. */
+/* A link over which a peer may ask has come up or gone down. */
 void broker_link_up (Broker *broker, MeshPeer *peer);
 void broker_link_down (Broker *broker, MeshPeer *peer);
-/* The peer's first ask for a while has come: it counts as one that asks. */
+/* Counts the peer as an asker. Call at its first ask after a while, before broker_message. */
 void broker_note_asker (Broker *broker, MeshPeer *peer);
-/* True: the message concerned scheduling. */
+/* Handles a message of the peer. False: it does not concern scheduling. */
 bool broker_message (Broker *broker, MeshPeer *peer, const MeshMsg *msg);
-/* Has the peer a request that waits here? */
+/* True if a request of the peer waits here. */
 bool broker_peer_waits (const Broker *broker, const MeshPeer *peer);
-/* Has the peer asked within the last seconds? */
+/* True if the peer has asked within the last three seconds. */
 bool broker_peer_asked (const Broker *broker, const MeshPeer *peer);
-/* So many instances may hold what this scheduler is told when it begins to be asked. */
+/* Number of instances whose reports this scheduler expects when it takes over. */
 void broker_set_expected (Broker *broker, unsigned instances);
-/* The instance schedules for others from now on, before any has asked. */
+/* The instance starts to schedule for others; call before any of them has asked. */
 void broker_take_over (Broker *broker);
-/* Does it wait for reports after a takeover? */
+/* True if the settings make it wait for reports after a takeover. */
 bool broker_handover_enabled (const Broker *broker);
-/* Does it wait for reports now? */
+/* True while it waits for reports. */
 bool broker_is_taking_over (const Broker *broker);
-/* Instances that have asked within the last seconds. */
+/* Number of other instances that have asked within the last three seconds. */
 unsigned broker_asker_count (const Broker *broker);
-/* Linked instances that have said that they ask another now. */
+/* Number of linked instances that have told that they ask another scheduler now. */
 unsigned broker_away_count (const Broker *broker);
 
 /* See sched_versions and SchedOps.judged. */
@@ -95,7 +100,7 @@
 void broker_service_stats (const Broker *broker, const char *service, SchedServiceStats *stats);
 
 void broker_stats (const Broker *broker, SchedStats *stats);
-/* Lines about each server, for operators; g_free. */
+/* A description of each server, for operators; free it with g_free. */
 char *broker_describe (const Broker *broker);
 
 #endif
--- a/node/brokerint.h
+++ b/node/brokerint.h
@@ -1,4 +1,4 @@
-/* brokerint.h - a broker's records, shared by broker.c and brokerlink.c only. */
+/* brokerint.h - state of a broker; private to broker.c and brokerlink.c. */
 #ifndef BROKERINT_H
 #define BROKERINT_H
 
@@ -6,15 +6,15 @@
 #include "handover.h"
 #include "returns.h"
 
-#define BROKER_SELF 0 /* owner of the own instance's requests */
+#define BROKER_OWN 0 /* owner of the own instance's requests */
 
 typedef struct
 {
   MeshPeer *peer;
-  uint64_t owner; /* the peer's lifetime */
+  uint64_t owner; /* lifetime of the peer's process, which identifies it */
   unsigned waiting;
   int64_t asked_at;
-  bool away; /* it asks another now */
+  bool away; /* it has told that it asks another scheduler now */
 } Asker;
 
 struct Broker
@@ -25,30 +25,30 @@
   void *host;
   Sched *sched;
   Quota *quota;
-  Returns *returns;       /* at limits; the scheduler has its own for places */
-  RetCounts returned;     /* as counted so far */
+  Returns *returns;       /* reservations of the limits; the scheduler keeps those of places */
+  RetCounts returned;     /* as added to the counters so far */
   const Servers *servers; /* NULL: no list yet */
-  GHashTable *askers;     /* owner: Asker */
+  GHashTable *askers;     /* owner -> Asker */
   BrokerConf conf;
-  SchedFair fair; /* as of the last tick */
+  SchedFair fair; /* as added to the counters so far */
   Hand *hand;
-  unsigned expected;     /* instances whose reports a handover waits for */
-  double places, limits; /* its parts once it is settled */
+  unsigned expected;     /* number of instances whose reports a handover waits for */
+  double places, limits; /* the parts that it may give away when no handover is going on */
   uint64_t salt;
-  unsigned heard, lost; /* by broker_set_shares_by_heard; heard 0: the parts were set otherwise */
-  GArray *verdicts;     /* Verdict on own requests, delivered by soon */
-  LoopTimer soon;
-  void (*judged) (void *host, const SchedJudged *judged); /* NULL: nobody watches */
-  void *watcher;
+  unsigned heard, lost; /* of broker_set_shares_by_heard; heard 0: broker_set_shares came later */
+  GArray *decisions;    /* Decision on the own instance's requests, delivered by deliver_timer */
+  LoopTimer deliver_timer;
+  void (*judged) (void *host, const SchedJudged *judged); /* may be NULL */
+  void *judged_host;
 };
 
-/* Places, queues, holds or refuses the ask. may_wait: it may be held until a handover has ended. */
-void broker_decide (Broker *broker, const SchedAsk *ask, bool may_wait);
-/* Sets the parts of places and limits by how much was handed over. */
+/* Grants, queues, holds or refuses the ask. may_hold: it may be held until a handover has ended. */
+void broker_decide (Broker *broker, const SchedAsk *ask, bool may_hold);
+/* Applies the parts of places and limits, reduced by what has not been handed over yet. */
 void broker_apply_shares (Broker *broker);
-/* Ends a handover that is over, and decides on the asks that have waited for it. */
+/* Ends the handover if it is over, and then decides the asks that were held for it. */
 void broker_check_handover (Broker *broker);
-/* The same parts by how many instances are heard and ask this one (brokerlink.c). */
+/* Recomputes the parts from how many instances are heard and ask this one (brokerlink.c). */
 void broker_apply_heard (Broker *broker);
 
 #endif
--- a/node/brokerlink.c
+++ b/node/brokerlink.c
@@ -1,9 +1,9 @@
-/* brokerlink.c - a broker and the instances that ask it over links: what they ask, say and report,
- * and when what they hold is handed over. */
+/* brokerlink.c - a broker's links to the instances that ask it: their asks, outcomes and reports,
+ * and the handover of what they hold. */
 #include "brokerint.h"
 
-#define ASKED_LATELY                                                                               \
-  (3 * FT_SECOND) /* an instance that asked then is taken for a user of this one */
+#define ASKER_TIMEOUT                                                                              \
+  (3 * FT_SECOND) /* an instance that asked within this time counts as an asker */
 
 void
 broker_link_up (Broker *broker, MeshPeer *peer)
@@ -12,7 +12,7 @@
 
   asker->peer = peer;
   asker->owner = peer->lifetime;
-  asker->asked_at = -ASKED_LATELY;
+  asker->asked_at = -ASKER_TIMEOUT;
   g_hash_table_replace (broker->askers, &asker->owner, asker);
 }
 
@@ -41,10 +41,11 @@
   broker_apply_shares (broker);
 }
 
-/* Failure: all entries had turned to another scheduler, and come back. Symptom: until the next tick
- * this one's part of each limit is 0, and organisations far below theirs are refused. */
+/* Notes that an instance asks this scheduler again, and updates its parts at once. After all
+ * entries had turned to another scheduler, its part of each limit is 0, and until the next tick
+ * it would refuse organisations far below their limits. */
 static void
-comes_back (Broker *broker, Asker *asker)
+note_returned (Broker *broker, Asker *asker)
 {
   bool away = asker->away;
 
@@ -57,7 +58,7 @@
 }
 
 static void
-take_account (Broker *broker, const MeshAccount *from)
+apply_account (Broker *broker, const MeshAccount *from)
 {
   int64_t now = loop_now (broker->loop);
 
@@ -67,20 +68,21 @@
     quota_used (broker->quota, from->org, from->spent_tokens, now - from->spent_ms * FT_MS);
 }
 
-/* An entry that reports and has nothing to ask is no asker: a deputy reads the list for those. */
+/* A report does not make an entry an asker: askers make a deputy read the server list for them,
+ * and this entry may have nothing to ask. */
 static void
-take_report (Broker *broker, Asker *asker, const MeshReported *from)
+handle_report (Broker *broker, Asker *asker, const MeshReported *from)
 {
-  comes_back (broker, asker);
+  note_returned (broker, asker);
   for (unsigned i = 0; i < from->accounts.accounts_len; i++)
-    take_account (broker, &from->accounts.accounts_val[i]);
+    apply_account (broker, &from->accounts.accounts_val[i]);
   hand_reported (broker->hand, asker->owner);
   broker_apply_shares (broker);
   broker_check_handover (broker);
 }
 
 static void
-take_ask (Broker *broker, Asker *asker, const MeshAsk *from)
+handle_ask (Broker *broker, Asker *asker, const MeshAsk *from)
 {
   int64_t now = loop_now (broker->loop);
   SchedAsk ask = { .owner = asker->owner,
@@ -108,8 +110,8 @@
       = { from->org, from->spent_tokens, from->spent_ms, from->org_fill, from->org_fill_ms };
 
   asker->asked_at = now;
-  comes_back (broker, asker);
-  take_account (broker, &account);
+  note_returned (broker, asker);
+  apply_account (broker, &account);
   if (from->running)
     {
       hand_drop (broker->hand, ask.owner, ask.request);
@@ -128,7 +130,7 @@
   if (asker == NULL)
     return;
   asker->asked_at = loop_now (broker->loop);
-  comes_back (broker, asker);
+  note_returned (broker, asker);
 }
 
 void
@@ -157,7 +159,7 @@
 }
 
 static void
-take_notice (Broker *broker, const MeshPeer *peer, const MeshNotice *from)
+handle_notice (Broker *broker, const MeshPeer *peer, const MeshNotice *from)
 {
   Notice notice = { .rate = from->rate_milli / 1e3,
                     .leaving = from->leaving,
@@ -171,13 +173,13 @@
 }
 
 static void
-turn_away (Broker *broker, Asker *asker)
+note_turned_away (Broker *broker, Asker *asker)
 {
   if (asker == NULL || asker->away)
     return;
   hand_gone (broker->hand, asker->owner);
   asker->away = true;
-  asker->asked_at = -ASKED_LATELY;
+  asker->asked_at = -ASKER_TIMEOUT;
 }
 
 bool
@@ -191,18 +193,18 @@
     {
     case MESH_ASK:
       if (asker)
-        take_ask (broker, asker, &msg->MeshMsg_u.ask);
+        handle_ask (broker, asker, &msg->MeshMsg_u.ask);
       return true;
     case MESH_REPORTED:
       if (asker && broker_handover_enabled (broker))
-        take_report (broker, asker, &msg->MeshMsg_u.reported);
+        handle_report (broker, asker, &msg->MeshMsg_u.reported);
       return true;
     case MESH_FIRST:
       sched_first (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
                    msg->MeshMsg_u.first.after_us);
       return true;
     case MESH_NOTICE:
-      take_notice (broker, peer, &msg->MeshMsg_u.notice);
+      handle_notice (broker, peer, &msg->MeshMsg_u.notice);
       return true;
     case MESH_SILENT:
       sched_silent (broker->sched, peer->lifetime, msg->MeshMsg_u.silent.request);
@@ -210,7 +212,7 @@
     case MESH_DONE:
       if (done->request == MESH_TURNED_AWAY)
         {
-          turn_away (broker, asker);
+          note_turned_away (broker, asker);
           return true;
         }
       result
@@ -237,13 +239,13 @@
 {
   const Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
-  return asker && asker->asked_at > loop_now (broker->loop) - ASKED_LATELY;
+  return asker && asker->asked_at > loop_now (broker->loop) - ASKER_TIMEOUT;
 }
 
 unsigned
 broker_asker_count (const Broker *broker)
 {
-  int64_t since = loop_now (broker->loop) - ASKED_LATELY;
+  int64_t since = loop_now (broker->loop) - ASKER_TIMEOUT;
   GHashTableIter iter;
   gpointer value;
   unsigned count = 0;
