--- a/node/count.c
+++ b/node/count.c
@@ -1,8 +1,8 @@
-/* count.c - plain numbers: one thread writes them. Histograms have fixed bounds, doubling from 1
- * ms, so that instances can be added up. */
+/* count.c - counters need no atomics, since one thread writes them. Histograms have the same
+ * fixed bounds in all instances, doubling from 1 ms, so that they can be summed. */
 #include "count.h"
 
-#define BUCKETS 15 /* 1 ms to 16 s, then infinity */
+#define BUCKETS 15 /* upper bounds of 1 ms to 16 s; one more bucket is unbounded */
 
 static uint64_t counters[COUNTERS];
 static uint64_t buckets[TIMED][BUCKETS + 1];
--- a/node/count.h
+++ b/node/count.h
@@ -1,4 +1,4 @@
-/* count.h - counters and histograms of one instance, as text for metrics. */
+/* count.h - counters and histograms of one instance, and their text for the metrics page. */
 #ifndef COUNT_H
 #define COUNT_H
 
@@ -10,42 +10,42 @@
   COUNT_ANSWERED,
   COUNT_REFUSED,
   COUNT_UNKNOWN,      /* ended with 502 or 504 */
-  COUNT_BROKEN_OFF,   /* an answer that had begun was broken off */
-  COUNT_CALLERS_LEFT, /* callers that left before the end */
+  COUNT_BROKEN_OFF,   /* answers that were cut after they had begun */
+  COUNT_CALLERS_LEFT, /* callers that left before their answer ended */
   COUNT_SENDS,
   COUNT_REPEATS,
   COUNT_RESUMES,
   COUNT_UNREACHED,
   COUNT_SILENT_TRIES,
-  COUNT_FALL_BACKS, /* times that the voter in charge was given up as scheduler */
+  COUNT_FALL_BACKS, /* switches of the scheduler to a deputy or to the entry's own */
   COUNT_CATALOGUES,
   COUNT_LISTS,
   COUNT_LIST_FAILURES,
   COUNT_GRANTS,
-  COUNT_SERVER_ENDS,      /* servers that ended while they ran requests of this instance */
-  COUNT_QUARANTINED,      /* requests ended since servers end under their content */
-  COUNT_NOTICES,          /* answers in which a server said something of itself */
-  COUNT_GRANTS_RETURNED,  /* grants given back, since their server wants nothing from this instance
-                           */
-  COUNT_RETURNS_PROMISED, /* times promised to refused callers ... */
-  COUNT_RETURNS_KEPT,     /* ... at which they were served */
-  COUNT_RETURNS_LAPSED,   /* ... at which they did not come */
-  COUNT_RETURNS_LOST,     /* ... at which they came and could not be served */
-  COUNT_FAIR_QUEUED,      /* requests that wait, since of what waits much goes behind them */
-  COUNT_FAIR_REFUSED,     /* requests refused, since others will go before them */
-  COUNT_GREETINGS,        /* words of a voter that has started, sent or taken */
-  COUNT_HANDOVERS,        /* times that this instance began to schedule for others and settled */
-  COUNT_HELD_ASKS,        /* asks that waited for the end of a handover */
+  COUNT_SERVER_ENDS,      /* servers that ended while running requests of this instance */
+  COUNT_QUARANTINED,      /* requests ended because their content is quarantined */
+  COUNT_NOTICES,          /* answers with a notice of their server */
+  COUNT_GRANTS_RETURNED,  /* grants returned because their server does not want requests of this
+                             instance */
+  COUNT_RETURNS_PROMISED, /* reservations made for refused callers ... */
+  COUNT_RETURNS_KEPT,     /* ... that were used */
+  COUNT_RETURNS_LAPSED,   /* ... whose callers did not return in time */
+  COUNT_RETURNS_LOST,     /* ... whose callers returned and could not be served */
+  COUNT_FAIR_QUEUED,      /* queued by fair order; by due time they would have been refused */
+  COUNT_FAIR_REFUSED,     /* refused by fair order; by due time they would have been queued */
+  COUNT_GREETINGS,        /* greetings of voters that have started, sent or received */
+  COUNT_HANDOVERS,        /* handovers to this instance as a scheduler that have ended */
+  COUNT_HELD_ASKS,        /* asks held until the end of a handover */
   COUNTERS
 } Counter;
 
 typedef enum
 {
-  TIMED_WAIT,  /* from a request's arrival to its place */
-  TIMED_FIRST, /* from sending to the first of the answer */
+  TIMED_WAIT,  /* from a request's arrival to its grant */
+  TIMED_FIRST, /* from sending to the first byte of the answer */
   TIMED_WHOLE, /* from arrival to the end of the answer */
-  TIMED_TURN,  /* one turn of the loop */
-  TIMED_LATE,  /* from a timer's time to its firing */
+  TIMED_TURN,  /* one iteration of the event loop */
+  TIMED_LATE,  /* from a timer's due time to its firing */
   TIMED
 } Timed;
 
@@ -53,7 +53,8 @@
 void count_add (Counter counter, uint64_t number);
 uint64_t count_get (Counter counter);
 void count_observe (Timed timed, int64_t us);
-/* All of them in the usual text format, and extra behind; g_free. */
+/* All counters and histograms in the Prometheus text format, followed by extra; free it with
+ * g_free. */
 char *count_format (const char *extra);
 
 #endif
--- a/node/reader.c
+++ b/node/reader.c
@@ -1,34 +1,35 @@
-/* reader.c - one pass over the list at a time; a pass that takes too long is given up. */
+/* reader.c - reads the list in passes, one at a time; a pass that takes too long is abandoned. */
 #include "reader.h"
 #include "jlog.h"
 
-/* Tuning; each row with its reason. */
-#define PASS_MOST                                                                                  \
-  (2200 * FT_MS) /* 60 pages at 40 calls a second; what it yields is older than its start, so a    \
-                    longer one would say too late who leaves */
-#define PAGE_AGAIN   (80 * FT_MS) /* a page refused for the rate of calls: a few calls later */
-#define CONNECT_MOST (300 * FT_MS)
-#define IDLE_MOST    (5 * FT_SECOND)
-#define PAGES_MOST   64 /* a list that never ends is not followed */
-
-/* The same for instances that read when the one that should is silent. */
-#define AGE_BORNE   (2500 * FT_MS)  /* two passes of the voter that reads for all are missing */
-#define AGE_FOR_ALL (1 * FT_SECOND) /* as often as a voter alone */
-#define AGE_CALL                                                                                   \
-  (60 * FT_MS) /* more for each call: a pass takes that long, and the next is later */
-#define EVERY_LEAST  (1500 * FT_MS)
-#define RATE_PART    0.3 /* of the platform's rate that they use together */
-#define PAGE_SERVERS 50  /* on a page, as far as seen */
-
-/* The same for a voter that reads for all. */
-#define LIST_EVERY (700 * FT_MS)  /* two passes and the push well within the shortest drain */
-#define LIST_ALONE (1200 * FT_MS) /* of a voter that is not in charge */
-#define LIST_CALL                                                                                  \
-  (110 * FT_MS) /* more for each call of a long pass, since calls have a price ... */
-#define LIST_PUSH                                                                                  \
-  (1400 * FT_MS)      /* ... as long as a pass of a second and the push fit the drain              \
-                       */
-#define LIST_PART 0.5 /* of the platform's rate */
+#define PASS_TIMEOUT                                                                               \
+  (2200 * FT_MS) /* enough for 60 pages at 40 calls a second. The list is as old as the start of   \
+                    the pass, so a longer pass would report leaving servers too late */
+#define PAGE_RETRY_DELAY                                                                           \
+  (80 * FT_MS) /* delay before a page that was refused with 429 is requested again: a few calls */
+#define CONNECT_TIMEOUT (300 * FT_MS)
+#define IDLE_MAX        (5 * FT_SECOND)
+#define PAGES_MAX       64 /* guards against a list that never ends */
+
+/* For instances that read the list themselves, because no voter supplies it. */
+#define FALLBACK_AGE                                                                               \
+  (2500 * FT_MS) /* two passes of the voter that reads for all have been missed */
+#define FALLBACK_AGE_FOR_OTHERS (1 * FT_SECOND) /* as often as a single voter reads */
+#define FALLBACK_AGE_PER_CALL                                                                      \
+  (60 * FT_MS) /* added for each call of a pass: long passes take longer and start less often */
+#define FALLBACK_INTERVAL_MIN (1500 * FT_MS)
+#define FALLBACK_RATE_SHARE   0.3 /* part of the platform's rate that they use together */
+#define SERVERS_PER_PAGE      50  /* servers on a page, as observed */
+
+/* For a voter that reads for all instances. */
+#define VOTER_INTERVAL                                                                             \
+  (700 * FT_MS) /* two passes and the distribution take well less than the shortest drain time */
+#define VOTER_INTERVAL_ALONE (1200 * FT_MS) /* for a voter that is not in charge */
+#define VOTER_INTERVAL_PER_CALL                                                                    \
+  (110 * FT_MS) /* interval for each call of a long pass, since calls are expensive ... */
+#define VOTER_DRAIN_RESERVE                                                                        \
+  (1400 * FT_MS) /* ... up to the drain time less this: a pass of a second and the distribution */
+#define VOTER_RATE_SHARE 0.5 /* part of the platform's rate */
 
 struct Reader
 {
@@ -39,12 +40,13 @@
   ReaderDone done;
   void *host;
   HXfer *xfer;
-  LoopTimer timer, again;
-  char *page;      /* asked for last; NULL: the first */
+  LoopTimer timeout, page_retry;
+  char *page;      /* requested last; NULL: the first page */
   GArray *servers; /* SeamServer */
   GString *body;
-  unsigned status, pages, pages_before; /* of this pass; of the last whole one */
-  unsigned spoilt, spoilt_before; /* entries that named no server in this pass; in the last one */
+  unsigned status, pages, last_pages; /* of this pass; of the last complete pass */
+  unsigned invalid,
+      last_invalid; /* list items that name no server, in this pass; in the last one */
   int64_t asked_at;
   bool busy;
 };
@@ -52,13 +54,13 @@
 static void
 finish (Reader *reader, const char *why)
 {
-  loop_timer_stop (reader->loop, &reader->timer);
-  loop_timer_stop (reader->loop, &reader->again);
+  loop_timer_stop (reader->loop, &reader->timeout);
+  loop_timer_stop (reader->loop, &reader->page_retry);
   reader->xfer = NULL;
   reader->busy = false;
   if (why == NULL)
-    reader->pages_before = reader->pages;
-  reader->spoilt_before = reader->spoilt;
+    reader->last_pages = reader->pages;
+  reader->last_invalid = reader->invalid;
   reader->done (reader->host, why ? NULL : reader->servers, reader->asked_at, why);
   g_array_set_size (reader->servers, 0);
 }
@@ -76,16 +78,16 @@
   g_string_append_len (((Reader *) user)->body, data, (gssize) size);
 }
 
-/* Said once for each time that their number grows: the list is read every second. */
+/* Logged only when their number has grown, since the list is read every second. */
 static void
-note_spoilt (const Reader *reader, const char *first)
+log_invalid (const Reader *reader, const char *first)
 {
-  if (reader->spoilt > reader->spoilt_before)
-    jlog (JLOG_WARN, "list-entry", NULL, JL_INT ("spoilt", reader->spoilt),
+  if (reader->invalid > reader->last_invalid)
+    jlog (JLOG_WARN, "list-entry", NULL, JL_INT ("spoilt", reader->invalid),
           JL_INT ("page", reader->pages), JL_TEXT ("first", first));
 }
 
-static void ask (Reader *reader);
+static void request_page (Reader *reader);
 
 static void
 on_end (void *user)
@@ -95,12 +97,13 @@
   char *next = NULL;
 
   reader->xfer = NULL;
-  /* Failure: others read the list too, and one call in a pass of many is over the rate. Symptom:
-   * the whole pass is thrown away and begun anew, with all its calls. Only that page is asked for
-   * again, until the pass takes too long. */
+  /* Other instances read the list, too, and one of the many calls of a pass may exceed the rate.
+   * Only that page is requested again, until the pass takes too long; a new pass would repeat all
+   * its calls. */
   if (reader->status == 429)
     {
-      loop_timer_set (reader->loop, &reader->again, loop_now (reader->loop) + PAGE_AGAIN);
+      loop_timer_set (reader->loop, &reader->page_retry,
+                      loop_now (reader->loop) + PAGE_RETRY_DELAY);
       return;
     }
   if (reader->status != 200)
@@ -108,19 +111,19 @@
       finish (reader, "refused");
       return;
     }
-  unsigned spoilt = reader->spoilt;
+  unsigned invalid = reader->invalid;
   FtStatus status = reader->seam->read_list (reader->body->str, reader->body->len, reader->servers,
-                                             &next, &reader->spoilt, &error);
-  if (reader->spoilt > spoilt)
-    note_spoilt (reader, error.text);
+                                             &next, &reader->invalid, &error);
+  if (reader->invalid > invalid)
+    log_invalid (reader, error.text);
   if (status != FT_OK)
     finish (reader, error.text);
-  else if (next && reader->pages < PAGES_MOST)
+  else if (next && reader->pages < PAGES_MAX)
     {
       g_free (reader->page);
       reader->page = g_steal_pointer (&next);
       reader->pages++;
-      ask (reader);
+      request_page (reader);
     }
   else
     finish (reader, NULL);
@@ -136,9 +139,9 @@
 static const HXferOps ops = { on_head, on_body, on_end, on_failed };
 
 static void
-ask (Reader *reader)
+request_page (Reader *reader)
 {
-  HCliTarget target = { reader->addr, "list", CONNECT_MOST, IDLE_MOST, false };
+  HCliTarget target = { reader->addr, "list", CONNECT_TIMEOUT, IDLE_MAX, false };
   GString *request = g_string_new (NULL);
 
   g_string_truncate (reader->body, 0);
@@ -150,15 +153,15 @@
 }
 
 static void
-on_again (LoopTimer *timer)
+on_page_retry (LoopTimer *timer)
 {
-  ask ((Reader *) ((char *) timer - offsetof (Reader, again)));
+  request_page ((Reader *) ((char *) timer - offsetof (Reader, page_retry)));
 }
 
 static void
-on_timer (LoopTimer *timer)
+on_timeout (LoopTimer *timer)
 {
-  Reader *reader = (Reader *) ((char *) timer - offsetof (Reader, timer));
+  Reader *reader = (Reader *) ((char *) timer - offsetof (Reader, timeout));
 
   if (reader->xfer)
     hxfer_cancel (reader->xfer);
@@ -176,8 +179,8 @@
   reader->addr = list;
   reader->done = done;
   reader->host = host;
-  reader->timer.fire = on_timer;
-  reader->again.fire = on_again;
+  reader->timeout.fire = on_timeout;
+  reader->page_retry.fire = on_page_retry;
   reader->body = g_string_new (NULL);
   reader->servers = g_array_new (FALSE, TRUE, sizeof (SeamServer));
   g_array_set_clear_func (reader->servers, seam_server_clear);
@@ -191,8 +194,8 @@
     return;
   if (reader->xfer)
     hxfer_cancel (reader->xfer);
-  loop_timer_stop (reader->loop, &reader->timer);
-  loop_timer_stop (reader->loop, &reader->again);
+  loop_timer_stop (reader->loop, &reader->timeout);
+  loop_timer_stop (reader->loop, &reader->page_retry);
   g_free (reader->page);
   g_array_unref (reader->servers);
   g_string_free (reader->body, TRUE);
@@ -208,55 +211,57 @@
 unsigned
 reader_last_pages (const Reader *reader)
 {
-  return MAX (reader->pages_before, 1);
+  return MAX (reader->last_pages, 1);
 }
 
 unsigned
 reader_estimate_calls (const Reader *reader, unsigned servers)
 {
-  return MAX (reader_last_pages (reader), servers / PAGE_SERVERS);
+  return MAX (reader_last_pages (reader), servers / SERVERS_PER_PAGE);
 }
 
-/* Failure: a list of 60 pages is read by a voter for a second, and is older than the entries bear
- * when it comes. Symptom: 291 entries read it too, 36,000 calls in 20 s; each is over the rate, so
- * are the voter's, and nobody knows of a change any more. What is borne, and how often each reads,
- * follow the number of calls. */
+/* The age limit and the interval grow with the number of calls. A voter needs a second for a list
+ * of 60 pages, and with a fixed age limit 291 entries found the list too old when it came and
+ * read it, too: 36,000 calls in 20 s exceeded the platform's rate, the voter's calls failed with
+ * them, and no instance learned of changes. */
 int64_t
-reader_max_age (const ReaderFallback *need)
+reader_max_age (const ReaderFallback *fallback)
 {
-  return (need->for_others ? AGE_FOR_ALL : AGE_BORNE) + need->calls * AGE_CALL;
+  return (fallback->for_others ? FALLBACK_AGE_FOR_OTHERS : FALLBACK_AGE)
+         + fallback->calls * FALLBACK_AGE_PER_CALL;
 }
 
 int64_t
-reader_fallback_interval (const ReaderFallback *need)
+reader_fallback_interval (const ReaderFallback *fallback)
 {
-  double rate = MAX (need->rate * RATE_PART, 0.01);
-  double shared = 1e6 * need->calls * need->readers / rate;
+  double rate = MAX (fallback->rate * FALLBACK_RATE_SHARE, 0.01);
+  double shared = 1e6 * fallback->calls * fallback->readers / rate;
 
-  if (need->for_others)
-    return MAX (AGE_FOR_ALL, (int64_t) (1e6 * need->calls / rate));
-  return MAX (EVERY_LEAST, (int64_t) shared);
+  if (fallback->for_others)
+    return MAX (FALLBACK_AGE_FOR_OTHERS, (int64_t) (1e6 * fallback->calls / rate));
+  return MAX (FALLBACK_INTERVAL_MIN, (int64_t) shared);
 }
 
-/* Failure: a part of a thousand entries is cut off and each reads the list, 15 calls, in the same
- * moment. Symptom: thousands of calls in a second, far beyond the platform's rate. They begin at
- * different moments of the time that all of them together need. */
+/* First passes are spread over the time that all readers need together. When a thousand entries
+ * are cut off, each would read the list of 15 calls in the same moment, far beyond the platform's
+ * rate. */
 int64_t
-reader_first_delay (const ReaderFallback *need, uint64_t draw)
+reader_first_delay (const ReaderFallback *fallback, uint64_t draw)
 {
-  int64_t beyond = reader_fallback_interval (need) - EVERY_LEAST;
+  int64_t spread = reader_fallback_interval (fallback) - FALLBACK_INTERVAL_MIN;
 
-  return need->for_others || beyond <= 0 ? 0 : (int64_t) (draw % (uint64_t) beyond);
+  return fallback->for_others || spread <= 0 ? 0 : (int64_t) (draw % (uint64_t) spread);
 }
 
 int64_t
-reader_pass_interval (const ReaderSchedule *plan)
+reader_pass_interval (const ReaderSchedule *schedule)
 {
-  int64_t least = plan->in_charge ? LIST_EVERY : LIST_ALONE;
-  int64_t most = MAX (least, plan->drain_us - LIST_PUSH);
-  double rate = MAX (plan->rate * LIST_PART, 1);
+  int64_t min = schedule->in_charge ? VOTER_INTERVAL : VOTER_INTERVAL_ALONE;
+  int64_t max = MAX (min, schedule->drain_us - VOTER_DRAIN_RESERVE);
+  double rate = MAX (schedule->rate * VOTER_RATE_SHARE, 1);
 
-  return MAX (CLAMP (plan->calls * LIST_CALL, least, most), (int64_t) (plan->calls / rate * 1e6));
+  return MAX (CLAMP (schedule->calls * VOTER_INTERVAL_PER_CALL, min, max),
+              (int64_t) (schedule->calls / rate * 1e6));
 }
 
 void
@@ -268,8 +273,8 @@
   g_clear_pointer (&reader->page, g_free);
   reader->pages = 1;
   reader->status = 0;
-  reader->spoilt = 0;
+  reader->invalid = 0;
   reader->asked_at = loop_now (reader->loop);
-  loop_timer_set (reader->loop, &reader->timer, reader->asked_at + PASS_MOST);
-  ask (reader);
+  loop_timer_set (reader->loop, &reader->timeout, reader->asked_at + PASS_TIMEOUT);
+  request_page (reader);
 }
--- a/node/spent.c
+++ b/node/spent.c
@@ -1,42 +1,41 @@
-/* spent.c - an entry's memory of what it was given, for schedulers that take over.
+/* spent.c - what was granted to an entry of the limits, to be told to schedulers that take over.
  *
- * Failure: an entry goes from scheduler to scheduler, on a lossy link several times a second.
- * Symptom: each gives it a part of a limit, and the organisation passes it. So each is told what
- * the others gave since it was asked last, and how full the last of them reported the account.
+ * An entry on a lossy link changes schedulers several times a second. Each would grant it a part of
+ * a limit, and the organisation would exceed it. So each scheduler is told what the others granted
+ * since it was last asked, and how full the last of them reported the account.
  *
- * Failure: a scheduler takes over that was asked last a minute ago. Symptom: it is told what others
- * gave in that minute, which has long been refilled, and refuses organisations well within their
- * limits for seconds. So what was given is forgotten after the time in which a burst refills, and
- * each amount comes with the time since which it was given.
+ * A scheduler that was last asked a minute ago must not be told of the whole minute's grants. The
+ * account has long been refilled, and organisations well within their limits would be refused for
+ * seconds. So grants are forgotten after the time in which a burst refills, and each amount comes
+ * with the time within which it was granted.
  */
 #include "spent.h"
 
-#define REPORT_MOST                                                                                \
-  (2 * FT_SECOND) /* older reports are not passed on, nor what was given before: bursts refill     \
-                     within that */
-#define SPANS 8   /* in that time, counted apart: an eighth of it is told too long or too short */
-#define SPAN  (REPORT_MOST / SPANS)
+#define REPORT_AGE_MAX                                                                             \
+  (2 * FT_SECOND) /* older reports and grants are not passed on: bursts refill within this time */
+#define SLICES 8  /* counted separately; a grant is forgotten up to one slice off */
+#define SLICE  (REPORT_AGE_MAX / SLICES)
 
 typedef struct
 {
-  double full; /* 0 to 1 */
+  double fill; /* 0 to 1 */
   int64_t at;
-  const void *from; /* NULL: the own scheduler, or one whose link is down */
+  const void *from; /* NULL: the own scheduler, or one whose link has gone down */
 } Report;
 
-/* What others gave of one organisation's limit and one scheduler was not told yet. */
+/* What other schedulers granted of one organisation's limit and one scheduler has not been told. */
 typedef struct
 {
-  double amounts[SPANS];
-  int64_t span; /* number of the newest; those before it lie before it, around the end */
+  double amounts[SLICES];
+  int64_t slice; /* number of the latest slice; amounts is a ring indexed by it modulo SLICES */
   int64_t told_at;
 } Untold;
 
 struct Spent
 {
   FtClock *clock;
-  GHashTable *untold;  /* scheduler: table of organisation: Untold */
-  GHashTable *reports; /* organisation: Report */
+  GHashTable *untold;  /* scheduler -> table of organisation -> Untold */
+  GHashTable *reports; /* organisation -> Report */
 };
 
 static void
@@ -66,9 +65,9 @@
   g_free (spent);
 }
 
-/* A scheduler that is new to this entry counts from now on. */
+/* The table of a scheduler. For one that is new to this entry only grants from now on count. */
 static GHashTable *
-untold_to (Spent *spent, const void *scheduler)
+untold_table (Spent *spent, const void *scheduler)
 {
   GHashTable *table = g_hash_table_lookup (spent->untold, scheduler);
 
@@ -80,16 +79,16 @@
 }
 
 static void
-forget_old_spans (Untold *untold, int64_t span)
+clear_old_slices (Untold *untold, int64_t slice)
 {
-  if (span - untold->span >= SPANS)
-    untold->span = span - SPANS;
-  while (untold->span < span)
-    untold->amounts[++untold->span % SPANS] = 0;
+  if (slice - untold->slice >= SLICES)
+    untold->slice = slice - SLICES;
+  while (untold->slice < slice)
+    untold->amounts[++untold->slice % SLICES] = 0;
 }
 
 static Untold *
-untold_of (Spent *spent, GHashTable *table, const char *org)
+untold_entry (Spent *spent, GHashTable *table, const char *org)
 {
   Untold *untold = g_hash_table_lookup (table, org);
   int64_t now = ft_clock_now (spent->clock);
@@ -97,11 +96,11 @@
   if (untold == NULL)
     {
       untold = g_new0 (Untold, 1);
-      untold->span = now / SPAN;
+      untold->slice = now / SLICE;
       untold->told_at = now;
       g_hash_table_insert (table, g_strdup (org), untold);
     }
-  forget_old_spans (untold, now / SPAN);
+  clear_old_slices (untold, now / SLICE);
   return untold;
 }
 
@@ -112,35 +111,35 @@
   gpointer other, table;
 
   if (scheduler)
-    untold_to (spent, scheduler);
+    untold_table (spent, scheduler);
   g_hash_table_iter_init (&iter, spent->untold);
   while (g_hash_table_iter_next (&iter, &other, &table))
     if (other != scheduler)
       {
-        Untold *untold = untold_of (spent, table, org);
-        untold->amounts[untold->span % SPANS] += cost;
+        Untold *untold = untold_entry (spent, table, org);
+        untold->amounts[untold->slice % SLICES] += cost;
       }
 }
 
 double
 spent_take_untold (Spent *spent, const void *scheduler, const char *org, int64_t *for_us)
 {
-  Untold *untold = untold_of (spent, untold_to (spent, scheduler), org);
+  Untold *untold = untold_entry (spent, untold_table (spent, scheduler), org);
   int64_t now = ft_clock_now (spent->clock);
   double sum = 0;
 
-  for (unsigned i = 0; i < SPANS; i++)
+  for (unsigned i = 0; i < SLICES; i++)
     {
       sum += untold->amounts[i];
       untold->amounts[i] = 0;
     }
-  *for_us = MIN (now - untold->told_at, REPORT_MOST);
+  *for_us = MIN (now - untold->told_at, REPORT_AGE_MAX);
   untold->told_at = now;
   return sum;
 }
 
 void
-spent_record_report (Spent *spent, const void *scheduler, const char *org, double full)
+spent_record_report (Spent *spent, const void *scheduler, const char *org, double fill)
 {
   Report *report = g_hash_table_lookup (spent->reports, org);
 
@@ -149,20 +148,20 @@
       report = g_new0 (Report, 1);
       g_hash_table_insert (spent->reports, g_strdup (org), report);
     }
-  *report = (Report){ full, ft_clock_now (spent->clock), scheduler };
+  *report = (Report){ fill, ft_clock_now (spent->clock), scheduler };
 }
 
 bool
-spent_latest_report (const Spent *spent, const void *scheduler, const char *org, double *full,
+spent_latest_report (const Spent *spent, const void *scheduler, const char *org, double *fill,
                      int64_t *age_us)
 {
   const Report *report = g_hash_table_lookup (spent->reports, org);
 
   if (report == NULL || report->from == scheduler)
     return false;
-  *full = report->full;
+  *fill = report->fill;
   *age_us = ft_clock_now (spent->clock) - report->at;
-  return *age_us <= REPORT_MOST;
+  return *age_us <= REPORT_AGE_MAX;
 }
 
 void
--- a/node/spent.h
+++ b/node/spent.h
@@ -1,7 +1,6 @@
-/* spent.h - what schedulers gave this entry of organisations' limits, and what each must be told.
- *
- * A scheduler is known by its peer's address; NULL is the entry's own. No I/O.
- */
+/* spent.h - how much of the organisations' limits schedulers granted to this entry, and what each
+ * scheduler must be told of the others' grants. A scheduler is identified by the address of its
+ * MeshPeer; NULL is the entry's own. No I/O. */
 #ifndef SPENT_H
 #define SPENT_H
 
@@ -11,21 +10,22 @@
 
 Spent *spent_new (FtClock *clock);
 void spent_free (Spent *spent);
-/* The scheduler gave this entry so much of the organisation's limit. */
+/* The scheduler granted this entry cost of the organisation's limit. */
 void spent_record_grant (Spent *spent, const void *scheduler, const char *org, double cost);
-/* What others gave since the scheduler was last told, in the latest seconds; 0 when it is asked for
- * the first time. It counts as told from now on. *for_us: the time in which that was given. */
+/* What other schedulers granted since this one was last told, over the last two seconds at most;
+ * 0 for one that is new. Counts as told from now on. *for_us: the time within which it was
+ * granted. */
 double spent_take_untold (Spent *spent, const void *scheduler, const char *org, int64_t *for_us);
 /* The scheduler has reported how full the organisation's account is, 0 to 1. */
-void spent_record_report (Spent *spent, const void *scheduler, const char *org, double full);
-/* The newest report of another scheduler than this one: how full the account was, and how long ago,
- * microseconds. False: there is none recent enough. */
-bool spent_latest_report (const Spent *spent, const void *scheduler, const char *org, double *full,
+void spent_record_report (Spent *spent, const void *scheduler, const char *org, double fill);
+/* The latest report on the account: how full it was, 0 to 1, and its age in microseconds. False:
+ * it came from this scheduler, or there is none of the last two seconds. */
+bool spent_latest_report (const Spent *spent, const void *scheduler, const char *org, double *fill,
                           int64_t *age_us);
-/* Names of all organisations of which the scheduler may be told something, borrowed; added to out.
- */
+/* Appends to out the names, borrowed, of all organisations of which the scheduler may have to be
+ * told something. */
 void spent_orgs (const Spent *spent, const void *scheduler, GPtrArray *out);
-/* The scheduler's link is down: on a new one it counts as another. */
+/* The scheduler's link is down. On a new link it counts as a new scheduler. */
 void spent_forget_scheduler (Spent *spent, const void *scheduler);
 
 #endif
