--- a/node/servers.c
+++ b/node/servers.c
@@ -1,10 +1,11 @@
-/* servers.c - of two lists the one that was asked for later counts, whoever read it.
+/* servers.c - holds the newest list of servers: of two lists the one that was requested from the
+ * platform later counts, whichever instance requested it.
  *
- * With thousands of servers before hundreds of instances the list is megabytes a second if it is
- * sent whole at each change.
- * So each change of the list is a step; of the latest steps it is known which servers they changed,
- * and whoever holds the list of one of them is sent what has changed since. Who holds another one
- * hears the digest and asks for the whole, in compressed form.
+ * With thousands of servers and hundreds of instances, sending the whole list at each change would
+ * take megabytes a second. So each change of the list is a numbered step, and for the latest steps
+ * the changed servers are known. A peer that holds the list of one of these steps is sent what has
+ * changed since. Any other peer receives the digest and requests the whole list, which is
+ * compressed.
  */
 #include "serversint.h"
 #include "codec.h"
@@ -12,10 +13,9 @@
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define WANT_AGAIN                                                                                 \
-  (600 * FT_MS) /* a whole list of 3,000 servers, 60 KB, takes 50 ms on 10 Mbit/s; hundreds that   \
-                   ask at once are served within half a second */
+#define REQUEST_TIMEOUT                                                                            \
+  (600 * FT_MS) /* a whole list of 3,000 servers, 60 KB, takes 50 ms on 10 Mbit/s; hundreds of     \
+                   instances that request it at once are served within half a second */
 
 static void
 removed_clear (void *data)
@@ -24,7 +24,7 @@
 }
 
 static void
-forget_packed (Servers *servers)
+clear_packed (Servers *servers)
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (servers->packed); i++)
     g_clear_pointer (&servers->packed[i], g_bytes_unref);
@@ -55,7 +55,7 @@
   g_hash_table_unref (servers->messages);
   g_hash_table_unref (servers->changed_in);
   g_array_unref (servers->removed);
-  forget_packed (servers);
+  clear_packed (servers);
   g_free (servers);
 }
 
@@ -63,11 +63,11 @@
 set_asked_at (Servers *servers, int64_t asked_at)
 {
   servers->asked_at = asked_at;
-  g_hash_table_remove_all (servers->messages); /* which say how old the list is */
+  g_hash_table_remove_all (servers->messages); /* the messages contain the age of the list */
 }
 
-/* The digest does not depend on the order, so that a list made of changes has the one of the whole.
- */
+/* The sum of these does not depend on the order, so that a list that was updated by changes has
+ * the digest of the same list sent whole. */
 static guint
 server_digest (const SeamServer *server)
 {
@@ -92,7 +92,7 @@
 }
 
 static SeamServer
-copy_of (const SeamServer *from)
+copy_server (const SeamServer *from)
 {
   SeamServer out = *from;
 
@@ -105,7 +105,7 @@
 }
 
 static void
-forget_old_steps (Servers *servers)
+drop_old_steps (Servers *servers)
 {
   unsigned old = 0;
 
@@ -120,24 +120,24 @@
 begin_step (Servers *servers)
 {
   servers->step++;
-  forget_packed (servers);
+  clear_packed (servers);
 }
 
 static void
 end_step (Servers *servers)
 {
   servers->digests[servers->step % STEPS_KEPT] = servers->digest;
-  forget_old_steps (servers);
+  drop_old_steps (servers);
 }
 
 static void
-note_changed (Servers *servers, const char *id)
+record_changed (Servers *servers, const char *id)
 {
   g_hash_table_replace (servers->changed_in, g_strdup (id), GUINT_TO_POINTER (servers->step));
 }
 
 static void
-note_removed (Servers *servers, const char *id)
+record_removed (Servers *servers, const char *id)
 {
   Removed removed = { g_strdup (id), servers->step };
 
@@ -145,31 +145,31 @@
   g_hash_table_remove (servers->changed_in, id);
 }
 
-/* Notes what the list held changes against the one before. */
+/* Records as a step how the held list differs from the old one. */
 static void
-note_step (Servers *servers, const GArray *old, GHashTable *old_by_id)
+record_step (Servers *servers, const GArray *old, GHashTable *old_by_id)
 {
   begin_step (servers);
   for (unsigned i = 0; i < servers->list->len; i++)
     {
-      const SeamServer *now = &g_array_index (servers->list, SeamServer, i);
-      unsigned at = GPOINTER_TO_UINT (g_hash_table_lookup (old_by_id, now->id));
+      const SeamServer *server = &g_array_index (servers->list, SeamServer, i);
+      unsigned at = GPOINTER_TO_UINT (g_hash_table_lookup (old_by_id, server->id));
       if (at == 0
-          || server_digest (now) != server_digest (&g_array_index (old, SeamServer, at - 1)))
-        note_changed (servers, now->id);
+          || server_digest (server) != server_digest (&g_array_index (old, SeamServer, at - 1)))
+        record_changed (servers, server->id);
     }
   for (unsigned i = 0; i < old->len; i++)
     {
       const char *id = g_array_index (old, SeamServer, i).id;
       if (servers_find (servers, id) == NULL)
-        note_removed (servers, id);
+        record_removed (servers, id);
     }
   end_step (servers);
 }
 
-/* Puts list, whose servers are taken over, in the place of the one held. */
+/* Replaces the held list by list, and takes ownership of it. */
 static void
-replace (Servers *servers, GArray *list, int64_t asked_at)
+replace_list (Servers *servers, GArray *list, int64_t asked_at)
 {
   GArray *old = servers->list;
   GHashTable *old_by_id = servers->by_id;
@@ -180,7 +180,7 @@
   set_asked_at (servers, asked_at);
   index_list (servers);
   if (servers->digest != before)
-    note_step (servers, old, old_by_id);
+    record_step (servers, old, old_by_id);
   g_hash_table_unref (old_by_id);
   g_array_unref (old);
 }
@@ -194,12 +194,13 @@
   return list;
 }
 
-/* Failure: a server starts again under the name that it had, and a list that lags shows its earlier
- * lifetime once more. Symptom: the new one is forgotten, and what was learned of the old one, its
- * connections and its places are taken for the new one's. A lifetime is (name, start): of two the
- * later counts, whichever was heard last, and of two words on one the one that it is leaving. */
+/* Notes the newest lifetime of each server name. When a server restarts under its old name, a
+ * list that lags shows the earlier lifetime once more; taking that would drop the new server, and
+ * apply the old one's connections, places and health to it. A lifetime is (name, start): the
+ * later start counts, whichever was heard last, and of two records of one lifetime the one that
+ * shows it leaving. */
 static void
-note_lifetime (GHashTable *newest, const SeamServer *server)
+keep_newest_lifetime (GHashTable *newest, const SeamServer *server)
 {
   const SeamServer *known = g_hash_table_lookup (newest, server->name);
 
@@ -211,33 +212,33 @@
 bool
 servers_apply_read (Servers *servers, const GArray *from, int64_t asked_at)
 {
-  GHashTable *newest, *put;
+  GHashTable *newest, *added;
 
   if (asked_at <= servers->asked_at)
     return false;
   newest = g_hash_table_new (g_str_hash, g_str_equal);
-  put = g_hash_table_new (g_str_hash, g_str_equal);
+  added = g_hash_table_new (g_str_hash, g_str_equal);
   GArray *list = new_list ();
   for (unsigned i = 0; i < from->len; i++)
-    note_lifetime (newest, &g_array_index (from, SeamServer, i));
+    keep_newest_lifetime (newest, &g_array_index (from, SeamServer, i));
   for (unsigned i = 0; i < servers->list->len; i++)
     {
       const SeamServer *held = &g_array_index (servers->list, SeamServer, i);
       const SeamServer *listed = g_hash_table_lookup (newest, held->name);
       if (listed && listed->born_ms < held->born_ms)
-        note_lifetime (newest, held);
+        keep_newest_lifetime (newest, held);
     }
   for (unsigned i = 0; i < from->len; i++)
     {
       const char *name = g_array_index (from, SeamServer, i).name;
-      if (!g_hash_table_add (put, (gpointer) name))
+      if (!g_hash_table_add (added, (gpointer) name))
         continue;
-      SeamServer server = copy_of (g_hash_table_lookup (newest, name));
+      SeamServer server = copy_server (g_hash_table_lookup (newest, name));
       g_array_append_val (list, server);
     }
-  replace (servers, list, asked_at);
+  replace_list (servers, list, asked_at);
   g_hash_table_unref (newest);
-  g_hash_table_unref (put);
+  g_hash_table_unref (added);
   return true;
 }
 
@@ -267,7 +268,7 @@
     {
       SeamServer *held = &g_array_index (servers->list, SeamServer, at - 1);
       servers->digest -= server_digest (held);
-      g_hash_table_remove (servers->by_id, held->id); /* whose key it is */
+      g_hash_table_remove (servers->by_id, held->id); /* its key is held->id */
       seam_server_clear (held);
       *held = server;
     }
@@ -278,7 +279,7 @@
     }
   g_hash_table_insert (servers->by_id, server.id, GUINT_TO_POINTER (at));
   servers->digest += server_digest (&server);
-  note_changed (servers, server.id);
+  record_changed (servers, server.id);
 }
 
 static void
@@ -290,7 +291,7 @@
     return;
   servers->digest -= server_digest (&g_array_index (servers->list, SeamServer, at - 1));
   g_hash_table_remove (servers->by_id, id);
-  note_removed (servers, id);
+  record_removed (servers, id);
   g_array_remove_index_fast (servers->list, at - 1);
   if (at > servers->list->len)
     return;
@@ -298,8 +299,8 @@
   g_hash_table_replace (servers->by_id, moved->id, GUINT_TO_POINTER (at));
 }
 
-/* Failure: an entry copies 3,000 servers to change one. Symptom: with an eighth of a core its
- * callers wait 25 ms at each change of the list. */
+/* Changes the list in place. Copying 3,000 servers to change one delayed callers by 25 ms at each
+ * change, on an eighth of a core. */
 static void
 apply_changes (Servers *servers, const MeshList *from)
 {
@@ -312,7 +313,7 @@
 }
 
 static void
-take_whole (Servers *servers, const MeshList *from, int64_t asked_at)
+apply_whole (Servers *servers, const MeshList *from, int64_t asked_at)
 {
   GArray *list = new_list ();
 
@@ -321,7 +322,7 @@
       SeamServer server = from_message (&from->servers.servers_val[i]);
       g_array_append_val (list, server);
     }
-  replace (servers, list, asked_at);
+  replace_list (servers, list, asked_at);
 }
 
 ServersResult
@@ -341,7 +342,7 @@
     return SERVERS_UNKNOWN_BASE;
   if (from->kind == MESH_LIST_WHOLE)
     {
-      take_whole (servers, from, asked_at);
+      apply_whole (servers, from, asked_at);
       return SERVERS_APPLIED;
     }
   apply_changes (servers, from);
@@ -353,33 +354,33 @@
 servers_apply_packed (Servers *servers, const MeshPackedList *packed, int64_t now)
 {
   GBytes *bytes = squeeze_unpack (packed->list.list_val, packed->list.list_len);
-  ServersResult taken = SERVERS_UNKNOWN_BASE;
+  ServersResult result = SERVERS_UNKNOWN_BASE;
   MeshList list = { 0 };
   gsize size = 0;
 
-  servers->wanted_at = 0;
+  servers->requested_at = 0;
   if (bytes == NULL)
     return SERVERS_UNKNOWN_BASE;
   const void *data = g_bytes_get_data (bytes, &size);
   if (codec_unpack (CODEC (MeshList), data, size, &list, NULL) == FT_OK)
     {
       list.age_us = packed->age_us;
-      taken = servers_apply_message (servers, &list, now);
+      result = servers_apply_message (servers, &list, now);
     }
   codec_clear (CODEC (MeshList), &list);
   g_bytes_unref (bytes);
-  return taken;
+  return result;
 }
 
-/* Failure: hundreds of instances start at once and hear of a list from each voter. Symptom: each is
- * sent it by all of them, and grants wait behind these megabytes on every link. One is asked; the
- * others only when it has not answered in time. */
+/* Only one peer is asked for the whole list, others only when it has not answered in time. When
+ * hundreds of instances start at once and hear of a list from each voter, each would be sent it
+ * by all of them, and grants would wait behind these megabytes on every link. */
 bool
 servers_may_request (Servers *servers, int64_t now)
 {
-  if (servers->wanted_at && now - servers->wanted_at < WANT_AGAIN)
+  if (servers->requested_at && now - servers->requested_at < REQUEST_TIMEOUT)
     return false;
-  servers->wanted_at = now;
+  servers->requested_at = now;
   return true;
 }
 
@@ -427,8 +428,8 @@
 bool
 servers_poll_changed (Servers *servers)
 {
-  bool changed = servers->digest != servers->digest_seen;
+  bool changed = servers->digest != servers->polled_digest;
 
-  servers->digest_seen = servers->digest;
+  servers->polled_digest = servers->digest;
   return changed;
 }
--- a/node/servers.h
+++ b/node/servers.h
@@ -1,4 +1,5 @@
-/* servers.h - the backend servers that an instance knows, from the newest list it has heard. */
+/* servers.h - the list of backend servers that an instance holds, taken from the platform or from
+ * other instances. */
 #ifndef SERVERS_H
 #define SERVERS_H
 
@@ -10,49 +11,55 @@
 
 Servers *servers_new (void);
 void servers_free (Servers *servers);
-/* Takes a list that was asked for at asked_at over, if that is newer than what is held. True: it
- * was. */
+/* Replaces the held list by one that was requested from the platform at asked_at. False: the held
+ * one is as new. */
 bool servers_apply_read (Servers *servers, const GArray *list, int64_t asked_at);
 
 typedef enum
 {
   SERVERS_APPLIED,
-  SERVERS_STALE,       /* what is held is as new */
-  SERVERS_UNKNOWN_BASE /* it tells changes against a list that is not held: ask for it whole */
+  SERVERS_STALE,       /* the held list is as new */
+  SERVERS_UNKNOWN_BASE /* the changes are relative to a list that is not held here: request the
+                          whole list */
 } ServersResult;
 
+/* Applies a list, or changes to one, that a peer sent. */
 ServersResult servers_apply_message (Servers *servers, const MeshList *list, int64_t now);
-/* The same for a packed list. One that cannot be read is SERVERS_UNKNOWN_BASE. */
+/* The same for a compressed list. SERVERS_UNKNOWN_BASE if it cannot be decompressed or decoded. */
 ServersResult servers_apply_packed (Servers *servers, const MeshPackedList *packed, int64_t now);
-/* May the list be asked for whole at now? Not while an earlier question may still be answered. */
+/* True if the whole list may be requested now, that is, no earlier request can still be answered.
+ * True also counts as a request. */
 bool servers_may_request (Servers *servers, int64_t now);
-/* When the list held was asked for; 0: none yet. */
+/* When the held list was requested from the platform; 0: none is held yet. */
 int64_t servers_asked_at (const Servers *servers);
 /* NULL: not on the list. */
 const SeamServer *servers_find (const Servers *servers, const char *id);
 unsigned servers_count (const Servers *servers);
-/* Hands the list to a scheduler. */
+/* Passes the list to a scheduler. */
 void servers_give_to (const Servers *servers, Sched *sched);
 
-/* Digests of lists that somebody may hold, beside those of real lists. */
+/* Values of held for a peer whose list is unknown, and for one that holds none. */
 #define SERVERS_HELD_UNKNOWN 0
-#define SERVERS_HELD_NONE    1 /* that of a list without servers */
+#define SERVERS_HELD_NONE    1 /* the digest of an empty list */
 
-/* The list as a message to somebody who holds the one with digest held: its changes since then, or
- * only its digest. It borrows from servers; free it with servers_clear_message. */
+/* Builds the message for a peer that holds the list with digest held: the changes since then, or
+ * only the digest if they are not known. It borrows from servers; free it with
+ * servers_clear_message. */
 void servers_build_message (const Servers *servers, int64_t now, guint held, MeshList *msg);
 void servers_clear_message (MeshList *msg);
-/* The same in compressed form, or with held SERVERS_HELD_NONE all of it; borrowed from servers
- * until the next call. False: it cannot be packed. */
+/* The same in compressed form, or with held SERVERS_HELD_NONE the whole list; borrowed from
+ * servers until the next call. False: it cannot be encoded. */
 bool servers_build_packed (Servers *servers, int64_t now, guint held, MeshPackedList *msg);
-/* Sends the peer, which holds the list with digest held, what servers_build_message says, in the
- * form that takes fewer bytes; or all of it. False: it cannot be sent. */
+/* Sends the peer, which holds the list with digest held, the message of servers_build_message,
+ * compressed if that is smaller; servers_send_whole sends the whole list. False: it cannot be
+ * sent. */
 bool servers_send (Servers *servers, MeshPeer *peer, int64_t now, guint held);
 bool servers_send_whole (Servers *servers, MeshPeer *peer, int64_t now);
-/* Messages that servers_send has worked out so far; fewer than it has sent. */
+/* Number of messages that servers_send has built so far; each may have been sent to several
+ * peers. */
 uint64_t servers_messages_built (const Servers *servers);
 guint servers_digest (const Servers *servers);
-/* Does the list differ, in more than its age, from what servers_poll_changed saw last? */
+/* True if the list differs, in more than its age, from the one at the last call. */
 bool servers_poll_changed (Servers *servers);
 
 #endif
--- a/node/serversmsg.c
+++ b/node/serversmsg.c
@@ -1,15 +1,13 @@
-/* serversmsg.c - the list of servers as messages: what has changed since the list that the other
- * end holds, all of it in compressed form, or its digest alone.
- */
+/* serversmsg.c - messages that tell peers the list of servers: the changes since the list that
+ * the peer holds, the whole list compressed, or only its digest. */
 #include "serversint.h"
 #include "codec.h"
 #include "squeeze.h"
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define CHANGES_PLAIN                                                                              \
-  16 /* changes that are sent as they are; more are a fifth of the bytes packed */
+#define UNCOMPRESSED_CHANGES_MAX                                                                   \
+  16 /* most changes that are sent uncompressed; more of them compress to a fifth */
 
 static MeshServer
 to_message (const SeamServer *from)
@@ -30,18 +28,18 @@
 }
 
 static unsigned
-step_of (const Servers *servers, guint digest)
+find_step (const Servers *servers, guint digest)
 {
-  unsigned least = servers->step > STEPS_KEPT ? servers->step - STEPS_KEPT + 1 : 1;
+  unsigned oldest = servers->step > STEPS_KEPT ? servers->step - STEPS_KEPT + 1 : 1;
 
-  for (unsigned step = servers->step; step >= least; step--)
+  for (unsigned step = servers->step; step >= oldest; step--)
     if (servers->digests[step % STEPS_KEPT] == digest)
       return step;
   return 0;
 }
 
 static void
-put_changes (const Servers *servers, unsigned since, guint held, MeshList *msg)
+fill_changes (const Servers *servers, unsigned since, guint held, MeshList *msg)
 {
   unsigned count = 0;
 
@@ -68,22 +66,22 @@
 void
 servers_build_message (const Servers *servers, int64_t now, guint held, MeshList *msg)
 {
-  unsigned since = held > SERVERS_HELD_NONE ? step_of (servers, held) : 0;
+  unsigned since = held > SERVERS_HELD_NONE ? find_step (servers, held) : 0;
 
   memset (msg, 0, sizeof *msg);
   msg->age_us = now - servers->asked_at;
   msg->digest = servers->digest;
   msg->kind = MESH_LIST_SAME;
-  /* Failure: a scheduler dies and all entries turn to one deputy, which does not know what list
-   * they hold. Symptom: it sends 17 KB to each of 64 entries over a link of 10 Mbit/s, says nothing
-   * else for a second, and is passed over in its turn. Nearly all hold the same list already; one
-   * that does not says so and gets it whole. */
+  /* Without a known base only the digest is sent. When a scheduler dies and all entries turn to
+   * one deputy, it does not know what lists they hold. Sending 17 KB to each of 64 entries over a
+   * link of 10 Mbit/s would delay its other messages for a second, and it would be skipped in
+   * turn. Nearly all hold the same list already; one that does not requests it whole. */
   if (since > 0 && since < servers->step)
-    put_changes (servers, since, held, msg);
+    fill_changes (servers, since, held, msg);
 }
 
 static void
-put_whole (const Servers *servers, MeshList *msg)
+fill_whole (const Servers *servers, MeshList *msg)
 {
   *msg = (MeshList){ .digest = servers->digest, .kind = MESH_LIST_WHOLE };
   msg->servers.servers_len = MIN (servers->list->len, MESH_SERVERS_MOST);
@@ -93,7 +91,7 @@
 }
 
 static GBytes *
-pack (const MeshList *list)
+compress_list (const MeshList *list)
 {
   GByteArray *plain = codec_pack (CODEC (MeshList), list);
 
@@ -119,10 +117,10 @@
   if (*packed == NULL)
     {
       if (held == SERVERS_HELD_NONE)
-        put_whole (servers, &list);
+        fill_whole (servers, &list);
       else
         servers_build_message (servers, now, held, &list);
-      *packed = pack (&list);
+      *packed = compress_list (&list);
       servers_clear_message (&list);
     }
   if (*packed == NULL)
@@ -134,7 +132,7 @@
 }
 
 static GBytes *
-packed_message (Servers *servers, int64_t now, guint held)
+build_packed_message (Servers *servers, int64_t now, guint held)
 {
   MeshMsg msg = { .kind = MESH_PACKED_LIST };
 
@@ -142,22 +140,22 @@
 }
 
 static GBytes *
-make_message (Servers *servers, int64_t now, guint held)
+build_link_message (Servers *servers, int64_t now, guint held)
 {
   MeshMsg msg = { .kind = MESH_LIST };
   MeshList *list = &msg.MeshMsg_u.list;
 
-  servers->made++;
+  servers->messages_built++;
   servers_build_message (servers, now, held, list);
-  bool many = list->servers.servers_len + list->removed.removed_len > CHANGES_PLAIN;
-  GBytes *out = many ? packed_message (servers, now, held) : mesh_pack (&msg);
+  bool compress = list->servers.servers_len + list->removed.removed_len > UNCOMPRESSED_CHANGES_MAX;
+  GBytes *out = compress ? build_packed_message (servers, now, held) : mesh_pack (&msg);
   servers_clear_message (list);
   return out;
 }
 
-/* Failure: what has changed is worked out anew for each link, by a look at all servers. Symptom:
- * with 1,000 entries and 3,000 servers the voter in charge does nothing else for half a second at
- * each change of the list, and is taken for lost. Links whose ends hold the same list share it. */
+/* The message is built once for all peers that hold the same list. With 1,000 entries and 3,000
+ * servers, building it for each link kept the voter in charge busy for half a second at each
+ * change of the list, and it was taken for lost. */
 bool
 servers_send (Servers *servers, MeshPeer *peer, int64_t now, guint held)
 {
@@ -167,7 +165,7 @@
   GBytes *message = g_hash_table_lookup (servers->messages, GUINT_TO_POINTER (held));
   if (message == NULL)
     {
-      message = make_message (servers, now, held);
+      message = build_link_message (servers, now, held);
       if (message == NULL)
         return false;
       g_hash_table_insert (servers->messages, GUINT_TO_POINTER (held), message);
@@ -178,7 +176,7 @@
 bool
 servers_send_whole (Servers *servers, MeshPeer *peer, int64_t now)
 {
-  GBytes *message = packed_message (servers, now, SERVERS_HELD_NONE);
+  GBytes *message = build_packed_message (servers, now, SERVERS_HELD_NONE);
   bool sent = message && mesh_send_packed (peer, message);
 
   if (message)
@@ -189,7 +187,7 @@
 uint64_t
 servers_messages_built (const Servers *servers)
 {
-  return servers->made;
+  return servers->messages_built;
 }
 
 void
