--- a/node/count.c
+++ b/node/count.c
@@ -1,5 +1,6 @@
-/* count.c - counters need no atomics, since one thread writes them. Histograms have the same
- * fixed bounds in all instances, doubling from 1 ms, so that they can be summed. */
+/* count.c - counters and histograms as plain numbers, since only one thread writes them.
+ * Histograms have the same fixed bounds in all instances, doubling from 1 ms, so that they can be
+ * summed. */
 #include "count.h"
 
 #define BUCKETS 15 /* upper bounds of 1 ms to 16 s; one more bucket is unbounded */
--- a/node/place.c
+++ b/node/place.c
@@ -187,7 +187,7 @@
       if (req->running)
         continue;
       mark_charged (place, req);
-      withdraw (place, req); /* which refunds what the request was charged */
+      withdraw (place, req); /* its scheduler refunds its own charge */
       ask_scheduler (place, req);
     }
 }
--- a/node/try.c
+++ b/node/try.c
@@ -15,7 +15,8 @@
 
 #define CONNECT_TIMEOUT (250 * FT_MS) /* connecting takes one round trip and 1 ms */
 #define REUSE_IDLE_MIN                                                                             \
-  (8 * FT_SECOND) /* for repeatable requests connections idle this long are always reused */
+  (8 * FT_SECOND) /* repeatable requests reuse connections idle this long even where idle ones     \
+                     have broken lately */
 #define STALE_RESET_MAX                                                                            \
   (25 * FT_MS) /* the reset of a connection that the server has dropped arrives within a round     \
                   trip, some 2 ms between failure domains; answers take longer */
