--- a/node/broker.h
+++ b/node/broker.h
@@ -16,7 +16,7 @@
   SeamServer server; /* borrowed; only id, name, addr and leaving are valid. A server that has gone
                         from the list counts as leaving. */
   int64_t listed_at; /* when the list was requested from the platform */
-  int64_t rest_most; /* connections idle for longer are not reused for requests that are not
+  int64_t max_idle_us; /* connections idle for longer are not reused for requests that are not
                         repeatable */
 } Grant;
 
@@ -34,8 +34,8 @@
 /* Call when the server list has changed. servers must outlive the broker. */
 void broker_set_servers (Broker *broker, const Servers *servers);
 /* Sets which parts of the places and of the limits, of organisations and servers, this scheduler
- * may give away; salt as in sched_share. The parts depend on which instances ask: set them after
- * broker_note_asker. */
+ * may give away; salt as in sched_set_share. The parts depend on which instances ask: set them
+ * after broker_note_asker. */
 void broker_set_shares (Broker *broker, double places, double limits, uint64_t salt);
 /* The same for a scheduler that serves all instances. heard: how many of them it hears; lost: how
  * many it has lost lately. */
@@ -51,7 +51,7 @@
 } BrokerConf;
 
 void broker_configure (Broker *broker, const BrokerConf *conf);
-/* See quota_margin. */
+/* See quota_set_margin. */
 void broker_set_margin (Broker *broker, double overage, double slack, double window_s, bool alone);
 /* Grants and refuses what has become due. Call about every 20 ms. */
 void broker_tick (Broker *broker);
@@ -62,7 +62,7 @@
 void broker_adopt (Broker *broker, const SchedAsk *ask, const char *server, double cost);
 void broker_report_first (Broker *broker, uint64_t request, int64_t after_us);
 void broker_report_silence (Broker *broker, uint64_t request);
-/* See sched_notice and sched_notice_before. */
+/* See sched_notice and sched_older_notice. */
 void broker_notice (Broker *broker, uint64_t request, const char *server, const Notice *notice);
 void broker_past_notice (Broker *broker, const char *server, const Notice *notice, int64_t age);
 void broker_end (Broker *broker, uint64_t request, const SchedResult *result);
@@ -92,10 +92,10 @@
 /* Number of linked instances that have told that they ask another scheduler now. */
 unsigned broker_away_count (const Broker *broker);
 
-/* See sched_versions and SchedOps.judged. */
+/* See sched_set_versions and SchedOps.judged. */
 void broker_set_versions (Broker *broker, const char *service, const SchedVersions *versions);
 void broker_set_judged_callback (Broker *broker,
-                                 void (*judged) (void *host, const SchedJudged *judged),
+                                 void (*judged) (void *host, const SchedVerdict *judged),
                                  void *host);
 void broker_service_stats (const Broker *broker, const char *service, SchedServiceStats *stats);
 
--- a/node/brokerint.h
+++ b/node/brokerint.h
@@ -38,7 +38,7 @@
   unsigned heard, lost; /* of broker_set_shares_by_heard; heard 0: broker_set_shares came later */
   GArray *decisions;    /* Decision on the own instance's requests, delivered by deliver_timer */
   LoopTimer deliver_timer;
-  void (*judged) (void *host, const SchedJudged *judged); /* may be NULL */
+  void (*judged) (void *host, const SchedVerdict *judged); /* may be NULL */
   void *judged_host;
 };
 
--- a/node/brokerlink.c
+++ b/node/brokerlink.c
@@ -23,9 +23,9 @@
 
   if (asker == NULL || asker->peer != peer)
     return;
-  hand_drop_owner (broker->hand, asker->owner);
+  hand_cancel_owner (broker->hand, asker->owner);
   if (!asker->away)
-    hand_gone (broker->hand, asker->owner);
+    hand_owner_gone (broker->hand, asker->owner);
   sched_owner_gone (broker->sched, asker->owner);
   g_hash_table_remove (broker->askers, &asker->owner);
 }
@@ -50,7 +50,7 @@
   bool away = asker->away;
 
   asker->away = false;
-  bool begins = hand_asked (broker->hand, asker->owner, broker->expected);
+  bool begins = hand_note_request (broker->hand, asker->owner, broker->expected);
   if (away && broker->heard > 0)
     broker_apply_heard (broker);
   else if (begins)
@@ -63,9 +63,11 @@
   int64_t now = loop_now (broker->loop);
 
   if (from->org_fill_ms != MESH_FILL_UNKNOWN)
-    quota_report (broker->quota, from->org, from->org_fill / 1e3, now - from->org_fill_ms * FT_MS);
+    quota_apply_report (broker->quota, from->org, from->org_fill / 1e3,
+                        now - from->org_fill_ms * FT_MS);
   if (from->spent_tokens > 0)
-    quota_used (broker->quota, from->org, from->spent_tokens, now - from->spent_ms * FT_MS);
+    quota_charge_remote (broker->quota, from->org, from->spent_tokens,
+                         now - from->spent_ms * FT_MS);
 }
 
 /* A report does not make an entry an asker: askers make a deputy read the server list for them,
@@ -76,7 +78,7 @@
   note_returned (broker, asker);
   for (unsigned i = 0; i < from->accounts.accounts_len; i++)
     apply_account (broker, &from->accounts.accounts_val[i]);
-  hand_reported (broker->hand, asker->owner);
+  hand_note_report (broker->hand, asker->owner);
   broker_apply_shares (broker);
   broker_check_handover (broker);
 }
@@ -114,7 +116,7 @@
   apply_account (broker, &account);
   if (from->running)
     {
-      hand_drop (broker->hand, ask.owner, ask.request);
+      hand_cancel (broker->hand, ask.owner, ask.request);
       sched_adopt (broker->sched, &ask, from->server);
       return;
     }
@@ -155,7 +157,7 @@
 bool
 broker_is_taking_over (const Broker *broker)
 {
-  return !hand_settled (broker->hand);
+  return !hand_is_over (broker->hand);
 }
 
 static void
@@ -168,8 +170,7 @@
   if (from->request)
     sched_notice (broker->sched, peer->lifetime, from->request, from->server, &notice);
   else
-    sched_notice_before (broker->sched, peer->lifetime, from->server, &notice,
-                         from->age_ms * FT_MS);
+    sched_older_notice (broker->sched, peer->lifetime, from->server, &notice, from->age_ms * FT_MS);
 }
 
 static void
@@ -177,7 +178,7 @@
 {
   if (asker == NULL || asker->away)
     return;
-  hand_gone (broker->hand, asker->owner);
+  hand_owner_gone (broker->hand, asker->owner);
   asker->away = true;
   asker->asked_at = -ASKER_TIMEOUT;
 }
@@ -200,8 +201,8 @@
         handle_report (broker, asker, &msg->MeshMsg_u.reported);
       return true;
     case MESH_FIRST:
-      sched_first (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
-                   msg->MeshMsg_u.first.after_us);
+      sched_first_event (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
+                         msg->MeshMsg_u.first.after_us);
       return true;
     case MESH_NOTICE:
       handle_notice (broker, peer, &msg->MeshMsg_u.notice);
@@ -218,7 +219,7 @@
       result
           = (SchedResult){ done->outcome <= SCHED_LEFT ? (SchedOutcome) done->outcome : SCHED_LEFT,
                            done->event_us, done->answer_us, done->broke, done->rested_ms * FT_MS };
-      hand_drop (broker->hand, peer->lifetime, done->request);
+      hand_cancel (broker->hand, peer->lifetime, done->request);
       sched_done (broker->sched, peer->lifetime, done->request, &result);
       return true;
     default:
--- a/node/control.c
+++ b/node/control.c
@@ -512,7 +512,7 @@
   uint32_t seeds[FT_VOTERS_MOST];
   VoterConf conf = { .self = s->ip,
                      .seeds = seeds,
-                     .may_form = s->first_start,
+                     .may_bootstrap = s->first_start,
                      .losses = (unsigned) s->losses,
                      .folder = s->data_folder };
 
--- a/node/entry.c
+++ b/node/entry.c
@@ -35,7 +35,7 @@
   HCli *cli;
   HSrv *callers, *ready;
   Place *place;
-  Budget *budget;
+  RetryBudget *budget;
   Servers *servers;
   RouteVersions *versions;
   Reader *reader;
@@ -246,7 +246,7 @@
   if (view->proved && view->entries > 0)
     {
       entry->entries = view->entries;
-      budget_share (entry->budget, 1.0 / view->entries);
+      budget_set_share (entry->budget, 1.0 / view->entries);
     }
   place_apply_view (entry->place, peer, view);
 }
--- a/node/place.c
+++ b/node/place.c
@@ -439,7 +439,7 @@
                               .addr = { from->ip, (uint16_t) from->port },
                               .leaving = from->ip == 0 },
                   .listed_at = loop_now (place->loop) - from->list_age_ms * FT_MS,
-                  .rest_most = from->rest_most_ms * FT_MS };
+                  .max_idle_us = from->rest_most_ms * FT_MS };
   place->ops->grant (place->host, from->request, &grant);
 }
 
--- a/node/place.h
+++ b/node/place.h
@@ -35,8 +35,8 @@
 /* The first byte of the answer came after_us after the request was sent. */
 void place_report_first (Place *place, uint64_t request, int64_t after_us);
 /* The head of the answer to the request carried this notice of its server; empty: none. */
-NoticesTaken place_report_notice (Place *place, uint64_t request, const char *server,
-                                  const Notice *notice);
+NoticesChange place_report_notice (Place *place, uint64_t request, const char *server,
+                                   const Notice *notice);
 /* The server's notice could not be parsed. True: for the first time. */
 bool place_report_unreadable (Place *place, const char *server);
 /* Why the server does not want requests from this entry, by its own notice: "leaving", or
--- a/node/placemsg.c
+++ b/node/placemsg.c
@@ -120,7 +120,7 @@
                      .event_us = result->event_us,
                      .answer_us = result->answer_us,
                      .broke = result->broke,
-                     .rested_ms = (u_int) ((result->rested_us + FT_MS - 1) / FT_MS) };
+                     .rested_ms = (u_int) ((result->conn_idle_us + FT_MS - 1) / FT_MS) };
 }
 
 void
@@ -184,11 +184,11 @@
   return false;
 }
 
-NoticesTaken
+NoticesChange
 place_report_notice (Place *place, uint64_t request, const char *server, const Notice *notice)
 {
   const PlaceReq *req = place_find (place, request);
-  NoticesTaken change = notices_take (place->notices, server, notice);
+  NoticesChange change = notices_record (place->notices, server, notice);
 
   broker_notice (place->own, request, server, notice);
   if (req == NULL || (change == NOTICES_NONE && !req->paced))
@@ -204,14 +204,14 @@
 bool
 place_report_unreadable (Place *place, const char *server)
 {
-  return notices_unread (place->notices, server);
+  return notices_record_unreadable (place->notices, server);
 }
 
 const char *
 place_block_reason (Place *place, const char *server, int64_t *for_us)
 {
   Notice notice;
-  const char *why = notices_forbid (place->notices, server, &notice);
+  const char *why = notices_block_reason (place->notices, server, &notice);
 
   *for_us = notice.backoff_us;
   if (why == NULL)
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -37,8 +37,8 @@
 static unsigned
 list_idle_connections (HCli *cli, uint32_t *kept)
 {
-  const char *keys[SCHED_KEPT_MOST];
-  unsigned count = hcli_idle_keys (cli, keys, SCHED_KEPT_MOST);
+  const char *keys[SCHED_CONNECTED_MAX];
+  unsigned count = hcli_idle_keys (cli, keys, SCHED_CONNECTED_MAX);
 
   for (unsigned i = 0; i < count; i++)
     kept[i] = sched_server_digest (keys[i]);
@@ -49,7 +49,7 @@
 ask (Req *req)
 {
   SchedAsk out = { 0 };
-  uint32_t kept[SCHED_KEPT_MOST];
+  uint32_t kept[SCHED_CONNECTED_MAX];
 
   req->number = ++req->requests->next_number;
   g_hash_table_insert (req->requests->by_number, &req->number, req);
@@ -87,12 +87,12 @@
 static void
 end_as_quarantined (Req *req, const QuarVerdict *verdict)
 {
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
   const char *why = ft_reason_info (FT_REASON_QUARANTINED)->code;
 
   count_inc (COUNT_QUARANTINED);
   jlog (JLOG_INFO, "decision", req->id, JL_TEXT ("reason", why),
-        JL_TEXT ("content", content_text (req->content, content)), JL_INT ("ends", verdict->ends),
+        JL_TEXT ("content", content_format (req->content, content)), JL_INT ("ends", verdict->ends),
         JL_MS ("known_ms", verdict->known_us), JL_TEXT ("by", "entry"));
   if (req->begun)
     req_break_off (req, why);
--- a/node/reqend.c
+++ b/node/reqend.c
@@ -43,8 +43,8 @@
 void
 req_log_end (const Req *req, const char *event, unsigned status, const char *why)
 {
-  char buffer[CONTENT_TEXT];
-  const char *content = req->content ? content_text (req->content, buffer) : "";
+  char buffer[CONTENT_ID_SIZE];
+  const char *content = req->content ? content_format (req->content, buffer) : "";
   jlog (JLOG_INFO, event, req->id, JL_INT ("status", status), JL_TEXT ("why", why),
         JL_TEXT ("route", req->route ? req->route->name : ""),
         JL_TEXT ("org", req->org ? req->org->name : ""), JL_TEXT ("content", content),
@@ -84,7 +84,7 @@
   if (req->sent_at)
     result.answer_us = now - req->sent_at;
   result.broke = req->broke_on_send;
-  result.rested_us = req->conn_idle;
+  result.conn_idle_us = req->conn_idle;
   place_end (req->requests->conf.place, req->number, &result);
   req_clear_number (req);
 }
--- a/node/requests.c
+++ b/node/requests.c
@@ -39,11 +39,11 @@
 {
   switch (event)
     {
-    case RETRY_UNREACHED:
+    case RETRY_NOT_CONNECTED:
       return SCHED_UNREACHED;
     case RETRY_REJECTED:
       return SCHED_REJECTED;
-    case RETRY_GONE:
+    case RETRY_OTHER_SERVER:
       return SCHED_GONE;
     case RETRY_ANSWERED:
       return SCHED_OK;
@@ -70,7 +70,7 @@
                        .budget = true };
   RetryStep step = retry_next (event, &facts);
 
-  if (retry_draws (event, step) && !budget_take (requests->conf.budget, req->service))
+  if (retry_uses_budget (event, step) && !budget_take (requests->conf.budget, req->service))
     {
       facts.budget = false;
       step = retry_next (event, &facts);
@@ -95,18 +95,18 @@
       g_free (req->avoid_server);
       req->avoid_server = g_strdup (req->server);
       if (req->stream)
-        events_restart (req->stream);
-      if (event != RETRY_UNREACHED)
+        events_drop_partial (req->stream);
+      if (event != RETRY_NOT_CONNECTED)
         count_inc (step == RETRY_RESUME ? COUNT_RESUMES : COUNT_REPEATS);
       req_ask (req);
       break;
     case RETRY_DELIVER:
       req_finish (req);
       break;
-    case RETRY_SAY_NOT_RUN:
+    case RETRY_ANSWER_NOT_RUN:
       req_answer_error (req, 503, retry_after (req), "no-server-took-it");
       break;
-    case RETRY_BREAK_OFF:
+    case RETRY_ABORT:
       req_break_off (req, retry_event_name (event));
       break;
     default:
@@ -205,7 +205,7 @@
   req->deadline = req->arrived + patience;
   if (req->facts.patience_us)
     req->waited_before
-        = patience_note (requests->patience, req->route->name, req->facts.patience_us);
+        = patience_record (requests->patience, req->route->name, req->facts.patience_us);
   req->first_deadline = req->deadline;
   if (req->route->kind == RT_STREAM)
     req->first_deadline
@@ -213,7 +213,7 @@
                req->arrived
                    + requests->conf.seam->first_patience (req->route->aim_us, req->route->gap_us));
   req->service = rt_route_target (req->route, g_random_int ());
-  budget_note (requests->conf.budget, req->service);
+  budget_count_request (requests->conf.budget, req->service);
   loop_timer_set (requests->conf.loop, &req->deadline_timer, req->deadline);
   req_ask (req);
 }
--- a/node/requests.h
+++ b/node/requests.h
@@ -19,7 +19,7 @@
   const Seam *seam;
   HCli *cli;
   Place *place;
-  Budget *budget;
+  RetryBudget *budget;
   const Servers *servers;
   Witness *witness;
   const RouteVersions *versions;
--- a/node/rollead.c
+++ b/node/rollead.c
@@ -194,7 +194,7 @@
 }
 
 void
-rollead_judged (void *host, const SchedJudged *judged)
+rollead_judged (void *host, const SchedVerdict *judged)
 {
   const Rollouts *rollouts = host;
   const Led *led = find_led (rollouts, judged->service);
--- a/node/rollint.h
+++ b/node/rollint.h
@@ -59,6 +59,6 @@
 
 void rollead_free (void *led);
 /* For broker_set_judged_callback; host: the Rollouts. */
-void rollead_judged (void *host, const SchedJudged *judged);
+void rollead_judged (void *host, const SchedVerdict *judged);
 
 #endif
--- a/node/servers.c
+++ b/node/servers.c
@@ -415,7 +415,7 @@
       list[i] = (SchedServer){ from->id,      from->service, from->domain, from->slots,
                                from->leaving, from->cold_us, from->version };
     }
-  sched_list (sched, list, servers->list->len);
+  sched_set_servers (sched, list, servers->list->len);
   g_free (list);
 }
 
--- a/node/try.c
+++ b/node/try.c
@@ -60,7 +60,7 @@
     }
   req->sends--;
   req->unreached++;
-  req_after_try (req, RETRY_GONE);
+  req_after_try (req, RETRY_OTHER_SERVER);
 }
 
 /* Takes the server's notice about itself, if the answer comes from that server and belongs to this
@@ -75,7 +75,7 @@
   if (answer->elsewhere || (answer->id == NULL && *req->id))
     return;
   if (answer->unread == NULL || !notice_is_empty (notice))
-    news = place_report_notice (place, req->number, req->server, notice) == NOTICES_NEW;
+    news = place_report_notice (place, req->number, req->server, notice) == NOTICES_CHANGED;
   if (answer->unread)
     news = place_report_unreadable (place, req->server) || news;
   if (!notice_is_empty (notice))
@@ -125,7 +125,8 @@
   req->is_stream = answer.event_stream && req->status / 100 == 2;
   if (req->begun && !req->is_stream)
     {
-      req_after_try (req, RETRY_CUT); /* not a continuation of the stream that the caller has */
+      req_after_try (req,
+                     RETRY_STREAM_CUT); /* not a continuation of the stream that the caller has */
       return true;
     }
   if (!req->begun)
@@ -181,7 +182,7 @@
 relay_events (Req *req, const char *data, size_t size)
 {
   GString *out = g_string_sized_new (size);
-  unsigned count = events_take (req->stream, data, size, out);
+  unsigned count = events_feed (req->stream, data, size, out);
   int64_t now = req_now (req);
 
   if (count > 0)
@@ -272,8 +273,8 @@
     report_break (req);
   else if (proves_survival (req))
     witness_answered (req->requests->conf.witness, req->server, req->content, req->sent_at);
-  if (req->is_stream && events_within (req->stream))
-    req_after_try (req, RETRY_CUT);
+  if (req->is_stream && events_has_partial (req->stream))
+    req_after_try (req, RETRY_STREAM_CUT);
   else if (req->is_stream)
     {
       if (!req->begun)
@@ -302,14 +303,14 @@
       count_inc (COUNT_UNREACHED);
       if (fault == HXFER_REFUSED)
         witness_refused (req->requests->conf.witness, req->server);
-      req_after_try (req, RETRY_UNREACHED);
+      req_after_try (req, RETRY_NOT_CONNECTED);
       return;
     }
   req->broke_on_send = !req->head_seen && req_now (req) - req->sent_at < STALE_RESET_MAX;
   if (req->rejected)
     handle_rejection (req);
   else
-    req_after_try (req, req->begun ? RETRY_CUT : RETRY_BROKEN);
+    req_after_try (req, req->begun ? RETRY_STREAM_CUT : RETRY_BROKEN);
 }
 
 static const HXferOps xfer_ops = { on_head, on_body, on_end, on_failed };
@@ -334,7 +335,7 @@
   const GByteArray *body = hcall_body (req->call);
   bool once = !rt_route_repeatable (req->route);
   HCliTarget target = { server->addr, server->id, CONNECT_TIMEOUT,
-                        once ? grant->rest_most : MAX (REUSE_IDLE_MIN, grant->rest_most),
+                        once ? grant->max_idle_us : MAX (REUSE_IDLE_MIN, grant->max_idle_us),
                         strcmp (hmsg_method (hcall_msg (req->call)), "HEAD") == 0 };
   SeamForward forward = { .server = server->name,
                           .org = req->org ? req->org->name : NULL,
--- a/node/witness.c
+++ b/node/witness.c
@@ -77,7 +77,7 @@
 {
   Witness *witness = host;
   Report *report = g_new0 (Report, 1);
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
 
   count_inc (COUNT_SERVER_ENDS);
   report->number = ++witness->next_number;
@@ -88,7 +88,7 @@
       quar_ended (witness->quar, runs[i].content, server, true);
       report->contents[report->count++] = runs[i].content;
       jlog (JLOG_INFO, "ran-at-end", runs[i].request, JL_TEXT ("server", server),
-            JL_TEXT ("content", content_text (runs[i].content, content)),
+            JL_TEXT ("content", content_format (runs[i].content, content)),
             JL_INT ("ends", quar_judge (witness->quar, runs[i].content).ends),
             JL_INT ("report", report->number));
     }
--- a/test/handover.c
+++ b/test/handover.c
@@ -252,7 +252,7 @@
   (void) servers;
   for (unsigned i = 0; i < server_count; i++)
     list[i] = (SchedServer){ .id = server_ids[i], .service = "s", .domain = "z", .slots = SLOTS };
-  sched_list (sched, list, server_count);
+  sched_set_servers (sched, list, server_count);
   g_free (list);
 }
 
@@ -819,45 +819,45 @@
 rules (void)
 {
   SchedAsk ask = { .owner = 1, .request = 7, .service = "s", .org = "o" };
-  HandSettled how;
+  HandResult how;
 
   loop.clock = test_clock ();
   Hand *hand = hand_new (&loop.clock.base);
   hand_begin (hand, 3);
-  g_assert_true (hand_settled (hand)); /* off */
+  g_assert_true (hand_is_over (hand)); /* off */
   g_assert_false (hand_hold (hand, &ask));
-  hand_wait (hand, WAIT_MS * FT_MS);
-  g_assert_true (hand_asked (hand, 1, 4));
-  g_assert_cmpfloat (hand_part (hand), ==, 0);
-  hand_reported (hand, 1);
-  hand_reported (hand, 1);
-  g_assert_cmpfloat (hand_part (hand), ==, 0.25);
+  hand_set_max_wait (hand, WAIT_MS * FT_MS);
+  g_assert_true (hand_note_request (hand, 1, 4));
+  g_assert_cmpfloat (hand_share (hand), ==, 0);
+  hand_note_report (hand, 1);
+  hand_note_report (hand, 1);
+  g_assert_cmpfloat (hand_share (hand), ==, 0.25);
   g_assert_true (hand_hold (hand, &ask));
-  g_assert_null (hand_due (hand));
-  hand_gone (hand, 9); /* linked, never asked */
-  hand_reported (hand, 2);
-  g_assert_false (hand_ended (hand, &how));
-  hand_reported (hand, 3);
-  g_assert_true (hand_ended (hand, &how));
-  g_assert_false (hand_ended (hand, &how));
+  g_assert_null (hand_next_due (hand));
+  hand_owner_gone (hand, 9); /* linked, never asked */
+  hand_note_report (hand, 2);
+  g_assert_false (hand_take_result (hand, &how));
+  hand_note_report (hand, 3);
+  g_assert_true (hand_take_result (hand, &how));
+  g_assert_false (hand_take_result (hand, &how));
   g_assert_cmpuint (how.reported, ==, 3);
-  g_assert_cmpuint (hand_due (hand)->request, ==, 7);
-  hand_release (hand);
-  g_assert_null (hand_due (hand));
-  hand_gone (hand, 2);
-  hand_gone (hand, 3);
-  g_assert_true (hand_asked (hand, 4, 4));
+  g_assert_cmpuint (hand_next_due (hand)->request, ==, 7);
+  hand_free_due (hand);
+  g_assert_null (hand_next_due (hand));
+  hand_owner_gone (hand, 2);
+  hand_owner_gone (hand, 3);
+  g_assert_true (hand_note_request (hand, 4, 4));
   loop.clock.now += WAIT_MS * FT_MS;
-  g_assert_true (hand_settled (hand));
-  g_assert_cmpfloat (hand_part (hand), ==, 1);
-  g_assert_true (hand_ended (hand, &how));
+  g_assert_true (hand_is_over (hand));
+  g_assert_cmpfloat (hand_share (hand), ==, 1);
+  g_assert_true (hand_take_result (hand, &how));
   g_assert_cmpstr (how.why, ==, "time");
-  g_assert_false (hand_asked (hand, 4, 4));
+  g_assert_false (hand_note_request (hand, 4, 4));
   hand_begin (hand, 4);
   hand_hold (hand, &ask);
-  hand_drop (hand, 1, 7);
+  hand_cancel (hand, 1, 7);
   loop.clock.now += WAIT_MS * FT_MS;
-  g_assert_null (hand_due (hand));
+  g_assert_null (hand_next_due (hand));
   hand_free (hand);
 }
 
--- a/test/place.c
+++ b/test/place.c
@@ -632,9 +632,9 @@
   double full, elsewhere = spent_take_untold (spent, quota, name, &given_for);
 
   if (spent_latest_report (spent, quota, name, &full, &age))
-    quota_report (quota, name, full, now - age);
+    quota_apply_report (quota, name, full, now - age);
   if (elsewhere > 0)
-    quota_used (quota, name, elsewhere, now - given_for);
+    quota_charge_remote (quota, name, elsewhere, now - given_for);
   bool granted = quota_take (quota, name, COST, 0, &wait);
   if (granted)
     {
@@ -643,7 +643,7 @@
     }
   else
     all->refused[org]++;
-  spent_record_report (spent, quota, name, quota_full (quota, name));
+  spent_record_report (spent, quota, name, quota_fill_level (quota, name));
 }
 
 /* The first voter leads for three seconds, the second until it dies after fifteen; within 0.2 s the
@@ -691,13 +691,13 @@
   for (unsigned i = 0; i < 3; i++)
     {
       all->schedulers[i] = quota_new (&all->clock.base);
-      quota_margin (all->schedulers[i], 0.1, 140000, 8, true);
+      quota_set_margin (all->schedulers[i], 0.1, 140000, 8, true);
     }
   for (unsigned org = 0; org < ORGS; org++)
     {
       g_snprintf (all->names[org], sizeof all->names[org], "o%u", org);
       for (unsigned i = 0; i < 3; i++)
-        quota_limit (all->schedulers[i], all->names[org], LIMIT, LIMIT);
+        quota_set_limit (all->schedulers[i], all->names[org], LIMIT, LIMIT);
     }
   all->clock.now += 60 * FT_SECOND;
   for (unsigned step = 0; step < TOTAL; step++)
--- a/test/publish.c
+++ b/test/publish.c
@@ -92,7 +92,7 @@
 begin (unsigned count)
 {
   uint32_t self = 0x7f000001;
-  VoterConf conf = { .self = self, .seeds = &self, .seed_count = 1, .may_form = true };
+  VoterConf conf = { .self = self, .seeds = &self, .seed_count = 1, .may_bootstrap = true };
 
   loops = g_thread_self ();
   g_atomic_int_set (&reads, 0);
