--- a/node/brokerlink.c
+++ b/node/brokerlink.c
@@ -1,23 +1,23 @@
-/* brokerlink.c - a broker and the instances that ask it over links: what they ask, say and report,
- * and when what they hold is handed over. */
+/* brokerlink.c - a broker's links to the instances that ask it: their asks, outcomes and reports,
+ * and the handover of what they hold. */
 #include "brokerint.h"
 
-#define ASKED_LATELY                                                                               \
-  (3 * FT_SECOND) /* an instance that asked then is taken for a user of this one */
+#define ASKER_TIMEOUT                                                                              \
+  (3 * FT_SECOND) /* an instance that asked within this time counts as an asker */
 
 void
-broker_up (Broker *broker, MeshPeer *peer)
+broker_link_up (Broker *broker, MeshPeer *peer)
 {
   Asker *asker = g_new0 (Asker, 1);
 
   asker->peer = peer;
   asker->owner = peer->lifetime;
-  asker->asked_at = -ASKED_LATELY;
+  asker->asked_at = -ASKER_TIMEOUT;
   g_hash_table_replace (broker->askers, &asker->owner, asker);
 }
 
 void
-broker_down (Broker *broker, MeshPeer *peer)
+broker_link_down (Broker *broker, MeshPeer *peer)
 {
   Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
@@ -31,33 +31,34 @@
 }
 
 void
-broker_share_by_heard (Broker *broker)
+broker_apply_heard (Broker *broker)
 {
-  unsigned heard = broker->heard, away = MIN (broker_away (broker), heard);
+  unsigned heard = broker->heard, away = MIN (broker_away_count (broker), heard);
 
   broker->places = 1;
   broker->limits = heard ? (double) (heard - away) / (heard + broker->lost) : 1;
   broker->salt = 0;
-  broker_apply_parts (broker);
+  broker_apply_shares (broker);
 }
 
-/* Failure: all entries had turned to another scheduler, and come back. Symptom: until the next tick
- * this one's part of each limit is 0, and organisations far below theirs are refused. */
+/* Notes that an instance asks this scheduler again, and updates its parts at once. After all
+ * entries had turned to another scheduler, its part of each limit is 0, and until the next tick
+ * it would refuse organisations far below their limits. */
 static void
-comes_back (Broker *broker, Asker *asker)
+note_returned (Broker *broker, Asker *asker)
 {
   bool away = asker->away;
 
   asker->away = false;
   bool begins = hand_note_request (broker->hand, asker->owner, broker->expected);
   if (away && broker->heard > 0)
-    broker_share_by_heard (broker);
+    broker_apply_heard (broker);
   else if (begins)
-    broker_apply_parts (broker);
+    broker_apply_shares (broker);
 }
 
 static void
-take_account (Broker *broker, const MeshAccount *from)
+apply_account (Broker *broker, const MeshAccount *from)
 {
   int64_t now = loop_now (broker->loop);
 
@@ -69,20 +70,21 @@
                          now - from->spent_ms * FT_MS);
 }
 
-/* An entry that reports and has nothing to ask is no asker: a deputy reads the list for those. */
+/* A report does not make an entry an asker: askers make a deputy read the server list for them,
+ * and this entry may have nothing to ask. */
 static void
-take_report (Broker *broker, Asker *asker, const MeshReported *from)
+handle_report (Broker *broker, Asker *asker, const MeshReported *from)
 {
-  comes_back (broker, asker);
+  note_returned (broker, asker);
   for (unsigned i = 0; i < from->accounts.accounts_len; i++)
-    take_account (broker, &from->accounts.accounts_val[i]);
+    apply_account (broker, &from->accounts.accounts_val[i]);
   hand_note_report (broker->hand, asker->owner);
-  broker_apply_parts (broker);
-  broker_settle (broker);
+  broker_apply_shares (broker);
+  broker_check_handover (broker);
 }
 
 static void
-take_ask (Broker *broker, Asker *asker, const MeshAsk *from)
+handle_ask (Broker *broker, Asker *asker, const MeshAsk *from)
 {
   int64_t now = loop_now (broker->loop);
   SchedAsk ask = { .owner = asker->owner,
@@ -110,8 +112,8 @@
       = { from->org, from->spent_tokens, from->spent_ms, from->org_fill, from->org_fill_ms };
 
   asker->asked_at = now;
-  comes_back (broker, asker);
-  take_account (broker, &account);
+  note_returned (broker, asker);
+  apply_account (broker, &account);
   if (from->running)
     {
       hand_cancel (broker->hand, ask.owner, ask.request);
@@ -123,18 +125,18 @@
 }
 
 void
-broker_expect (Broker *broker, MeshPeer *peer)
+broker_note_asker (Broker *broker, MeshPeer *peer)
 {
   Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
   if (asker == NULL)
     return;
   asker->asked_at = loop_now (broker->loop);
-  comes_back (broker, asker);
+  note_returned (broker, asker);
 }
 
 void
-broker_expected (Broker *broker, unsigned instances)
+broker_set_expected (Broker *broker, unsigned instances)
 {
   broker->expected = instances;
 }
@@ -143,23 +145,23 @@
 broker_take_over (Broker *broker)
 {
   hand_begin (broker->hand, broker->expected);
-  broker_apply_parts (broker);
+  broker_apply_shares (broker);
 }
 
 bool
-broker_hands_over (const Broker *broker)
+broker_handover_enabled (const Broker *broker)
 {
   return broker->conf.handover_us > 0;
 }
 
 bool
-broker_takes_over (const Broker *broker)
+broker_is_taking_over (const Broker *broker)
 {
   return !hand_is_over (broker->hand);
 }
 
 static void
-take_notice (Broker *broker, const MeshPeer *peer, const MeshNotice *from)
+handle_notice (Broker *broker, const MeshPeer *peer, const MeshNotice *from)
 {
   Notice notice = { .rate = from->rate_milli / 1e3,
                     .leaving = from->leaving,
@@ -172,13 +174,13 @@
 }
 
 static void
-turn_away (Broker *broker, Asker *asker)
+note_turned_away (Broker *broker, Asker *asker)
 {
   if (asker == NULL || asker->away)
     return;
   hand_owner_gone (broker->hand, asker->owner);
   asker->away = true;
-  asker->asked_at = -ASKED_LATELY;
+  asker->asked_at = -ASKER_TIMEOUT;
 }
 
 bool
@@ -192,18 +194,18 @@
     {
     case MESH_ASK:
       if (asker)
-        take_ask (broker, asker, &msg->MeshMsg_u.ask);
+        handle_ask (broker, asker, &msg->MeshMsg_u.ask);
       return true;
     case MESH_REPORTED:
-      if (asker && broker_hands_over (broker))
-        take_report (broker, asker, &msg->MeshMsg_u.reported);
+      if (asker && broker_handover_enabled (broker))
+        handle_report (broker, asker, &msg->MeshMsg_u.reported);
       return true;
     case MESH_FIRST:
       sched_first_event (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
                          msg->MeshMsg_u.first.after_us);
       return true;
     case MESH_NOTICE:
-      take_notice (broker, peer, &msg->MeshMsg_u.notice);
+      handle_notice (broker, peer, &msg->MeshMsg_u.notice);
       return true;
     case MESH_SILENT:
       sched_silent (broker->sched, peer->lifetime, msg->MeshMsg_u.silent.request);
@@ -211,7 +213,7 @@
     case MESH_DONE:
       if (done->request == MESH_TURNED_AWAY)
         {
-          turn_away (broker, asker);
+          note_turned_away (broker, asker);
           return true;
         }
       result
@@ -226,7 +228,7 @@
 }
 
 bool
-broker_waits (const Broker *broker, const MeshPeer *peer)
+broker_peer_waits (const Broker *broker, const MeshPeer *peer)
 {
   const Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
@@ -234,17 +236,17 @@
 }
 
 bool
-broker_asked (const Broker *broker, const MeshPeer *peer)
+broker_peer_asked (const Broker *broker, const MeshPeer *peer)
 {
   const Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
-  return asker && asker->asked_at > loop_now (broker->loop) - ASKED_LATELY;
+  return asker && asker->asked_at > loop_now (broker->loop) - ASKER_TIMEOUT;
 }
 
 unsigned
-broker_askers (const Broker *broker)
+broker_asker_count (const Broker *broker)
 {
-  int64_t since = loop_now (broker->loop) - ASKED_LATELY;
+  int64_t since = loop_now (broker->loop) - ASKER_TIMEOUT;
   GHashTableIter iter;
   gpointer value;
   unsigned count = 0;
@@ -256,7 +258,7 @@
 }
 
 unsigned
-broker_away (const Broker *broker)
+broker_away_count (const Broker *broker)
 {
   GHashTableIter iter;
   gpointer value;
--- a/node/count.c
+++ b/node/count.c
@@ -1,8 +1,9 @@
-/* count.c - plain numbers: one thread writes them. Histograms have fixed bounds, doubling from 1
- * ms, so that instances can be added up. */
+/* count.c - counters and histograms as plain numbers, since only one thread writes them.
+ * Histograms have the same fixed bounds in all instances, doubling from 1 ms, so that they can be
+ * summed. */
 #include "count.h"
 
-#define BUCKETS 15 /* 1 ms to 16 s, then infinity */
+#define BUCKETS 15 /* upper bounds of 1 ms to 16 s; one more bucket is unbounded */
 
 static uint64_t counters[COUNTERS];
 static uint64_t buckets[TIMED][BUCKETS + 1];
@@ -22,7 +23,7 @@
 static const char *const timed_names[TIMED] = { "wait", "first", "whole", "turn", "timer_late" };
 
 void
-count_up (Counter counter)
+count_inc (Counter counter)
 {
   counters[counter]++;
 }
@@ -34,13 +35,13 @@
 }
 
 uint64_t
-count_of (Counter counter)
+count_get (Counter counter)
 {
   return counters[counter];
 }
 
 void
-count_time (Timed timed, int64_t us)
+count_observe (Timed timed, int64_t us)
 {
   unsigned bucket = 0;
 
@@ -73,7 +74,7 @@
 }
 
 char *
-count_text (const char *extra)
+count_format (const char *extra)
 {
   GString *out = g_string_new (NULL);
 
