--- a/node/reqask.c
+++ b/node/reqask.c
@@ -91,7 +91,7 @@
   count_up (COUNT_QUARANTINED);
   jlog (JLOG_INFO, "decision", req->id, JL_TEXT ("reason", why),
         JL_TEXT ("content", content_text (req->content, content)), JL_INT ("ends", verdict->ends),
-        JL_MS ("known_ms", verdict->known_us), JL_TEXT ("by", "entry"));
+        JL_MS ("known_ms", verdict->blocked_for_us), JL_TEXT ("by", "entry"));
   if (req->begun)
     req_break_off (req, why);
   else if (req->may_have_run)
@@ -105,10 +105,10 @@
 {
   QuarVerdict verdict = witness_judge (req->all->conf.witness, req->content);
 
-  if (verdict.state == QUAR_HELD)
+  if (verdict.state == QUAR_BLOCKED)
     end_quarantined (req, &verdict);
-  else if (verdict.state == QUAR_SETTLES)
-    loop_timer_set (req->all->conf.loop, &req->settle, verdict.settles_at);
+  else if (verdict.state == QUAR_RECHECK)
+    loop_timer_set (req->all->conf.loop, &req->settle, verdict.recheck_at);
   else
     ask (req);
 }
@@ -122,7 +122,7 @@
 static bool
 is_stopped (const Req *req)
 {
-  return witness_judge (req->all->conf.witness, req->content).state >= QUAR_SETTLES;
+  return witness_judge (req->all->conf.witness, req->content).state >= QUAR_RECHECK;
 }
 
 /* Gives back the place that was granted or is waited for, and asks again. */
--- a/node/voter.c
+++ b/node/voter.c
@@ -260,14 +260,14 @@
 static void
 keep_blame (Voter *voter)
 {
-  const Blame *blame = state_blame (voter->state);
+  const CrashTable *blame = state_blame (voter->state);
   MsgBlame captured = { 0 };
 
-  if (blame_index (blame) == voter->blame.index)
+  if (crashes_index (blame) == voter->blame.index)
     return;
-  blame_capture (blame, 0, &captured);
-  keep_account (voter, &voter->blame, blame_index (blame), codec_pack (CODEC (MsgBlame), &captured),
-                REPORT_BLAME);
+  crashes_capture (blame, 0, &captured);
+  keep_account (voter, &voter->blame, crashes_index (blame),
+                codec_pack (CODEC (MsgBlame), &captured), REPORT_BLAME);
   g_free (captured.suspects.suspects_val);
 }
 
--- a/node/witness.c
+++ b/node/witness.c
@@ -85,11 +85,11 @@
   report->ended_at = at;
   for (unsigned i = 0; i < count && report->count < MESH_CONTENTS_MOST; i++)
     {
-      quar_ended (witness->quar, runs[i].content, server, true);
+      quar_add_crash (witness->quar, runs[i].content, server, true);
       report->contents[report->count++] = runs[i].content;
       jlog (JLOG_INFO, "ran-at-end", runs[i].request, JL_TEXT ("server", server),
             JL_TEXT ("content", content_text (runs[i].content, content)),
-            JL_INT ("ends", quar_judge (witness->quar, runs[i].content).ends),
+            JL_INT ("ends", quar_check (witness->quar, runs[i].content).ends),
             JL_INT ("report", report->number));
     }
   if (witness->reports->len >= REPORTS_MOST)
@@ -109,7 +109,7 @@
 {
   uint64_t contents[MESH_CONTENTS_MOST];
   MeshMsg msg = { .kind = MESH_ANSWERED };
-  unsigned count = quar_proofs (witness->quar, contents, MESH_CONTENTS_MOST);
+  unsigned count = quar_recently_answered (witness->quar, contents, MESH_CONTENTS_MOST);
 
   if (count == 0 || witness->voter == NULL)
     return;
@@ -140,7 +140,7 @@
       char *server = g_strdup (report->server);
       g_ptr_array_remove_index (witness->reports, i);
       if (!any_report_of (witness, server))
-        quar_acknowledged (witness->quar, server);
+        quar_crash_recorded (witness->quar, server);
       g_free (server);
       return;
     }
@@ -160,12 +160,12 @@
                                  .servers = from->servers.servers_val,
                                  .server_count = from->servers.servers_len };
     }
-  bool taken = quar_account (witness->quar, blamed->index, records, count);
+  bool taken = quar_update_table (witness->quar, blamed->index, records, count);
   g_free (records);
   if (!taken)
     return;
   jlog (JLOG_INFO, "account", NULL, JL_INT ("index", blamed->index), JL_INT ("suspects", count),
-        JL_INT ("quarantined", quar_held (witness->quar)));
+        JL_INT ("quarantined", quar_count_blocked (witness->quar)));
   tell_proofs (witness);
   witness->changed (witness->host);
 }
@@ -194,7 +194,7 @@
   Relay relay = { peer, msg };
 
   for (unsigned i = 0; i < ended->contents.contents_len; i++)
-    quar_ended (witness->quar, ended->contents.contents_val[i], ended->server, false);
+    quar_add_crash (witness->quar, ended->contents.contents_val[i], ended->server, false);
   if (!peer->dialled && witness->voter == NULL)
     mesh_each (witness->mesh, pass_on, &relay);
   witness->changed (witness->host);
@@ -258,7 +258,7 @@
 QuarVerdict
 witness_judge (const Witness *witness, uint64_t content)
 {
-  return quar_judge (witness->quar, content);
+  return quar_check (witness->quar, content);
 }
 
 void
@@ -287,7 +287,7 @@
 
   if (quar_answered (witness->quar, content))
     tell_proofs (witness);
-  if (witness->voter == NULL || !quar_server_lives (witness->quar, server, sent_at))
+  if (witness->voter == NULL || !quar_crash_disproved (witness->quar, server, sent_at))
     return;
   msg.MeshMsg_u.survived.server = (char *) server;
   mesh_send (witness->voter, &msg);
@@ -299,7 +299,7 @@
 witness_describe (const Witness *witness, GString *out)
 {
   g_string_append_printf (out, "foxtail_quarantined %u\nfoxtail_reports_untold %u\n",
-                          quar_held (witness->quar), witness->reports->len);
+                          quar_count_blocked (witness->quar), witness->reports->len);
 }
 
 Witness *
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -1,42 +1,45 @@
-/* quarantine.c - whether a request of some content may be sent to a server.
+/* quarantine.c - decides whether a request content may be sent to a server.
  *
- * What is known comes from two sources: the account of all ends that voters keep (blame.c), of
- * which they tell whatever has two or more, and evidence that is not in it yet. Evidence counts
- * here at once, so that an instance that hears no voter still stops by itself.
+ * There are two sources: the crash table that the voters replicate (crashes.c), of which they
+ * publish all contents with two or more crashes, and local evidence that is not in the table yet.
+ * Evidence counts here at once, so an instance without a reachable voter still stops sending such
+ * a content.
  *
- * Failure: a failure domain loses power, and a content that half of all callers ask for was running
- * on each of its servers. Symptom: it looks as guilty as can be. But it was answered whole
- * elsewhere moments ago, which the one that ends its servers never is. So each instance remembers
- * what it answered lately, tells voters when something is said against that, and for SETTLE
- * requests of this content wait for such news instead of being refused.
+ * Failure: a failure domain loses power while a content that half of all callers request is
+ * running on each of its servers, so that an innocent content reaches the limit at once. Unlike a
+ * content that crashes servers, it was answered completely elsewhere moments ago. Each instance
+ * therefore remembers its recent complete answers and tells the voters when one contradicts the
+ * table. Requests of the content wait RECHECK_DELAY for such a report before they are refused.
  */
 #include "quarantine.h"
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define SETTLE                                                                                     \
-  (300 * FT_MS) /* to the instances, back to a voter, through the log and out again: some 50 ms,   \
-                   200 ms more when a packet is lost */
-#define PROOF                                                                                      \
-  (10 * FT_SECOND) /* an answer so long before still speaks for a content: longer than */
-                   /* a whole one takes; a new release of the servers may change that */
-#define LIVES_MOST                                                                                 \
-  (1 * FT_SECOND) /* an answer so soon after its end shows that a server lives; later it may be    \
-                     its next lifetime under the same name */
-#define EVIDENCE_MOST 1024 /* of 24 bytes; a server's end adds what ran on it, some ten */
-#define ANSWERED_MOST 1024 /* answers remembered, a power of two: 10 s at 100 a second */
-#define HEARD_KEPT    (2 * FT_SECOND) /* who saw it has told the voters by then */
-
-/* A record of the voters' account. */
+/* By then the table has reached the instances, and their reports have returned to a voter, passed
+ * the log and been published: about 50 ms, plus 200 ms when a packet is lost. */
+#define RECHECK_DELAY (300 * FT_MS)
+/* How long an answer clears its content: longer than a complete answer takes. A new release of the
+ * servers may change how they handle the content. */
+#define ANSWER_VALID (10 * FT_SECOND)
+/* An answer this soon after a reported crash shows that the server is alive; later it may come
+ * from a restarted server of the same name. */
+#define ALIVE_WINDOW (1 * FT_SECOND)
+/* 24 bytes each; the crash of a server adds about ten, one for each content it ran. */
+#define EVIDENCE_MAX 1024
+/* Remembered answers, a power of two: 10 s at 100 per second. */
+#define ANSWERED_MAX 1024
+/* By then the instance that detected the crash has reported it to the voters. */
+#define REMOTE_EVIDENCE_KEPT (2 * FT_SECOND)
+
+/* An entry of the voters' crash table. */
 typedef struct
 {
   uint64_t content;
   unsigned ends, server_count;
   uint32_t servers[FT_SUSPECT_SERVERS];
-  int64_t seen[FT_SUSPECT_SERVERS]; /* when each was first told */
-  int64_t enough_at;                /* when it had BLAME_ENDS; 0: not yet */
-} Known;
+  int64_t received_at[FT_SUSPECT_SERVERS]; /* when each of them was first received here */
+  int64_t limit_reached_at; /* when CRASHES_QUARANTINE was reached; 0 if it was not */
+} TableEntry;
 
 typedef struct
 {
@@ -56,10 +59,11 @@
 {
   FtClock *clock;
   uint64_t index;
-  GHashTable *known; /* content: Known */
+  GHashTable *table; /* content -> TableEntry */
   GArray *evidence;  /* Evidence, oldest first */
-  Answered answered[ANSWERED_MOST];
-  int64_t heard_since; /* a voter in charge, without a pause; 0: none */
+  Answered answered[ANSWERED_MAX];
+  int64_t reachable_since; /* since when a leading voter has been reachable without interruption; 0
+                              if none is */
 };
 
 Quarantine *
@@ -68,7 +72,7 @@
   Quarantine *quar = g_new0 (Quarantine, 1);
 
   quar->clock = clock;
-  quar->known = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  quar->table = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   quar->evidence = g_array_new (FALSE, FALSE, sizeof (Evidence));
   return quar;
 }
@@ -78,7 +82,7 @@
 {
   if (quar == NULL)
     return;
-  g_hash_table_unref (quar->known);
+  g_hash_table_unref (quar->table);
   g_array_unref (quar->evidence);
   g_free (quar);
 }
@@ -89,10 +93,10 @@
   return g_str_hash (server);
 }
 
-/* ---- Judging ---- */
+/* ---- Decision ---- */
 
 static bool
-names (const uint32_t *servers, unsigned count, uint32_t server)
+contains_server (const uint32_t *servers, unsigned count, uint32_t server)
 {
   for (unsigned i = 0; i < count; i++)
     if (servers[i] == server)
@@ -100,80 +104,82 @@
   return false;
 }
 
-/* Servers that evidence adds to those of the account; *last: when the latest of it came. */
+/* Counts the crashed servers in the evidence that the table entry does not list; *last is set to
+ * the time of the latest of them. */
 static unsigned
-count_evidence (const Quarantine *quar, uint64_t content, const Known *known, int64_t *last)
+count_evidence (const Quarantine *quar, uint64_t content, const TableEntry *entry, int64_t *last)
 {
-  uint32_t counted[FT_SUSPECT_SERVERS];
+  uint32_t servers[FT_SUSPECT_SERVERS];
   unsigned count = 0;
 
   for (unsigned i = 0; i < quar->evidence->len && count < FT_SUSPECT_SERVERS; i++)
     {
-      const Evidence *one = &g_array_index (quar->evidence, Evidence, i);
-      if (one->content != content || names (counted, count, one->server)
-          || (known && names (known->servers, known->server_count, one->server)))
+      const Evidence *evidence = &g_array_index (quar->evidence, Evidence, i);
+      if (evidence->content != content || contains_server (servers, count, evidence->server)
+          || (entry && contains_server (entry->servers, entry->server_count, evidence->server)))
         continue;
-      counted[count++] = one->server;
-      *last = one->at;
+      servers[count++] = evidence->server;
+      *last = evidence->at;
     }
   return count;
 }
 
 QuarVerdict
-quar_judge (const Quarantine *quar, uint64_t content)
+quar_check (const Quarantine *quar, uint64_t content)
 {
-  const Known *known = g_hash_table_lookup (quar->known, &content);
-  QuarVerdict verdict = { QUAR_FREE };
+  const TableEntry *entry = g_hash_table_lookup (quar->table, &content);
+  QuarVerdict verdict = { QUAR_NO_CRASHES };
   int64_t now = ft_clock_now (quar->clock), last = 0;
 
-  verdict.ends = known ? known->ends : 0;
+  verdict.ends = entry ? entry->ends : 0;
   if (quar->evidence->len > 0)
-    verdict.ends += count_evidence (quar, content, known, &last);
+    verdict.ends += count_evidence (quar, content, entry, &last);
   if (verdict.ends == 0)
     return verdict;
   verdict.state = QUAR_SUSPECT;
-  if (verdict.ends < BLAME_ENDS)
+  if (verdict.ends < CRASHES_QUARANTINE)
     return verdict;
-  int64_t enough_at = known && known->enough_at ? known->enough_at : last;
-  verdict.known_us = now - enough_at;
-  verdict.settles_at = enough_at + SETTLE;
-  verdict.state = now < verdict.settles_at ? QUAR_SETTLES : QUAR_HELD;
+  int64_t limit_reached_at = entry && entry->limit_reached_at ? entry->limit_reached_at : last;
+  verdict.blocked_for_us = now - limit_reached_at;
+  verdict.recheck_at = limit_reached_at + RECHECK_DELAY;
+  verdict.state = now < verdict.recheck_at ? QUAR_RECHECK : QUAR_BLOCKED;
   return verdict;
 }
 
-/* ---- Evidence ---- */
+/* ---- Local evidence ---- */
 
 static void
-forget_evidence (Quarantine *quar, bool (*is_it) (const Evidence *one, uint64_t key), uint64_t key)
+remove_evidence (Quarantine *quar, bool (*matches) (const Evidence *evidence, uint64_t key),
+                 uint64_t key)
 {
   for (unsigned i = quar->evidence->len; i-- > 0;)
-    if (is_it (&g_array_index (quar->evidence, Evidence, i), key))
+    if (matches (&g_array_index (quar->evidence, Evidence, i), key))
       g_array_remove_index (quar->evidence, i);
 }
 
 static bool
-is_of_content (const Evidence *one, uint64_t content)
+is_of_content (const Evidence *evidence, uint64_t content)
 {
-  return one->content == content;
+  return evidence->content == content;
 }
 
 static bool
-is_own_of_server (const Evidence *one, uint64_t server)
+is_own_of_server (const Evidence *evidence, uint64_t server)
 {
-  return one->own && one->server == (uint32_t) server;
+  return evidence->own && evidence->server == (uint32_t) server;
 }
 
 static bool
-is_heard (const Evidence *one, uint64_t unused)
+is_remote (const Evidence *evidence, uint64_t unused)
 {
   (void) unused;
-  return !one->own;
+  return !evidence->own;
 }
 
 static bool
-is_single (const Quarantine *quar, unsigned place)
+is_only_of_content (const Quarantine *quar, unsigned position)
 {
-  uint64_t content = g_array_index (quar->evidence, Evidence, place).content;
+  uint64_t content = g_array_index (quar->evidence, Evidence, position).content;
   unsigned count = 0;
 
   for (unsigned i = 0; i < quar->evidence->len; i++)
@@ -181,164 +187,164 @@
   return count == 1;
 }
 
-/* The oldest that stands alone goes first: many contents with one end each push out none that has
- * more. */
+/* Evicts the oldest evidence that is the only one of its content, so that many contents with one
+ * crash each cannot evict one that has more. */
 static void
-make_room (Quarantine *quar)
+evict_evidence_if_full (Quarantine *quar)
 {
-  unsigned place = 0;
+  unsigned position = 0;
 
-  if (quar->evidence->len < EVIDENCE_MOST)
+  if (quar->evidence->len < EVIDENCE_MAX)
     return;
-  while (place + 1 < quar->evidence->len && !is_single (quar, place))
-    place++;
-  g_array_remove_index (quar->evidence, place);
+  while (position + 1 < quar->evidence->len && !is_only_of_content (quar, position))
+    position++;
+  g_array_remove_index (quar->evidence, position);
 }
 
 void
-quar_ended (Quarantine *quar, uint64_t content, const char *server, bool own)
+quar_add_crash (Quarantine *quar, uint64_t content, const char *server, bool own)
 {
-  Evidence one = { content, quar_server_digest (server), own, ft_clock_now (quar->clock) };
+  Evidence evidence = { content, quar_server_digest (server), own, ft_clock_now (quar->clock) };
 
   for (unsigned i = 0; i < quar->evidence->len; i++)
     {
       Evidence *before = &g_array_index (quar->evidence, Evidence, i);
-      if (before->content != content || before->server != one.server)
+      if (before->content != content || before->server != evidence.server)
         continue;
       before->own = before->own || own;
       return;
     }
-  make_room (quar);
-  g_array_append_val (quar->evidence, one);
+  evict_evidence_if_full (quar);
+  g_array_append_val (quar->evidence, evidence);
 }
 
 void
-quar_acknowledged (Quarantine *quar, const char *server)
+quar_crash_recorded (Quarantine *quar, const char *server)
 {
-  forget_evidence (quar, is_own_of_server, quar_server_digest (server));
+  remove_evidence (quar, is_own_of_server, quar_server_digest (server));
 }
 
 bool
 quar_answered (Quarantine *quar, uint64_t content)
 {
-  Answered *slot = &quar->answered[content & (ANSWERED_MOST - 1)];
+  Answered *slot = &quar->answered[content & (ANSWERED_MAX - 1)];
 
   *slot = (Answered){ content, ft_clock_now (quar->clock) };
   if (quar->evidence->len > 0)
-    forget_evidence (quar, is_of_content, content);
-  return g_hash_table_contains (quar->known, &content);
+    remove_evidence (quar, is_of_content, content);
+  return g_hash_table_contains (quar->table, &content);
 }
 
 bool
-quar_server_lives (const Quarantine *quar, const char *server, int64_t sent_at)
+quar_crash_disproved (const Quarantine *quar, const char *server, int64_t sent_at)
 {
   uint32_t digest = quar_server_digest (server);
   int64_t now = ft_clock_now (quar->clock);
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, quar->known);
+  g_hash_table_iter_init (&iter, quar->table);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const Known *known = value;
-      for (unsigned i = 0; i < known->server_count; i++)
-        if (known->servers[i] == digest && sent_at >= known->seen[i]
-            && now < known->seen[i] + LIVES_MOST)
+      const TableEntry *entry = value;
+      for (unsigned i = 0; i < entry->server_count; i++)
+        if (entry->servers[i] == digest && sent_at >= entry->received_at[i]
+            && now < entry->received_at[i] + ALIVE_WINDOW)
           return true;
     }
   return false;
 }
 
-/* ---- The voters' account ---- */
+/* ---- The voters' crash table ---- */
 
 static int64_t
-seen_before (const Known *before, uint32_t server, int64_t now)
+first_received_at (const TableEntry *before, uint32_t server, int64_t now)
 {
   for (unsigned i = 0; before && i < before->server_count; i++)
     if (before->servers[i] == server)
-      return before->seen[i];
+      return before->received_at[i];
   return now;
 }
 
-static Known *
-known_new (const QuarRecord *record, const Known *before, int64_t now)
+static TableEntry *
+table_entry_new (const QuarRecord *record, const TableEntry *before, int64_t now)
 {
-  Known *known = g_new0 (Known, 1);
+  TableEntry *entry = g_new0 (TableEntry, 1);
 
-  known->content = record->content;
-  known->ends = record->ends;
-  known->server_count = MIN (record->server_count, FT_SUSPECT_SERVERS);
-  for (unsigned i = 0; i < known->server_count; i++)
+  entry->content = record->content;
+  entry->ends = record->ends;
+  entry->server_count = MIN (record->server_count, FT_SUSPECT_SERVERS);
+  for (unsigned i = 0; i < entry->server_count; i++)
     {
-      known->servers[i] = record->servers[i];
-      known->seen[i] = seen_before (before, record->servers[i], now);
+      entry->servers[i] = record->servers[i];
+      entry->received_at[i] = first_received_at (before, record->servers[i], now);
     }
-  if (known->ends >= BLAME_ENDS)
-    known->enough_at = before && before->enough_at ? before->enough_at : now;
-  return known;
+  if (entry->ends >= CRASHES_QUARANTINE)
+    entry->limit_reached_at = before && before->limit_reached_at ? before->limit_reached_at : now;
+  return entry;
 }
 
 bool
-quar_account (Quarantine *quar, uint64_t index, const QuarRecord *records, unsigned count)
+quar_update_table (Quarantine *quar, uint64_t index, const QuarRecord *records, unsigned count)
 {
   int64_t now = ft_clock_now (quar->clock);
 
   if (index < quar->index)
     return false;
-  GHashTable *known = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  GHashTable *table = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   for (unsigned i = 0; i < count; i++)
     {
-      const Known *before = g_hash_table_lookup (quar->known, &records[i].content);
-      Known *one = known_new (&records[i], before, now);
-      g_hash_table_replace (known, &one->content, one);
+      const TableEntry *before = g_hash_table_lookup (quar->table, &records[i].content);
+      TableEntry *entry = table_entry_new (&records[i], before, now);
+      g_hash_table_replace (table, &entry->content, entry);
     }
-  g_hash_table_unref (quar->known);
-  quar->known = known;
+  g_hash_table_unref (quar->table);
+  quar->table = table;
   quar->index = index;
   return true;
 }
 
 unsigned
-quar_proofs (const Quarantine *quar, uint64_t *contents, unsigned most)
+quar_recently_answered (const Quarantine *quar, uint64_t *contents, unsigned max)
 {
   int64_t now = ft_clock_now (quar->clock);
   GHashTableIter iter;
   gpointer value;
   unsigned count = 0;
 
-  g_hash_table_iter_init (&iter, quar->known);
-  while (count < most && g_hash_table_iter_next (&iter, NULL, &value))
+  g_hash_table_iter_init (&iter, quar->table);
+  while (count < max && g_hash_table_iter_next (&iter, NULL, &value))
     {
-      uint64_t content = ((const Known *) value)->content;
-      const Answered *slot = &quar->answered[content & (ANSWERED_MOST - 1)];
-      if (slot->content == content && now - slot->at < PROOF)
+      uint64_t content = ((const TableEntry *) value)->content;
+      const Answered *slot = &quar->answered[content & (ANSWERED_MAX - 1)];
+      if (slot->content == content && now - slot->at < ANSWER_VALID)
         contents[count++] = content;
     }
   return count;
 }
 
 void
-quar_tick (Quarantine *quar, bool heard)
+quar_tick (Quarantine *quar, bool reachable)
 {
   int64_t now = ft_clock_now (quar->clock);
 
-  if (!heard)
-    quar->heard_since = 0;
-  else if (quar->heard_since == 0)
-    quar->heard_since = now;
-  else if (now - quar->heard_since > HEARD_KEPT && quar->evidence->len > 0)
-    forget_evidence (quar, is_heard, 0);
+  if (!reachable)
+    quar->reachable_since = 0;
+  else if (quar->reachable_since == 0)
+    quar->reachable_since = now;
+  else if (now - quar->reachable_since > REMOTE_EVIDENCE_KEPT && quar->evidence->len > 0)
+    remove_evidence (quar, is_remote, 0);
 }
 
 unsigned
-quar_held (const Quarantine *quar)
+quar_count_blocked (const Quarantine *quar)
 {
   GHashTableIter iter;
   gpointer value;
   unsigned count = 0;
 
-  g_hash_table_iter_init (&iter, quar->known);
+  g_hash_table_iter_init (&iter, quar->table);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    count += ((const Known *) value)->enough_at != 0;
+    count += ((const TableEntry *) value)->limit_reached_at != 0;
   return count;
 }
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -1,34 +1,35 @@
-/* quarantine.h - what an instance that sends requests knows of contents under which servers ended;
- * private to the library and its shells. */
+/* quarantine.h - decides on one instance whether a request content may be sent to a server, from
+ * the server crashes known for it; private to the library and its shells. */
 #ifndef QUARANTINE_H
 #define QUARANTINE_H
 
-#include "blame.h"
+#include "crashes.h"
 
 typedef struct Quarantine Quarantine;
 
 typedef enum
 {
-  QUAR_FREE,    /* nothing is known against it */
-  QUAR_SUSPECT, /* servers have ended under it, fewer than BLAME_ENDS */
-  QUAR_SETTLES, /* enough of them, just now: whoever has answered it whole may still say so */
-  QUAR_HELD     /* it is sent to no server */
+  QUAR_NO_CRASHES, /* no crash is known */
+  QUAR_SUSPECT,    /* some crashes are known, fewer than CRASHES_QUARANTINE */
+  QUAR_RECHECK,    /* CRASHES_QUARANTINE was reached just now: the request waits, because another
+                      instance may still report a complete answer */
+  QUAR_BLOCKED     /* quarantined: it is sent to no server */
 } QuarState;
 
 typedef struct
 {
   QuarState state;
-  unsigned ends;      /* servers that ended under it, as far as is known here */
-  int64_t settles_at; /* QUAR_SETTLES: when it is to be looked at again */
-  int64_t known_us;   /* since when enough of them are known; 0 below BLAME_ENDS */
+  unsigned ends;      /* crashes of servers that were running it, as far as this instance knows */
+  int64_t recheck_at; /* QUAR_RECHECK: when to check again */
+  int64_t blocked_for_us; /* how long CRASHES_QUARANTINE has been reached; 0 below that */
 } QuarVerdict;
 
-/* One record of the account that voters keep. */
+/* One entry of the crash table that the voters replicate. */
 typedef struct
 {
   uint64_t content;
   unsigned ends;
-  const uint32_t *servers; /* digests of the latest of them */
+  const uint32_t *servers; /* digests of the ids of the servers that crashed last */
   unsigned server_count;
 } QuarRecord;
 
@@ -36,33 +37,36 @@
 void quar_free (Quarantine *quar);
 uint32_t quar_server_digest (const char *server);
 
-/* What is to become of a request of this content now. */
-QuarVerdict quar_judge (const Quarantine *quar, uint64_t content);
+/* Decides what to do now with a request of this content. */
+QuarVerdict quar_check (const Quarantine *quar, uint64_t content);
 
-/* ---- Evidence ---- */
+/* ---- Local evidence ---- */
 
-/* A server ended under the content. own: this instance saw it, and will be told by
- * quar_acknowledged that the voters' account has it; else another one told, which is believed
- * until the voters' account is known again. */
-void quar_ended (Quarantine *quar, uint64_t content, const char *server, bool own);
-/* The voters' account has all that this instance told of the server. */
-void quar_acknowledged (Quarantine *quar, const char *server);
-/* The content has been answered whole, here and now. True: voters must be told, since something is
- * said against it. */
+/* Records that a server crashed while running the content. own: this instance detected the crash
+ * and keeps the evidence until quar_crash_recorded says that the voters have recorded it. Otherwise
+ * another instance reported it, and it is kept until the voters have been reachable for a while. */
+void quar_add_crash (Quarantine *quar, uint64_t content, const char *server, bool own);
+/* The voters have recorded all crashes of the server that this instance reported. */
+void quar_crash_recorded (Quarantine *quar, const char *server);
+/* The content has just been answered completely at this instance. Returns true if crashes are
+ * recorded for it, so that the voters must be told. */
 bool quar_answered (Quarantine *quar, uint64_t content);
-/* The server has answered a request that was sent at sent_at. True: voters must be told, since it
- * is said to have ended before. */
-bool quar_server_lives (const Quarantine *quar, const char *server, int64_t sent_at);
+/* The server has answered a request sent at sent_at. Returns true if a crash of it was recorded
+ * before that time, which the answer disproves, so that the voters must be told. */
+bool quar_crash_disproved (const Quarantine *quar, const char *server, int64_t sent_at);
 
-/* ---- The voters' account ---- */
+/* ---- The voters' crash table ---- */
 
-/* Takes it over if it is not older than the one held. False: it is. */
-bool quar_account (Quarantine *quar, uint64_t index, const QuarRecord *records, unsigned count);
-/* Those of its contents that were answered whole here shortly before it came; returns how many. */
-unsigned quar_proofs (const Quarantine *quar, uint64_t *contents, unsigned most);
-/* Call every 50 ms or so. heard: a voter in charge can be heard. */
-void quar_tick (Quarantine *quar, bool heard);
-/* Contents that are sent to no server. */
-unsigned quar_held (const Quarantine *quar);
+/* Replaces this instance's copy of the table, unless the new one is older; returns false in that
+ * case. */
+bool quar_update_table (Quarantine *quar, uint64_t index, const QuarRecord *records,
+                        unsigned count);
+/* Fills contents with those of the table that were answered completely here shortly before the
+ * table arrived, and returns how many there are. */
+unsigned quar_recently_answered (const Quarantine *quar, uint64_t *contents, unsigned max);
+/* To be called about every 50 ms. reachable: the leading voter is reachable. */
+void quar_tick (Quarantine *quar, bool reachable);
+/* Number of contents in the table that are quarantined. */
+unsigned quar_count_blocked (const Quarantine *quar);
 
 #endif
--- a/src/state.c
+++ b/src/state.c
@@ -9,7 +9,7 @@
  * free again), answered, or unknown. Ended claims are kept for CLAIM_KEPT_MS and running ones for
  * CLAIM_LOST_MS, by the wall times that the operations carry, so that all voters agree on them.
  *
- * Blame: which contents ran on servers that ended (blame.c).
+ * CrashTable: which contents ran on servers that ended (crashes.c).
  * Roll-outs: which versions of servers were ordered (rollout.c).
  */
 #include "state.h"
@@ -37,7 +37,7 @@
   GHashTable *by_refusal;
   MsgVoters voters;
   MsgDocument document;
-  Blame *blame;
+  CrashTable *blame;
   RollAccount *rollouts;
 };
 
@@ -69,7 +69,7 @@
   memset (&state->voters, 0, sizeof state->voters);
   codec_clear (CODEC (MsgDocument), &state->document);
   memset (&state->document, 0, sizeof state->document);
-  blame_restore (state->blame, &(MsgBlame){ 0 });
+  crashes_restore (state->blame, &(MsgBlame){ 0 });
   roll_restore (state->rollouts, &(MsgRollouts){ 0 });
 }
 
@@ -85,7 +85,7 @@
   state->by_refusal = g_hash_table_new (g_str_hash, g_str_equal);
   g_queue_init (&state->ended);
   g_queue_init (&state->refusals);
-  state->blame = blame_new ();
+  state->blame = crashes_new ();
   state->rollouts = roll_new ();
   return state;
 }
@@ -101,7 +101,7 @@
   g_hash_table_unref (state->leases);
   g_hash_table_unref (state->claims);
   g_hash_table_unref (state->by_refusal);
-  blame_free (state->blame);
+  crashes_free (state->blame);
   roll_free (state->rollouts);
   g_free (state);
 }
@@ -404,13 +404,13 @@
         keep_refusal (state, &op->MsgOp_u.refusals.records.records_val[i]);
       break;
     case MSG_OP_ENDED:
-      blame_ended (state->blame, index, &op->MsgOp_u.ended);
+      crashes_add (state->blame, index, &op->MsgOp_u.ended);
       break;
     case MSG_OP_SURVIVED:
-      blame_survived (state->blame, index, &op->MsgOp_u.survived);
+      crashes_retract (state->blame, index, &op->MsgOp_u.survived);
       break;
     case MSG_OP_CLEARED:
-      blame_cleared (state->blame, index, &op->MsgOp_u.cleared);
+      crashes_clear (state->blame, index, &op->MsgOp_u.cleared);
       break;
     case MSG_OP_ROLLOUT_START:
       roll_start (state->rollouts, index, &op->MsgOp_u.rollout_start);
@@ -461,7 +461,7 @@
   out.voters.voters_len = state->voters.voters.voters_len;
   out.voters.voters_val = state->voters.voters.voters_val;
   out.document = state->document;
-  blame_capture (state->blame, 0, &out.blame);
+  crashes_capture (state->blame, 0, &out.blame);
   roll_capture (state->rollouts, &out.rollouts);
   GByteArray *bytes = codec_pack (CODEC (MsgState), &out);
   g_free (out.blame.suspects.suspects_val);
@@ -505,7 +505,7 @@
   state->voters.voters.voters_len = in->voters.voters_len;
   state->voters.voters.voters_val = in->voters.voters_val;
   state->document = in->document;
-  blame_restore (state->blame, &in->blame);
+  crashes_restore (state->blame, &in->blame);
   roll_restore (state->rollouts, &in->rollouts);
 }
 
@@ -617,7 +617,7 @@
   return state->document.number ? &state->document : NULL;
 }
 
-const Blame *
+const CrashTable *
 state_blame (const State *state)
 {
   return state->blame;
--- a/src/state.h
+++ b/src/state.h
@@ -3,7 +3,7 @@
 #ifndef STATE_H
 #define STATE_H
 
-#include "blame.h"
+#include "crashes.h"
 #include "rollout.h"
 
 typedef struct State State;
@@ -35,7 +35,7 @@
 /* The newest document, borrowed; NULL: none yet. */
 const MsgDocument *state_document (const State *state);
 /* Which contents ran on servers that ended; borrowed. */
-const Blame *state_blame (const State *state);
+const CrashTable *state_blame (const State *state);
 /* Which versions of servers were ordered; borrowed. */
 const RollAccount *state_rollouts (const State *state);
 const MsgVoters *state_voters (const State *state);
--- a/src/susp.c
+++ b/src/susp.c
@@ -1,4 +1,4 @@
-/* susp.c - a node's part in finding contents that end servers (blame.c, quarantine.c).
+/* susp.c - a node's part in finding contents that end servers (crashes.c, quarantine.c).
  *
  * What its shell saw is proposed to the log like any operation. What the log says comes with the
  * answers that prove freshness, so an instance that has not heard of an end for FRESH_LIMIT takes
@@ -27,7 +27,7 @@
 propose_proofs (FtNode *node)
 {
   uint64_t contents[PROOFS_MOST];
-  unsigned count = quar_proofs (node->quar, contents, PROOFS_MOST);
+  unsigned count = quar_recently_answered (node->quar, contents, PROOFS_MOST);
 
   if (count > 0)
     susp_propose_cleared (node, contents, count, true);
@@ -48,7 +48,7 @@
         of_this[j] = quar_server_digest (from->latest.latest_val[j].server);
       records[i] = (QuarRecord){ from->content, from->ends, of_this, from->latest.latest_len };
     }
-  if (quar_account (node->quar, blame->index, records, count))
+  if (quar_update_table (node->quar, blame->index, records, count))
     {
       node->blame_index = blame->index;
       propose_proofs (node);
@@ -66,7 +66,7 @@
 
   g_snprintf (name, sizeof name, "%s/%s", pool, server);
   op.MsgOp_u.ended = (MsgEnded){ name, wall_ms, { 1, contents } };
-  quar_ended (node->quar, content, name, true);
+  quar_add_crash (node->quar, content, name, true);
   prop_propose (node, &op, true);
 }
 
--- a/test/witness.c
+++ b/test/witness.c
@@ -165,7 +165,8 @@
   run_until (voter_got_end);
   g_assert_cmpuint (last.MeshMsg_u.ended.number, ==, number);
   known (number);
-  g_assert_cmpint (witness_judge (witness, CONTENT).state, ==, QUAR_FREE); /* others know more */
+  g_assert_cmpint (witness_judge (witness, CONTENT).state, ==,
+                   QUAR_NO_CRASHES); /* others know more */
   GString *metrics = g_string_new (NULL);
   witness_describe (witness, metrics);
   g_assert_nonnull (strstr (metrics->str, "foxtail_reports_untold 0"));
