--- a/node/rollint.h
+++ b/node/rollint.h
@@ -36,10 +36,10 @@
   Voter *voter;
   Broker *broker;
   RolloutsConf conf;
-  RollAccount *account; /* as committed */
-  GHashTable *seen;     /* service: Seen */
-  GPtrArray *led;       /* Led */
-  unsigned unheard;     /* entries lost lately */
+  RolloutTable *account; /* as committed */
+  GHashTable *seen;      /* service: Seen */
+  GPtrArray *led;        /* Led */
+  unsigned unheard;      /* entries lost lately */
   Tell *tell;
   uint64_t told; /* digest of the phases that schedulers and entries have */
 };
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -223,12 +223,12 @@
 
 /* ---- Operators ---- */
 
-RollOrder
+RollCheck
 rollouts_order (Rollouts *rollouts, const SeamRollout *order, uint64_t *ticket)
 {
   const MsgRollout *known = rollouts_find (rollouts, order->service);
   bool lately = rollouts_elapsed (rollouts, order->service) < rollouts->conf.repeat_us;
-  RollOrder verdict = roll_check (rollouts->account, order->service, order->target, lately);
+  RollCheck verdict = roll_check (rollouts->account, order->service, order->target, lately);
   MsgOp op = { .kind = MSG_OP_ROLLOUT_START };
   SchedServiceStats stats;
 
--- a/node/voter.c
+++ b/node/voter.c
@@ -274,7 +274,7 @@
 static void
 keep_rollouts (Voter *voter)
 {
-  const RollAccount *account = state_rollouts (voter->state);
+  const RolloutTable *account = state_rollouts (voter->state);
   MsgRollouts captured = { 0 };
 
   if (roll_index (account) == voter->rollouts.index)
--- a/src/judge.h
+++ b/src/judge.h
@@ -1,5 +1,5 @@
-/* judge.h - is a version of a service's servers bad, by the answers of both versions; private to
- * the library and its shells. */
+/* judge.h - decides whether the target version of a roll-out is bad, by comparing its answers with
+ * those of the previous version; private to the library and its shells. */
 #ifndef JUDGE_H
 #define JUDGE_H
 
@@ -9,35 +9,37 @@
 {
   unsigned route;  /* digest of the route's name */
   uint32_t server; /* digest of the server's id */
-  bool ordered;    /* of the version that was ordered, else of the one before */
+  bool ordered;    /* from the target version, otherwise from the previous one */
   bool bad;
 } JudgeAnswer;
 
 typedef struct
 {
-  unsigned answers, bad;        /* of the ordered version */
-  double suspicion;             /* evidence against it: from 1 on it is bad */
-  unsigned route;               /* by which answers; 0: by all */
-  double before, after;         /* share of bad answers of both versions there, of late ... */
-  double before_all, after_all; /* ... and over all routes */
-} JudgeFacts;
+  unsigned answers, bad; /* of the target version */
+  double suspicion; /* evidence against the target version as a fraction of the threshold; from 1 on
+                       it is bad */
+  unsigned route;   /* digest of the route with the strongest evidence; 0: all routes together */
+  double before,
+      after; /* the previous and the target version's recent share of bad answers there */
+  double before_all, after_all; /* the same over all routes */
+} JudgeResult;
 
 typedef struct Judge Judge;
 
-/* Ways to judge; see the comment atop judge.c. */
+/* Statistical methods; see the comment at the top of judge.c. */
 typedef enum
 {
-  JUDGE_SEQUENTIAL,
-  JUDGE_WINDOWS
-} JudgeWay;
+  JUDGE_CUSUM,
+  JUDGE_WINDOW
+} JudgeMethod;
 
-Judge *judge_new (FtClock *clock, JudgeWay way);
+Judge *judge_new (FtClock *clock, JudgeMethod method);
 void judge_free (Judge *judge);
-/* Goes on from what another instance knew. */
+/* Continues from the counts and the suspicion that another instance recorded. */
 void judge_resume (Judge *judge, unsigned answers, unsigned bad, double suspicion);
-/* How many servers of the ordered version are live. */
-void judge_servers (Judge *judge, unsigned count);
-void judge_answer (Judge *judge, const JudgeAnswer *answer);
-void judge_facts (Judge *judge, JudgeFacts *facts);
+/* Sets how many servers of the target version are live. */
+void judge_set_servers (Judge *judge, unsigned count);
+void judge_add_answer (Judge *judge, const JudgeAnswer *answer);
+void judge_get_result (Judge *judge, JudgeResult *result);
 
 #endif
--- a/src/rollout.c
+++ b/src/rollout.c
@@ -1,20 +1,23 @@
-/* rollout.c - which version of a service's servers was ordered, and how far the move has come.
+/* rollout.c - records which version of each service was ordered, and the progress of its roll-out.
+ *
+ * The table is part of the replicated state, so an acknowledged order survives the loss of any
+ * instance, and a version that was rolled back stays rolled back. The phases of a roll-out only go
+ * forward:
  *
- * The account is part of the replicated state, so an order that was acknowledged outlives every
- * instance, and a version that was rolled back stays so. A roll-out only goes forward:
  *     trying -> moving -> completed
- * and from the first two to rolled back; steps of an older order, or behind its end, change
- * nothing. So whoever takes charge in the middle goes on from the last step, and a step that was
- * proposed by two instances counts once.
+ *
+ * and from the first two to rolled back. Steps of an older order, or after the end, change
+ * nothing. So a new voter in charge continues from the last committed step, and a step that two
+ * instances propose takes effect once.
  */
 #include "rollout.h"
 
 #include <string.h>
 
-struct RollAccount
+struct RolloutTable
 {
   uint64_t index;
-  GPtrArray *all; /* MsgRollout, by service */
+  GPtrArray *all; /* MsgRollout, sorted by service */
 };
 
 static void
@@ -24,26 +27,26 @@
   g_free (data);
 }
 
-RollAccount *
+RolloutTable *
 roll_new (void)
 {
-  RollAccount *account = g_new0 (RollAccount, 1);
+  RolloutTable *table = g_new0 (RolloutTable, 1);
 
-  account->all = g_ptr_array_new_with_free_func (rollout_free);
-  return account;
+  table->all = g_ptr_array_new_with_free_func (rollout_free);
+  return table;
 }
 
 void
-roll_free (RollAccount *account)
+roll_free (RolloutTable *table)
 {
-  if (account == NULL)
+  if (table == NULL)
     return;
-  g_ptr_array_unref (account->all);
-  g_free (account);
+  g_ptr_array_unref (table->all);
+  g_free (table);
 }
 
 static int
-by_service (gconstpointer one, gconstpointer other)
+compare_service (gconstpointer one, gconstpointer other)
 {
   const MsgRollout *const *a = one, *const *b = other;
 
@@ -51,11 +54,11 @@
 }
 
 static MsgRollout *
-find (const RollAccount *account, const char *service)
+find (const RolloutTable *table, const char *service)
 {
-  for (unsigned i = 0; i < account->all->len; i++)
+  for (unsigned i = 0; i < table->all->len; i++)
     {
-      MsgRollout *rollout = account->all->pdata[i];
+      MsgRollout *rollout = table->all->pdata[i];
       if (strcmp (rollout->service, service) == 0)
         return rollout;
     }
@@ -63,9 +66,9 @@
 }
 
 const MsgRollout *
-roll_find (const RollAccount *account, const char *service)
+roll_find (const RolloutTable *table, const char *service)
 {
-  return find (account, service);
+  return find (table, service);
 }
 
 bool
@@ -74,17 +77,17 @@
   return rollout->phase == MSG_ROLLOUT_TRYING || rollout->phase == MSG_ROLLOUT_MOVING;
 }
 
-RollOrder
-roll_check (const RollAccount *account, const char *service, const char *target, bool lately)
+RollCheck
+roll_check (const RolloutTable *table, const char *service, const char *target, bool recent)
 {
-  const MsgRollout *known = find (account, service);
+  const MsgRollout *known = find (table, service);
 
   if (known == NULL)
-    return account->all->len < FT_ROLLOUTS_MOST ? ROLL_NEW : ROLL_FULL;
+    return table->all->len < FT_ROLLOUTS_MOST ? ROLL_NEW : ROLL_FULL;
   if (strcmp (known->target, target) != 0)
     return roll_is_active (known) ? ROLL_BUSY : ROLL_NEW;
   if (known->phase == MSG_ROLLOUT_ROLLED_BACK)
-    return lately ? ROLL_KNOWN : ROLL_NEW;
+    return recent ? ROLL_KNOWN : ROLL_NEW;
   return ROLL_KNOWN;
 }
 
@@ -95,24 +98,25 @@
   *field = strdup (text);
 }
 
-/* Failure: an order is proposed by one voter, and again by the next one in charge, since its answer
- * was lost; both are committed. Symptom: a roll-out that has begun, or even ended, begins anew.
- * Only the order that follows the roll-out that its proposer knew counts. */
+/* Failure: one voter proposes an order, its answer is lost, and the next voter in charge proposes
+ * the order again; both proposals are committed, and an active or even completed roll-out would
+ * start again. Therefore each proposal names the roll-out that its proposer saw last, and takes
+ * effect only if that is still the latest one. */
 bool
-roll_start (RollAccount *account, uint64_t index, const MsgRolloutStart *start)
+roll_apply_start (RolloutTable *table, uint64_t index, const MsgRolloutStart *start)
 {
-  MsgRollout *rollout = find (account, start->service);
+  MsgRollout *rollout = find (table, start->service);
 
   if (start->after != (rollout ? rollout->number : 0)
-      || (rollout == NULL && account->all->len >= FT_ROLLOUTS_MOST)
+      || (rollout == NULL && table->all->len >= FT_ROLLOUTS_MOST)
       || (rollout && roll_is_active (rollout)))
     return false;
   if (rollout == NULL)
     {
       rollout = g_new0 (MsgRollout, 1);
       set_text (&rollout->service, start->service);
-      g_ptr_array_add (account->all, rollout);
-      g_ptr_array_sort (account->all, by_service);
+      g_ptr_array_add (table->all, rollout);
+      g_ptr_array_sort (table->all, compare_service);
     }
   set_text (&rollout->target, start->target);
   set_text (&rollout->before, start->before);
@@ -121,12 +125,12 @@
   rollout->limit_ms = start->limit_ms;
   rollout->phase = MSG_ROLLOUT_TRYING;
   rollout->trial = (MsgTrial){ 0 };
-  account->index = index;
+  table->index = index;
   return true;
 }
 
 static bool
-leads_forward (MsgRolloutPhase from, MsgRolloutPhase to)
+is_forward (MsgRolloutPhase from, MsgRolloutPhase to)
 {
   if (from == MSG_ROLLOUT_COMPLETED || from == MSG_ROLLOUT_ROLLED_BACK)
     return false;
@@ -134,44 +138,44 @@
 }
 
 bool
-roll_step (RollAccount *account, uint64_t index, const MsgRolloutStep *step)
+roll_apply_step (RolloutTable *table, uint64_t index, const MsgRolloutStep *step)
 {
-  MsgRollout *rollout = find (account, step->service);
+  MsgRollout *rollout = find (table, step->service);
 
   if (rollout == NULL || rollout->number != step->number
-      || !leads_forward (rollout->phase, step->phase))
+      || !is_forward (rollout->phase, step->phase))
     return false;
   if (rollout->phase != step->phase)
     set_text (&rollout->why, step->why);
   rollout->phase = step->phase;
   rollout->trial = step->trial;
-  account->index = index;
+  table->index = index;
   return true;
 }
 
 uint64_t
-roll_index (const RollAccount *account)
+roll_index (const RolloutTable *table)
 {
-  return account->index;
+  return table->index;
 }
 
 void
-roll_capture (const RollAccount *account, MsgRollouts *out)
+roll_capture (const RolloutTable *table, MsgRollouts *out)
 {
-  unsigned count = account->all->len;
+  unsigned count = table->all->len;
 
-  *out = (MsgRollouts){ .index = account->index };
+  *out = (MsgRollouts){ .index = table->index };
   out->rollouts.rollouts_len = count;
   out->rollouts.rollouts_val = g_new0 (MsgRollout, count + 1);
   for (unsigned i = 0; i < count; i++)
-    out->rollouts.rollouts_val[i] = *(const MsgRollout *) account->all->pdata[i];
+    out->rollouts.rollouts_val[i] = *(const MsgRollout *) table->all->pdata[i];
 }
 
 void
-roll_restore (RollAccount *account, const MsgRollouts *in)
+roll_restore (RolloutTable *table, const MsgRollouts *in)
 {
-  g_ptr_array_set_size (account->all, 0);
-  account->index = in->index;
+  g_ptr_array_set_size (table->all, 0);
+  table->index = in->index;
   for (unsigned i = 0; i < in->rollouts.rollouts_len; i++)
     {
       const MsgRollout *from = &in->rollouts.rollouts_val[i];
@@ -180,6 +184,6 @@
       rollout->target = strdup (from->target);
       rollout->before = strdup (from->before);
       rollout->why = strdup (from->why);
-      g_ptr_array_add (account->all, rollout);
+      g_ptr_array_add (table->all, rollout);
     }
 }
--- a/src/rollplan.c
+++ b/src/rollplan.c
@@ -1,185 +1,204 @@
-/* rollplan.c - how much a version that was ordered gets, when everything moves to it, and when the
- * roll-out ends.
+/* rollplan.c - decides how many requests the target version of a roll-out gets, when all requests
+ * move to it, and when the roll-out ends.
  *
- * A bad version may get a small part of the requests only, and whether it is bad may show late. So
- * the version is tried with a small share for as long as the time limit allows, and the move is
- * made as late as it can be and still end in time: the longest answers of late must end on the
- * servers of the version before, which are stopped at once when the roll-out is completed.
+ * A bad version may get only a small part of the requests, and it may show its faults late. So the
+ * target is tried with a small share for as long as the time limit allows, and the move is made as
+ * late as possible. It must leave enough time for the longest recent answers to end on the servers
+ * of the previous version, because those are stopped as soon as the roll-out completes.
  *
- *     |<-- tried with SHARE_SMALL -->|<- steps up ->|<-- moving: drain of the others -->| margin |
- *     order                                                                              limit
+ *     |<-- trial with SHARE_SMALL -->|<- steps up ->|<-- move: others finish requests -->| margin |
+ *     order                                                                                 limit
  *
- * Before the move the share goes up in steps, so that a version that fails under its full load
- * shows it while the others are still there for most callers. At no time do the target's servers
- * get more than SPENT_MOST of what a bad version may get, until the move is made.
+ * Before the move the share is raised in steps, so that a version that fails under high load shows
+ * it while most callers still use the previous one. Until the move, the target's servers get at
+ * most TRIAL_BUDGET_PART of what a bad version may get.
  *
- * When the time cannot hold all this (a short limit, servers that start late), the trial is what is
- * cut: an order says that the move is wanted within its time, and a version that shows itself bad
- * is rolled back in the move as well. Answers under way that may run once only are never cut:
- * rather the limit is passed. A target that has hardly been tried, or cannot carry the load, is not
- * moved to at all; it is rolled back at the limit.
+ * If the time is too short for all this (a short limit, or servers that start late), the trial is
+ * shortened: the order requires the move within its time, and a bad version can be rolled back
+ * during the move as well. Running requests that must not be sent twice are never interrupted; the
+ * limit is exceeded instead. If the target has hardly been tried or lacks capacity, nothing moves,
+ * and it is rolled back at the limit.
  */
 #include "rollplan.h"
 
 #include <math.h>
 
-/* Tuning; each row with its reason. */
-#define SHARE_SMALL   0.06 /* some 20 requests a second of 300: a bad version shows within 2 s */
+/* About 20 of 300 requests a second: a bad version is detected within 2 s. */
+#define SHARE_SMALL   0.06
 #define SHARE_HALF    0.5
 #define SHARE_QUARTER 0.25
-#define STEP_UP       (600 * FT_MS)  /* each of two steps: answers of the last one are back */
-#define SPENT_MOST    0.6            /* part of what a bad version may get that the trial may use */
-#define MARGIN        (1200 * FT_MS) /* before the limit: the last step is committed and read */
-#define MARGIN_PART   0.15           /* of the limit, if that is less */
-#define DRAIN_LEAST   (500 * FT_MS)
-#define DRAIN_PART    0.45 /* of the limit that the move may take: the trial comes first */
-#define ANSWERS_LEAST 20   /* judged, before everything moves ... */
-#define ANSWERS_WANTED                                                                             \
-  40.0                 /* ... and meant to be by then: a service with few requests tries more */
-#define SUSPECTED 0.5  /* evidence with which nothing moves on */
-#define BAD_MOST  0.15 /* share of bad answers, of either version, with which nothing moves */
-#define CARRIES   0.7  /* of the places before that the target must have */
-#define SETTLE    (400 * FT_MS) /* entries hear of the move, and of what they sent before */
+/* Length of each of the two steps, enough for answers of the last step to arrive. */
+#define SHARE_STEP_TIME (600 * FT_MS)
+/* Part of the limit for a bad version that the trial may use. */
+#define TRIAL_BUDGET_PART 0.6
+/* Time before the limit for the last step to be committed and read by operators. */
+#define END_MARGIN (1200 * FT_MS)
+/* The same as a part of the limit, if that is less. */
+#define END_MARGIN_PART 0.15
+#define DRAIN_MIN       (500 * FT_MS)
+/* Largest part of the limit for the move, so that time for the trial remains. */
+#define DRAIN_MAX_PART 0.45
+/* Judged answers required before the move. */
+#define ANSWERS_MIN 20
+/* Judged answers aimed at before the move: a service with few requests gets a larger trial share.
+ */
+#define ANSWERS_WANTED 40.0
+/* Suspicion from which on the share is not raised and nothing moves or completes. */
+#define SUSPICION_MAX 0.5
+/* Largest share of bad answers, of either version, with which the move may begin. */
+#define BAD_SHARE_MAX 0.15
+/* Part of the request slots of the previous version that the target must have. */
+#define CAPACITY_MIN 0.7
+/* Time for entries to learn of the move and for the requests that they had already sent to be
+ * known. */
+#define PROPAGATION_TIME (400 * FT_MS)
 
 static int64_t
-margin (const PlanFacts *facts)
+end_margin (const PlanInput *input)
 {
-  return MIN (MARGIN, (int64_t) (MARGIN_PART * (double) facts->limit_us));
+  return MIN (END_MARGIN, (int64_t) (END_MARGIN_PART * (double) input->limit_us));
 }
 
-/* When everything is to move. */
+/* Planned time of the move, counted from the order. */
 static int64_t
-move_at (const PlanFacts *facts)
+planned_move_time (const PlanInput *input)
 {
-  int64_t most = (int64_t) (DRAIN_PART * (double) facts->limit_us);
-  int64_t drain = CLAMP (facts->longest_us + SETTLE, DRAIN_LEAST, MAX (most, DRAIN_LEAST));
+  int64_t drain_max = (int64_t) (DRAIN_MAX_PART * (double) input->limit_us);
+  int64_t drain
+      = CLAMP (input->longest_us + PROPAGATION_TIME, DRAIN_MIN, MAX (drain_max, DRAIN_MIN));
 
-  return MAX (0, facts->limit_us - margin (facts) - drain);
+  return MAX (0, input->limit_us - end_margin (input) - drain);
 }
 
 static double
-share_small (const PlanFacts *facts, int64_t move)
+small_share (const PlanInput *input, int64_t move)
 {
-  double by_move = facts->placed * (double) move / (double) MAX (facts->elapsed_us, FT_SECOND);
+  double requests_by_move
+      = input->placed * (double) move / (double) MAX (input->elapsed_us, FT_SECOND);
 
-  return CLAMP (ANSWERS_WANTED / MAX (by_move, 1), SHARE_SMALL, SHARE_QUARTER);
+  return CLAMP (ANSWERS_WANTED / MAX (requests_by_move, 1), SHARE_SMALL, SHARE_QUARTER);
 }
 
 static double
-share_at (const PlanFacts *facts, int64_t move)
+trial_share (const PlanInput *input, int64_t move)
 {
-  if (facts->suspicion >= SUSPECTED || facts->answers < ANSWERS_LEAST)
-    return share_small (facts, move);
-  if (facts->elapsed_us >= move - STEP_UP)
+  if (input->suspicion >= SUSPICION_MAX || input->answers < ANSWERS_MIN)
+    return small_share (input, move);
+  if (input->elapsed_us >= move - SHARE_STEP_TIME)
     return SHARE_HALF;
-  if (facts->elapsed_us >= move - 2 * STEP_UP)
+  if (input->elapsed_us >= move - 2 * SHARE_STEP_TIME)
     return SHARE_QUARTER;
-  return share_small (facts, move);
+  return small_share (input, move);
 }
 
-/* How many more of the requests the target may get before it has moved. */
+/* Number of further requests that the target may get before the move. */
 static unsigned
-left_by_now (const PlanLimits *limits, const PlanFacts *facts)
+remaining_budget (const PlanLimits *limits, const PlanInput *input)
 {
-  double allowed = SPENT_MOST * (limits->share * facts->placed + limits->slack);
+  double allowed = TRIAL_BUDGET_PART * (limits->share * input->placed + limits->slack);
 
-  return allowed > facts->granted ? (unsigned) (allowed - facts->granted) : 0;
+  return allowed > input->granted ? (unsigned) (allowed - input->granted) : 0;
 }
 
 static bool
-carries (const PlanFacts *facts)
+has_capacity (const PlanInput *input)
 {
-  return facts->servers > 0 && facts->places >= CARRIES * facts->places_before;
+  return input->servers > 0 && input->places >= CAPACITY_MIN * input->places_before;
 }
 
-/* Failure: the servers of the version before fail a part themselves, for a fault of their own.
- * Symptom: the target's failures look usual beside them, and a bad version gets everything. As long
- * as many answers of either are bad, nothing can be told, and nothing moves. */
+/* Failure: the servers of the previous version fail some requests because of a fault of their own.
+ * The failures of a bad target then look normal, and it would get all requests. While many answers
+ * of either version are bad, no comparison is possible, and nothing moves. */
 static bool
-looks_sound (const PlanFacts *facts)
+appears_sound (const PlanInput *input)
 {
-  return facts->suspicion < SUSPECTED && facts->before <= BAD_MOST && facts->after <= BAD_MOST;
+  return input->suspicion < SUSPICION_MAX && input->before <= BAD_SHARE_MAX
+         && input->after <= BAD_SHARE_MAX;
 }
 
 static const char *
-why_not_moved (const PlanFacts *facts)
+reason_not_moved (const PlanInput *input)
 {
-  if (facts->servers == 0)
-    return "no server of the version was there in time";
-  if (!carries (facts))
-    return "its servers cannot carry the load";
+  if (input->servers == 0)
+    return "no server of the version was available in time";
+  if (!has_capacity (input))
+    return "its servers have too little capacity for the load";
   return "it was not shown to be sound in time";
 }
 
 static void
-plan_trial (const PlanLimits *limits, const PlanFacts *facts, PlanStep *step)
+plan_trial (const PlanLimits *limits, const PlanInput *input, PlanStep *step)
 {
-  int64_t move = move_at (facts);
-  bool sound = facts->answers >= ANSWERS_LEAST && looks_sound (facts);
-  bool already = facts->in_use && facts->servers > 0;
-  bool idle = facts->placed < ANSWERS_LEAST; /* nobody asks, so nobody can meet it */
+  int64_t move = planned_move_time (input);
+  bool proven_sound = input->answers >= ANSWERS_MIN && appears_sound (input);
+  bool already_moved = input->in_use && input->servers > 0;
+  bool idle = input->placed < ANSWERS_MIN; /* without requests no caller can be affected */
 
-  if (already || (facts->elapsed_us >= move && (sound || idle) && carries (facts)))
+  if (already_moved
+      || (input->elapsed_us >= move && (proven_sound || idle) && has_capacity (input)))
     {
       step->phase = MSG_ROLLOUT_MOVING;
       step->why = "tried";
     }
-  else if (facts->elapsed_us >= facts->limit_us - margin (facts) / 2)
+  else if (input->elapsed_us >= input->limit_us - end_margin (input) / 2)
     {
       step->phase = MSG_ROLLOUT_ROLLED_BACK;
-      step->why = why_not_moved (facts);
+      step->why = reason_not_moved (input);
     }
   else
     {
-      step->share = share_at (facts, move);
-      step->left = left_by_now (limits, facts);
+      step->share = trial_share (input, move);
+      step->left = remaining_budget (limits, input);
     }
 }
 
-/* May the servers of the version before stop? An entry that was lost lately may still run requests
- * there. It is waited for, but not beyond the limit: it may have been killed with what it ran. Nor
- * does one long stream hold the move up beyond its limit if it can go on at another server, behind
- * its last event; what may run once only is waited for to its end. */
+/* Whether the servers of the previous version may be stopped. A recently lost entry may still run
+ * requests there. It is waited for only until the limit, because it may have been killed together
+ * with its requests. A long stream that can continue on another server after its last event does
+ * not delay the roll-out beyond the limit either. Requests that must not be sent twice are always
+ * waited for. */
 static bool
-may_stop_others (const PlanFacts *facts, bool over)
+may_stop_previous (const PlanInput *input, bool past_limit)
 {
-  if (over)
-    return facts->once_before == 0;
-  return facts->running_before == 0 && facts->unheard == 0 && facts->suspicion < SUSPECTED;
+  if (past_limit)
+    return input->once_before == 0;
+  return input->running_before == 0 && input->unheard == 0 && input->suspicion < SUSPICION_MAX;
 }
 
 static void
-plan_move (const PlanFacts *facts, PlanStep *step)
+plan_move (const PlanInput *input, PlanStep *step)
 {
-  bool over = facts->elapsed_us >= facts->limit_us - margin (facts) / 2;
+  bool past_limit = input->elapsed_us >= input->limit_us - end_margin (input) / 2;
 
-  if (facts->servers == 0)
+  if (input->servers == 0)
     {
       step->phase = MSG_ROLLOUT_ROLLED_BACK;
       step->why = "all servers of the version are gone";
     }
-  else if (facts->phase_us >= SETTLE && may_stop_others (facts, over))
+  else if (input->phase_us >= PROPAGATION_TIME && may_stop_previous (input, past_limit))
     {
       step->phase = MSG_ROLLOUT_COMPLETED;
-      step->why = facts->running_before ? "its time is over, and what runs elsewhere can go on"
-                                        : "nothing runs on other versions any more";
+      step->why
+          = input->running_before
+                ? "the time limit has passed, and the requests on other versions can be continued"
+                : "no request is running on other versions";
     }
 }
 
 void
-plan_next (const PlanLimits *limits, const PlanFacts *facts, PlanStep *step)
+plan_next (const PlanLimits *limits, const PlanInput *input, PlanStep *step)
 {
-  *step = (PlanStep){ .phase = facts->phase };
-  if (facts->phase > MSG_ROLLOUT_MOVING)
+  *step = (PlanStep){ .phase = input->phase };
+  if (input->phase > MSG_ROLLOUT_MOVING)
     return;
-  if (facts->suspicion >= 1)
+  if (input->suspicion >= 1)
     {
       step->phase = MSG_ROLLOUT_ROLLED_BACK;
       step->why = "more of its answers are bad than of the version before";
       return;
     }
-  if (facts->phase == MSG_ROLLOUT_TRYING)
-    plan_trial (limits, facts, step);
+  if (input->phase == MSG_ROLLOUT_TRYING)
+    plan_trial (limits, input, step);
   else
-    plan_move (facts, step);
+    plan_move (input, step);
 }
--- a/src/rollplan.h
+++ b/src/rollplan.h
@@ -1,5 +1,5 @@
-/* rollplan.h - what a roll-out does next, from what is known of it; private to the library and its
- * shells. */
+/* rollplan.h - decides the next step of a roll-out from its current state; private to the library
+ * and its shells. */
 #ifndef ROLLPLAN_H
 #define ROLLPLAN_H
 
@@ -7,36 +7,37 @@
 
 typedef struct
 {
-  double share;   /* of a service's requests that a bad version may get ... */
-  unsigned slack; /* ... beside so many */
+  double share;   /* largest part of a service's requests that a bad version may get ... */
+  unsigned slack; /* ... plus this number of requests */
 } PlanLimits;
 
 typedef struct
 {
   MsgRolloutPhase phase;
-  int64_t elapsed_us, limit_us; /* since the order was accepted, and within which it is to end */
-  int64_t phase_us;             /* in this phase */
-  unsigned placed, granted;     /* requests since the order, and of them on the target's servers */
-  unsigned servers, places;     /* of the target, live */
-  unsigned places_before;       /* of the version before, live */
-  unsigned running_before;      /* requests on servers of any other version ... */
-  unsigned once_before;         /* ... of these, what may run once only ... */
-  unsigned unheard;             /* ... as far as is known: entries that were lost lately */
-  int64_t longest_us;           /* the longest answer of late */
-  unsigned answers;             /* of the target's that were judged */
-  double suspicion;             /* from 1 on the target is bad */
-  double before, after; /* share of bad answers of late: of the version before, the target's */
-  bool in_use;          /* the target was the version in use as it was ordered */
-} PlanFacts;
+  int64_t elapsed_us, limit_us; /* time since the order, and the time limit */
+  int64_t phase_us;             /* time in this phase */
+  unsigned placed,
+      granted; /* requests since the order, and those of them on the target's servers */
+  unsigned servers, places; /* live servers of the target, and their request slots */
+  unsigned places_before;   /* request slots of the live servers of the previous version */
+  unsigned running_before;  /* requests running on servers of any other version */
+  unsigned once_before;     /* those of them that must not be sent a second time */
+  unsigned unheard;         /* recently lost entries, which may run requests on other versions */
+  int64_t longest_us;       /* longest recent duration of an answer */
+  unsigned answers;         /* judged answers of the target */
+  double suspicion;         /* evidence against the target; from 1 on it is bad */
+  double before, after; /* recent share of bad answers of the previous version and of the target */
+  bool in_use;          /* the target was already in use when it was ordered */
+} PlanInput;
 
 typedef struct
 {
-  MsgRolloutPhase phase; /* to be in */
-  double share;          /* trying: the part of each route's requests for the target ... */
-  unsigned left;         /* ... and how many more it may get by now */
-  const char *why;       /* of another phase than the one before; NULL: it stays */
+  MsgRolloutPhase phase; /* phase to be in */
+  double share;    /* in the trial: part of each route's requests that goes to the target ... */
+  unsigned left;   /* ... and how many more it may get now */
+  const char *why; /* reason for a change of phase; NULL: the phase stays */
 } PlanStep;
 
-void plan_next (const PlanLimits *limits, const PlanFacts *facts, PlanStep *step);
+void plan_next (const PlanLimits *limits, const PlanInput *input, PlanStep *step);
 
 #endif
--- a/src/state.c
+++ b/src/state.c
@@ -38,7 +38,7 @@
   MsgVoters voters;
   MsgDocument document;
   CrashTable *blame;
-  RollAccount *rollouts;
+  RolloutTable *rollouts;
 };
 
 #define FREE_FUNC(type, name)                                                                      \
@@ -413,10 +413,10 @@
       crashes_clear (state->blame, index, &op->MsgOp_u.cleared);
       break;
     case MSG_OP_ROLLOUT_START:
-      roll_start (state->rollouts, index, &op->MsgOp_u.rollout_start);
+      roll_apply_start (state->rollouts, index, &op->MsgOp_u.rollout_start);
       break;
     case MSG_OP_ROLLOUT_STEP:
-      roll_step (state->rollouts, index, &op->MsgOp_u.rollout_step);
+      roll_apply_step (state->rollouts, index, &op->MsgOp_u.rollout_step);
       break;
     default:
       break;
@@ -623,7 +623,7 @@
   return state->blame;
 }
 
-const RollAccount *
+const RolloutTable *
 state_rollouts (const State *state)
 {
   return state->rollouts;
--- a/src/state.h
+++ b/src/state.h
@@ -37,7 +37,7 @@
 /* Which contents ran on servers that ended; borrowed. */
 const CrashTable *state_blame (const State *state);
 /* Which versions of servers were ordered; borrowed. */
-const RollAccount *state_rollouts (const State *state);
+const RolloutTable *state_rollouts (const State *state);
 const MsgVoters *state_voters (const State *state);
 const MsgClaimState *state_claim (const State *state, const char *key);
 unsigned state_claim_count (const State *state);
