--- a/node/entry.c
+++ b/node/entry.c
@@ -36,7 +36,7 @@
   Place *place;
   Budget *budget;
   Servers *servers;
-  RouteVersions *versions;
+  EntryVersions *versions;
   Reader *reader;
   Requests *requests;
   Witness *witness;
@@ -300,7 +300,7 @@
       took_list (entry, peer, servers_take_message (entry->servers, &msg->MeshMsg_u.list, now));
       break;
     case MESH_ROLLOUTS:
-      versions_take (entry->versions, &msg->MeshMsg_u.rollouts);
+      versions_update (entry->versions, &msg->MeshMsg_u.rollouts);
       break;
     default:
       if (!witness_message (entry->witness, peer, msg))
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -172,7 +172,7 @@
   const SeamServer *held = servers_find (all->conf.servers, id);
 
   if (held)
-    return held->leaving || versions_bar (all->conf.versions, held->service, held->version);
+    return held->leaving || versions_is_blocked (all->conf.versions, held->service, held->version);
   return servers_asked_at (all->conf.servers) > listed_at;
 }
 
--- a/node/requests.h
+++ b/node/requests.h
@@ -22,7 +22,7 @@
   Budget *budget;
   const Servers *servers;
   Witness *witness;
-  const RouteVersions *versions;
+  const EntryVersions *versions;
 } RequestsConf;
 
 Requests *requests_new (const RequestsConf *conf);
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -1,28 +1,30 @@
-/* rollouts.c - from an operator's order to the end of a move to another version.
+/* rollouts.c - carries out an operator's order to move a service to another version.
  *
- * What must outlive this instance is in the log: the order, its phase, how long it has lasted and
- * how much of it was spent. What is judged here, by answers that entries tell of, lives as long as
- * this voter is in charge; the next one goes on from the last step that was committed.
+ * State that must survive this instance is in the log: the order, its phase, the elapsed time, and
+ * how many requests the target has used. The judge's evidence, from answers that entries report,
+ * is kept only while this voter is in charge; the next one continues from the last committed step.
  *
- * Order of each change, so that it holds over the loss of any instance between two steps:
- *   trying        committed, then requests go to the target;
- *   moving        committed, then schedulers and entries turn to the target;
- *   completed     nothing runs elsewhere, then it is committed, then operators read it;
- *   rolled back   requests to the target stop here at once, then it is committed and told.
+ * Each change follows a fixed order, so that the loss of any instance between two steps does no
+ * harm:
+ *   trying        is committed, then requests go to the target;
+ *   moving        is committed, then schedulers and entries switch to the target;
+ *   completed     no request runs on other versions, then it is committed, then operators see it;
+ *   rolled back   requests to the target stop here at once, then it is committed and published.
  *
- * Failure: a scheduler dies, and the next one does not know how much the target had. Symptom: a bad
- * version gets its part once more with each. The target gets no more than the log says is reserved
- * for it; whoever takes charge counts what is reserved as spent.
+ * Failure: a scheduler dies, and its successor does not know how many requests the target had, so
+ * a bad version gets its full share again from each successor. The target therefore gets no more
+ * requests than the log has reserved for it, and a new voter in charge counts the whole
+ * reservation as used.
  */
 #include "jlog.h"
-#include "rollint.h"
+#include "rollpriv.h"
 
 #include <string.h>
 
-static const char *const phases[] = { [MSG_ROLLOUT_TRYING] = "trying",
-                                      [MSG_ROLLOUT_MOVING] = "moving",
-                                      [MSG_ROLLOUT_COMPLETED] = "completed",
-                                      [MSG_ROLLOUT_ROLLED_BACK] = "rolled back" };
+static const char *const phase_names[] = { [MSG_ROLLOUT_TRYING] = "trying",
+                                           [MSG_ROLLOUT_MOVING] = "moving",
+                                           [MSG_ROLLOUT_COMPLETED] = "completed",
+                                           [MSG_ROLLOUT_ROLLED_BACK] = "rolled back" };
 
 bool
 rollouts_in_charge (const Rollouts *rollouts)
@@ -36,18 +38,18 @@
 const MsgRollout *
 rollouts_find (const Rollouts *rollouts, const char *service)
 {
-  return roll_find (rollouts->account, service);
+  return roll_find (rollouts->table, service);
 }
 
-/* ---- Which versions get requests ---- */
+/* ---- Versions that get requests ---- */
 
-/* What the scheduler is to do in a phase; the trial's share is added by whoever is in charge. */
+/* The scheduler settings for a phase. The voter in charge adds the share of the trial. */
 SchedVersions
-rollouts_versions_in (const MsgRollout *rollout, MsgRolloutPhase phase)
+rollouts_settings_for_phase (const MsgRollout *rollout, MsgRolloutPhase phase)
 {
-  bool back = phase == MSG_ROLLOUT_TRYING || phase == MSG_ROLLOUT_ROLLED_BACK;
-  SchedVersions versions = { .in_use = back ? rollout->before : rollout->target,
-                             .other = back ? rollout->target : rollout->before,
+  bool previous_in_use = phase == MSG_ROLLOUT_TRYING || phase == MSG_ROLLOUT_ROLLED_BACK;
+  SchedVersions versions = { .in_use = previous_in_use ? rollout->before : rollout->target,
+                             .other = previous_in_use ? rollout->target : rollout->before,
                              .ordered = rollout->target };
 
   if (strcmp (rollout->before, rollout->target) == 0)
@@ -57,15 +59,15 @@
 }
 
 void
-rollouts_apply (Rollouts *rollouts, const MsgRollout *rollout)
+rollouts_apply_phase (Rollouts *rollouts, const MsgRollout *rollout)
 {
-  SchedVersions versions = rollouts_versions_in (rollout, rollout->phase);
+  SchedVersions versions = rollouts_settings_for_phase (rollout, rollout->phase);
 
   broker_versions (rollouts->broker, rollout->service, &versions);
 }
 
 static MeshVersionsPhase
-phase_for_entries (MsgRolloutPhase phase)
+mesh_phase (MsgRolloutPhase phase)
 {
   switch (phase)
     {
@@ -86,15 +88,14 @@
   MeshRollouts *out = &msg.MeshMsg_u.rollouts;
   MsgRollouts all;
 
-  roll_capture (rollouts->account, &all);
-  out->index = roll_index (rollouts->account);
+  roll_capture (rollouts->table, &all);
+  out->index = roll_index (rollouts->table);
   out->services.services_val = g_new0 (MeshVersions, all.rollouts.rollouts_len + 1);
   for (unsigned i = 0; i < all.rollouts.rollouts_len; i++)
     {
       const MsgRollout *from = &all.rollouts.rollouts_val[i];
       out->services.services_val[out->services.services_len++]
-          = (MeshVersions){ from->service, from->target, from->before,
-                            phase_for_entries (from->phase) };
+          = (MeshVersions){ from->service, from->target, from->before, mesh_phase (from->phase) };
     }
   GBytes *packed = mesh_pack (&msg);
   g_free (out->services.services_val);
@@ -102,7 +103,7 @@
   return packed;
 }
 
-/* ---- What the log says ---- */
+/* ---- Committed changes ---- */
 
 static void
 log_phase (const MsgRollout *rollout)
@@ -111,7 +112,7 @@
 
   jlog (rollout->phase == MSG_ROLLOUT_ROLLED_BACK ? JLOG_WARN : JLOG_INFO, "rollout", NULL,
         JL_TEXT ("service", rollout->service), JL_TEXT ("target", rollout->target),
-        JL_TEXT ("before", rollout->before), JL_TEXT ("phase", phases[rollout->phase]),
+        JL_TEXT ("before", rollout->before), JL_TEXT ("phase", phase_names[rollout->phase]),
         JL_TEXT ("why", rollout->why), JL_INT ("number", rollout->number),
         JL_INT ("limit_ms", rollout->limit_ms), JL_INT ("elapsed_ms", trial->elapsed_ms),
         JL_INT ("requests", trial->requests), JL_INT ("reserved", trial->reserved),
@@ -120,60 +121,61 @@
 }
 
 static void
-note_seen (Rollouts *rollouts, const MsgRollout *rollout)
+update_progress (Rollouts *rollouts, const MsgRollout *rollout)
 {
   int64_t now = loop_now (rollouts->loop);
-  Seen *seen = g_hash_table_lookup (rollouts->seen, rollout->service);
-  bool known = seen && seen->number == rollout->number && seen->phase == rollout->phase;
+  Progress *progress = g_hash_table_lookup (rollouts->progress, rollout->service);
+  bool unchanged
+      = progress && progress->number == rollout->number && progress->phase == rollout->phase;
 
-  if (seen == NULL)
+  if (progress == NULL)
     {
-      seen = g_new0 (Seen, 1);
-      g_hash_table_insert (rollouts->seen, g_strdup (rollout->service), seen);
+      progress = g_new0 (Progress, 1);
+      g_hash_table_insert (rollouts->progress, g_strdup (rollout->service), progress);
     }
-  if (!known)
+  if (!unchanged)
     {
-      seen->phase_at = now;
+      progress->phase_at = now;
       log_phase (rollout);
     }
-  /* Of two ways to reckon the one counts by which more time has passed. */
+  /* Elapsed time is known from the log and from the local clock; the larger value counts. */
   int64_t elapsed = rollout->trial.elapsed_ms * FT_MS;
-  if (seen->number != rollout->number || elapsed > seen->elapsed_us + now - seen->at)
+  if (progress->number != rollout->number || elapsed > progress->elapsed_us + now - progress->at)
     {
-      seen->elapsed_us = elapsed;
-      seen->at = now;
+      progress->elapsed_us = elapsed;
+      progress->at = now;
     }
-  seen->number = rollout->number;
-  seen->phase = rollout->phase;
+  progress->number = rollout->number;
+  progress->phase = rollout->phase;
 }
 
 int64_t
 rollouts_elapsed (const Rollouts *rollouts, const char *service)
 {
-  const Seen *seen = g_hash_table_lookup (rollouts->seen, service);
+  const Progress *progress = g_hash_table_lookup (rollouts->progress, service);
 
-  return seen ? seen->elapsed_us + loop_now (rollouts->loop) - seen->at : 0;
+  return progress ? progress->elapsed_us + loop_now (rollouts->loop) - progress->at : 0;
 }
 
 void
-rollouts_each (Rollouts *rollouts, void (*call) (Rollouts *, const MsgRollout *))
+rollouts_for_each (Rollouts *rollouts, void (*call) (Rollouts *, const MsgRollout *))
 {
   MsgRollouts all;
 
-  roll_capture (rollouts->account, &all);
+  roll_capture (rollouts->table, &all);
   for (unsigned i = 0; i < all.rollouts.rollouts_len; i++)
     call (rollouts, &all.rollouts.rollouts_val[i]);
   g_free (all.rollouts.rollouts_val);
 }
 
-/* The trial's own notes change nothing for schedulers and entries. */
+/* Digest of the phases only: the trial's counters do not concern schedulers and entries. */
 static uint64_t
-digest_of_phases (const Rollouts *rollouts)
+phases_digest (const Rollouts *rollouts)
 {
   MsgRollouts all;
   uint64_t digest = 1;
 
-  roll_capture (rollouts->account, &all);
+  roll_capture (rollouts->table, &all);
   for (unsigned i = 0; i < all.rollouts.rollouts_len; i++)
     digest = digest * 31 + all.rollouts.rollouts_val[i].number * 4
              + all.rollouts.rollouts_val[i].phase;
@@ -192,16 +194,16 @@
     return;
   const void *data = g_bytes_get_data (bytes, &size);
   if (codec_unpack (CODEC (MsgRollouts), data, size, &captured, NULL) != FT_OK)
-    g_error ("the account of roll-outs, packed here, cannot be unpacked");
-  roll_restore (rollouts->account, &captured);
+    g_error ("cannot unpack the committed table of roll-outs");
+  roll_restore (rollouts->table, &captured);
   codec_clear (CODEC (MsgRollouts), &captured);
   g_bytes_unref (bytes);
-  rollouts_each (rollouts, note_seen);
-  uint64_t digest = digest_of_phases (rollouts);
-  if (digest == rollouts->told)
+  rollouts_for_each (rollouts, update_progress);
+  uint64_t digest = phases_digest (rollouts);
+  if (digest == rollouts->published_digest)
     return;
-  rollouts->told = digest;
-  rollouts_each (rollouts, rollouts_apply);
+  rollouts->published_digest = digest;
+  rollouts_for_each (rollouts, rollouts_apply_phase);
   tell_changed (rollouts->tell);
   if (rollouts_in_charge (rollouts))
     tell_all (rollouts->tell);
@@ -212,7 +214,7 @@
 void
 rollouts_up (Rollouts *rollouts, MeshPeer *peer)
 {
-  tell_up (rollouts->tell, peer, roll_index (rollouts->account) > 0);
+  tell_up (rollouts->tell, peer, roll_index (rollouts->table) > 0);
 }
 
 void
@@ -227,14 +229,14 @@
 rollouts_order (Rollouts *rollouts, const SeamRollout *order, uint64_t *ticket)
 {
   const MsgRollout *known = rollouts_find (rollouts, order->service);
-  bool lately = rollouts_elapsed (rollouts, order->service) < rollouts->conf.repeat_us;
-  RollCheck verdict = roll_check (rollouts->account, order->service, order->target, lately);
+  bool recent = rollouts_elapsed (rollouts, order->service) < rollouts->conf.repeat_us;
+  RollCheck verdict = roll_check (rollouts->table, order->service, order->target, recent);
   MsgOp op = { .kind = MSG_OP_ROLLOUT_START };
   SchedServiceStats stats;
 
   jlog (JLOG_INFO, "rollout-order", NULL, JL_TEXT ("service", order->service),
         JL_TEXT ("target", order->target), JL_MS ("limit_ms", order->limit_us),
-        JL_INT ("known", verdict == ROLL_KNOWN), JL_INT ("lately", lately),
+        JL_INT ("known", verdict == ROLL_KNOWN), JL_INT ("lately", recent),
         JL_INT ("after", known ? known->number : 0));
   if (verdict != ROLL_NEW)
     return verdict;
@@ -266,7 +268,7 @@
 }
 
 void
-rollouts_show (const MsgRollout *rollout, GString *out)
+rollouts_append_json (const MsgRollout *rollout, GString *out)
 {
   char *service = g_strescape (rollout->service, NULL), *why = g_strescape (rollout->why, NULL);
   char *target = g_strescape (rollout->target, NULL), *before = g_strescape (rollout->before, NULL);
@@ -277,7 +279,7 @@
       "{\"service\":\"%s\",\"target\":\"%s\",\"before\":\"%s\",\"phase\":\"%s\",\"why\":\"%s\","
       "\"limit_ms\":%" G_GINT64_FORMAT ",\"elapsed_ms\":%" G_GINT64_FORMAT
       ",\"requests\":%u,\"reserved\":%u,\"answers\":%u,\"bad\":%u,\"suspicion\":%g}\n",
-      service, target, before, phases[rollout->phase], why, (gint64) rollout->limit_ms,
+      service, target, before, phase_names[rollout->phase], why, (gint64) rollout->limit_ms,
       (gint64) trial->elapsed_ms, trial->requests, trial->reserved, trial->answers, trial->bad,
       trial->suspicion / 1e3);
   g_free (service);
@@ -291,21 +293,22 @@
 {
   MsgRollouts all;
 
-  roll_capture (rollouts->account, &all);
+  roll_capture (rollouts->table, &all);
   for (unsigned i = 0; i < all.rollouts.rollouts_len; i++)
     {
-      const MsgRollout *one = &all.rollouts.rollouts_val[i];
+      const MsgRollout *rollout = &all.rollouts.rollouts_val[i];
       g_string_append_printf (out,
                               "foxtail_rollout_phase{service=\"%s\",target=\"%s\"} %d\n"
                               "foxtail_rollout_answers{service=\"%s\",target=\"%s\"} %u\n"
                               "foxtail_rollout_bad{service=\"%s\",target=\"%s\"} %u\n",
-                              one->service, one->target, one->phase, one->service, one->target,
-                              one->trial.answers, one->service, one->target, one->trial.bad);
+                              rollout->service, rollout->target, rollout->phase, rollout->service,
+                              rollout->target, rollout->trial.answers, rollout->service,
+                              rollout->target, rollout->trial.bad);
     }
   g_free (all.rollouts.rollouts_val);
 }
 
-/* ---- The module ---- */
+/* ---- Construction ---- */
 
 Rollouts *
 rollouts_new (Loop *loop, Voter *voter, Broker *broker, const RolloutsConf *conf)
@@ -316,11 +319,11 @@
   rollouts->voter = voter;
   rollouts->broker = broker;
   rollouts->conf = *conf;
-  rollouts->account = roll_new ();
-  rollouts->seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  rollouts->led = g_ptr_array_new_with_free_func (rollead_free);
+  rollouts->table = roll_new ();
+  rollouts->progress = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  rollouts->active = g_ptr_array_new_with_free_func (rollctl_active_free);
   rollouts->tell = tell_new (pack_for_entries, rollouts);
-  broker_watch (broker, rollead_judged, rollouts);
+  broker_watch (broker, rollctl_on_answer, rollouts);
   return rollouts;
 }
 
@@ -330,8 +333,8 @@
   if (rollouts == NULL)
     return;
   tell_free (rollouts->tell);
-  g_ptr_array_unref (rollouts->led);
-  g_hash_table_unref (rollouts->seen);
-  roll_free (rollouts->account);
+  g_ptr_array_unref (rollouts->active);
+  g_hash_table_unref (rollouts->progress);
+  roll_free (rollouts->table);
   g_free (rollouts);
 }
--- a/node/rollouts.h
+++ b/node/rollouts.h
@@ -1,5 +1,6 @@
-/* rollouts.h - a voter's part in roll-outs: takes orders into the log, tries, moves and rolls back
- * while it is in charge, and tells schedulers and entries which versions get requests. */
+/* rollouts.h - a voter's part in roll-outs: writes orders to the log, runs the trial, the move and
+ * the rollback while it is in charge, and tells schedulers and entries which versions get
+ * requests. */
 #ifndef ROLLOUTS_H
 #define ROLLOUTS_H
 
@@ -12,33 +13,35 @@
 typedef struct
 {
   PlanLimits limits;
-  int64_t repeat_us; /* an order may be sent again for so long */
+  int64_t repeat_us; /* time during which a repeated order refers to the same roll-out */
 } RolloutsConf;
 
-/* All that it is given must outlive it. */
+/* The arguments must outlive the object. */
 Rollouts *rollouts_new (Loop *loop, Voter *voter, Broker *broker, const RolloutsConf *conf);
 void rollouts_free (Rollouts *rollouts);
-/* A link has come up or goes down. */
+/* The link to a peer has been established or is about to close. */
 void rollouts_up (Rollouts *rollouts, MeshPeer *peer);
 void rollouts_down (Rollouts *rollouts, const MeshPeer *peer);
-/* The committed account has changed, or this voter has started. */
+/* To be called when the committed table has changed, and when this voter has started. */
 void rollouts_committed (Rollouts *rollouts);
-/* The end of a proposal, as VoterOps.verdict tells it. */
+/* Result of a proposal, as reported by VoterOps.verdict. */
 void rollouts_verdict (Rollouts *rollouts, uint64_t ticket, FtStatus status);
-/* Call every 20 ms or so. unheard: entries that were lost lately. */
-void rollouts_tick (Rollouts *rollouts, unsigned unheard);
+/* To be called about every 20 ms. lost_entries: number of entries lost recently. */
+void rollouts_tick (Rollouts *rollouts, unsigned lost_entries);
 
-/* ---- Operators; of the voter in charge ---- */
+/* ---- Operators, at the voter in charge only ---- */
 
-/* ROLL_NEW: the order is proposed, and *ticket is the voter's, with which the verdict follows. */
+/* Checks an order. If the result is ROLL_NEW, it has been proposed, and *ticket identifies the
+ * proposal whose result is reported later. */
 RollCheck rollouts_order (Rollouts *rollouts, const SeamRollout *order, uint64_t *ticket);
-/* Rolls back what is under way. A ticket as above; 0: nothing is. */
+/* Rolls back the active roll-out of the service. Returns the ticket of the proposal, or 0 if no
+ * roll-out is active. */
 uint64_t rollouts_abort (Rollouts *rollouts, const char *service);
-/* Borrowed; NULL: none was ever ordered. */
+/* Returns a borrowed record, or NULL if no roll-out was ever ordered for the service. */
 const MsgRollout *rollouts_find (const Rollouts *rollouts, const char *service);
-/* Appends what is known of one as a JSON object. */
-void rollouts_show (const MsgRollout *rollout, GString *out);
-/* Lines for metrics. */
+/* Appends a roll-out as a JSON object. */
+void rollouts_append_json (const MsgRollout *rollout, GString *out);
+/* Appends lines of metrics. */
 void rollouts_describe (const Rollouts *rollouts, GString *out);
 
 #endif
--- a/node/suspects.c
+++ b/node/suspects.c
@@ -1,11 +1,13 @@
-/* suspects.c - from what entries saw to what all entries know.
+/* suspects.c - turns crash reports of entries into log entries, and publishes the crash table to
+ * all entries.
  *
- * The voter in charge proposes each end to the log; once it is committed on a majority the entry
- * that saw it is told so, and stops telling it. Contents with two ends or more are told to all
- * entries with each change, and whenever a link comes up, before the catalogue that lets an entry
- * take callers. So an instance that is new, was frozen or cut off knows them before it sends.
+ * The voter in charge proposes each reported crash to the log. Once it is committed on a majority,
+ * the reporting entry is acknowledged and stops resending it. Contents with two or more crashes
+ * are published to all entries with each change, and whenever a link comes up, before the
+ * catalogue without which an entry accepts no callers. So an instance that is new, was frozen or
+ * was cut off knows them before it sends a request.
  *
- * A content with one end is told to nobody (CRASHES_PUBLISH_MIN).
+ * Contents with one crash are not published (CRASHES_PUBLISH_MIN).
  */
 #include "suspects.h"
 #include "content.h"
@@ -16,17 +18,17 @@
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define TOLD_LEAST   2    /* ends: the next one may be the last that it takes */
-#define PENDING_MOST 1024 /* proposals under way; entries tell again what finds no room */
-#define VERDICT_MOST (3 * FT_SECOND) /* a proposal that was lost with a charge has no verdict */
+/* Pending proposals; an entry resends a report that was dropped because of this limit. */
+#define PENDING_MAX 1024
+/* A proposal gets no result if this voter stops being in charge. */
+#define RESULT_TIMEOUT (3 * FT_SECOND)
 
-/* A proposal under way. */
+/* A pending proposal. */
 typedef struct
 {
   uint64_t ticket;
   MsgOp op;
-  uint64_t asker, number; /* lifetime of the entry whose report it is, and its number there */
+  uint64_t reporter, number; /* reporting entry's incarnation, and its number for the report */
   int64_t at;
 } Proposal;
 
@@ -34,10 +36,10 @@
 {
   Loop *loop;
   Voter *voter;
-  CrashTable *account; /* as committed */
+  CrashTable *table; /* the committed crash table */
   Tell *tell;
   GPtrArray *proposals;
-  GBytes *packed; /* the account's message, but for its index */
+  GBytes *packed; /* the published message, with index 0 */
 };
 
 static void
@@ -50,7 +52,7 @@
 }
 
 static bool
-in_charge (const Suspects *suspects)
+is_in_charge (const Suspects *suspects)
 {
   VoterStatus status;
 
@@ -58,10 +60,10 @@
   return status.proved;
 }
 
-/* ---- Telling entries ---- */
+/* ---- Publishing to entries ---- */
 
 static void
-put_suspect (MeshSuspect *out, const MsgSuspect *from)
+fill_suspect (MeshSuspect *out, const MsgSuspect *from)
 {
   out->content = from->content;
   out->ends = from->ends;
@@ -72,18 +74,18 @@
 }
 
 static GBytes *
-pack_account (const Suspects *suspects, uint64_t index)
+pack_table (const Suspects *suspects, uint64_t index)
 {
   MeshMsg msg = { .kind = MESH_BLAMED };
   MeshBlamed *blamed = &msg.MeshMsg_u.blamed;
   MsgBlame all;
 
-  crashes_capture (suspects->account, CRASHES_PUBLISH_MIN, &all);
+  crashes_capture (suspects->table, CRASHES_PUBLISH_MIN, &all);
   blamed->index = index;
   blamed->suspects.suspects_val = g_new0 (MeshSuspect, all.suspects.suspects_len);
   for (unsigned i = 0; i < all.suspects.suspects_len; i++)
-    put_suspect (&blamed->suspects.suspects_val[blamed->suspects.suspects_len++],
-                 &all.suspects.suspects_val[i]);
+    fill_suspect (&blamed->suspects.suspects_val[blamed->suspects.suspects_len++],
+                  &all.suspects.suspects_val[i]);
   GBytes *packed = mesh_pack (&msg);
   for (unsigned i = 0; i < blamed->suspects.suspects_len; i++)
     g_free (blamed->suspects.suspects_val[i].servers.servers_val);
@@ -92,51 +94,52 @@
   return packed;
 }
 
-/* Packs what entries are told, and notes whether that has changed but for the index. */
+/* Packs the message for entries and marks it as changed if more than the index differs from the
+ * last one. */
 static void
-note_account (Suspects *suspects)
+update_packed (Suspects *suspects)
 {
-  GBytes *plain = pack_account (suspects, 0), *before = suspects->packed;
-  bool changed = before == NULL || !g_bytes_equal (plain, before);
+  GBytes *packed = pack_table (suspects, 0), *before = suspects->packed;
+  bool changed = before == NULL || !g_bytes_equal (packed, before);
 
   if (changed)
     {
       tell_changed (suspects->tell);
-      suspects->packed = plain;
-      plain = before;
+      suspects->packed = packed;
+      packed = before;
     }
-  if (plain)
-    g_bytes_unref (plain);
+  if (packed)
+    g_bytes_unref (packed);
 }
 
 static GBytes *
-pack_newest (void *host)
+pack_for_entries (void *host)
 {
   const Suspects *suspects = host;
 
-  return pack_account (suspects, crashes_index (suspects->account));
+  return pack_table (suspects, crashes_index (suspects->table));
 }
 
 static void
-tell_entries (Suspects *suspects)
+publish (Suspects *suspects)
 {
-  if (in_charge (suspects))
+  if (is_in_charge (suspects))
     tell_all (suspects->tell);
 }
 
-/* ---- What the log says ---- */
+/* ---- Committed changes ---- */
 
 static void
 log_suspect (const MsgSuspect *now, const MsgSuspect *before)
 {
   const MsgServerEnd *last = &now->latest.latest_val[now->latest.latest_len - 1];
-  bool held
+  bool quarantined
       = now->ends >= CRASHES_QUARANTINE && (before == NULL || before->ends < CRASHES_QUARANTINE);
   char content[CONTENT_TEXT];
 
   if (now->latest.latest_len == 0 || (before && now->ends <= before->ends))
     return;
-  jlog (held ? JLOG_WARN : JLOG_INFO, held ? "quarantined" : "suspect", NULL,
+  jlog (quarantined ? JLOG_WARN : JLOG_INFO, quarantined ? "quarantined" : "suspect", NULL,
         JL_TEXT ("content", content_text (now->content, content)), JL_INT ("ends", now->ends),
         JL_TEXT ("server", last->server), JL_INT ("since_ms", last->wall_ms - now->first_ms),
         JL_INT ("index", now->index));
@@ -167,59 +170,60 @@
 {
   GBytes *bytes = voter_blame (suspects->voter);
   MsgBlame captured = { 0 };
-  CrashTable *account;
+  CrashTable *table;
   gsize size;
 
   if (bytes == NULL)
     return;
   const void *data = g_bytes_get_data (bytes, &size);
   if (codec_unpack (CODEC (MsgBlame), data, size, &captured, NULL) != FT_OK)
-    g_error ("the account of ended servers, packed here, cannot be unpacked");
-  account = crashes_new ();
-  crashes_restore (account, &captured);
+    g_error ("cannot unpack the committed crash table");
+  table = crashes_new ();
+  crashes_restore (table, &captured);
   codec_clear (CODEC (MsgBlame), &captured);
   g_bytes_unref (bytes);
-  if (in_charge (suspects))
-    log_changes (suspects->account, account);
-  crashes_free (suspects->account);
-  suspects->account = account;
-  note_account (suspects);
-  tell_entries (suspects);
+  if (is_in_charge (suspects))
+    log_changes (suspects->table, table);
+  crashes_free (suspects->table);
+  suspects->table = table;
+  update_packed (suspects);
+  publish (suspects);
 }
 
 /* ---- Proposals ---- */
 
-/* Takes op over. */
+/* Takes ownership of op. */
 static uint64_t
-propose (Suspects *suspects, MsgOp *op, uint64_t asker, uint64_t number)
+propose (Suspects *suspects, MsgOp *op, uint64_t reporter, uint64_t number)
 {
   Proposal *proposal = g_new0 (Proposal, 1);
 
-  *proposal
-      = (Proposal){ .op = *op, .asker = asker, .number = number, .at = loop_now (suspects->loop) };
+  *proposal = (Proposal){
+    .op = *op, .reporter = reporter, .number = number, .at = loop_now (suspects->loop)
+  };
   proposal->ticket = voter_propose_op (suspects->voter, op);
   g_ptr_array_add (suspects->proposals, proposal);
   return proposal->ticket;
 }
 
 static void
-acknowledge (const Suspects *suspects, uint64_t asker, uint64_t number)
+acknowledge (const Suspects *suspects, uint64_t reporter, uint64_t number)
 {
   MeshMsg msg = { .kind = MESH_ENDED_KNOWN };
 
   msg.MeshMsg_u.known.number = number;
-  MeshPeer *peer = tell_find (suspects->tell, asker);
+  MeshPeer *peer = tell_find (suspects->tell, reporter);
   if (peer)
     mesh_send (peer, &msg);
 }
 
 static bool
-is_proposed (const Suspects *suspects, uint64_t asker, uint64_t number)
+has_pending_report (const Suspects *suspects, uint64_t reporter, uint64_t number)
 {
   for (unsigned i = 0; i < suspects->proposals->len; i++)
     {
       const Proposal *proposal = suspects->proposals->pdata[i];
-      if (proposal->op.kind == MSG_OP_ENDED && proposal->asker == asker
+      if (proposal->op.kind == MSG_OP_ENDED && proposal->reporter == reporter
           && proposal->number == number)
         return true;
     }
@@ -227,13 +231,13 @@
 }
 
 static void
-take_ended (Suspects *suspects, const MeshPeer *peer, const MeshEnded *from)
+handle_crash (Suspects *suspects, const MeshPeer *peer, const MeshEnded *from)
 {
   MsgOp op = { .kind = MSG_OP_ENDED };
   MsgEnded *ended = &op.MsgOp_u.ended;
   unsigned count = from->contents.contents_len;
 
-  if (is_proposed (suspects, peer->lifetime, from->number))
+  if (has_pending_report (suspects, peer->lifetime, from->number))
     return;
   ended->wall_ms = g_get_real_time () / 1000 - from->age_ms;
   ended->contents.contents_len = count;
@@ -241,7 +245,7 @@
   memcpy (ended->contents.contents_val, from->contents.contents_val,
           count * sizeof *from->contents.contents_val);
   ended->server = strdup (from->server);
-  if (crashes_is_recorded (suspects->account, ended))
+  if (crashes_is_recorded (suspects->table, ended))
     {
       acknowledge (suspects, peer->lifetime, from->number);
       codec_clear (CODEC (MsgOp), &op);
@@ -251,7 +255,7 @@
 }
 
 static bool
-is_being_cleared (const Suspects *suspects, uint64_t content)
+has_pending_clear (const Suspects *suspects, uint64_t content)
 {
   for (unsigned i = 0; i < suspects->proposals->len; i++)
     {
@@ -266,7 +270,7 @@
 }
 
 static uint64_t
-clear (Suspects *suspects, uint64_t content)
+propose_clear (Suspects *suspects, uint64_t content)
 {
   MsgOp op = { .kind = MSG_OP_CLEARED };
   MsgCleared *cleared = &op.MsgOp_u.cleared;
@@ -278,23 +282,23 @@
 }
 
 static void
-take_answered (Suspects *suspects, const MeshPeer *peer, const MeshAnswered *from)
+handle_answered (Suspects *suspects, const MeshPeer *peer, const MeshAnswered *from)
 {
   char text[CONTENT_TEXT];
 
   for (unsigned i = 0; i < from->contents.contents_len; i++)
     {
       uint64_t content = from->contents.contents_val[i];
-      if (crashes_find (suspects->account, content) == NULL || is_being_cleared (suspects, content))
+      if (crashes_find (suspects->table, content) == NULL || has_pending_clear (suspects, content))
         continue;
       jlog (JLOG_INFO, "answered-whole", NULL, JL_TEXT ("content", content_text (content, text)),
             JL_INT ("peer", peer->ip));
-      clear (suspects, content);
+      propose_clear (suspects, content);
     }
 }
 
 static bool
-is_being_struck (const Suspects *suspects, const char *server)
+has_pending_survival (const Suspects *suspects, const char *server)
 {
   for (unsigned i = 0; i < suspects->proposals->len; i++)
     {
@@ -307,11 +311,11 @@
 }
 
 static void
-take_survived (Suspects *suspects, const MeshPeer *peer, const MeshSurvived *from)
+handle_survived (Suspects *suspects, const MeshPeer *peer, const MeshSurvived *from)
 {
   MsgOp op = { .kind = MSG_OP_SURVIVED };
 
-  if (is_being_struck (suspects, from->server))
+  if (has_pending_survival (suspects, from->server))
     return;
   jlog (JLOG_INFO, "server-survived", NULL, JL_TEXT ("server", from->server),
         JL_INT ("peer", peer->ip));
@@ -328,7 +332,7 @@
       if (proposal->ticket != ticket)
         continue;
       if (status == FT_OK && proposal->op.kind == MSG_OP_ENDED)
-        acknowledge (suspects, proposal->asker, proposal->number);
+        acknowledge (suspects, proposal->reporter, proposal->number);
       g_ptr_array_remove_index (suspects->proposals, i);
       return;
     }
@@ -337,16 +341,17 @@
 bool
 suspects_message (Suspects *suspects, MeshPeer *peer, const MeshMsg *msg)
 {
-  bool ours = msg->kind == MESH_ENDED || msg->kind == MESH_ANSWERED || msg->kind == MESH_SURVIVED;
+  bool handled
+      = msg->kind == MESH_ENDED || msg->kind == MESH_ANSWERED || msg->kind == MESH_SURVIVED;
 
-  if (!ours || !in_charge (suspects) || suspects->proposals->len >= PENDING_MOST)
-    return ours;
+  if (!handled || !is_in_charge (suspects) || suspects->proposals->len >= PENDING_MAX)
+    return handled;
   if (msg->kind == MESH_ENDED)
-    take_ended (suspects, peer, &msg->MeshMsg_u.ended);
+    handle_crash (suspects, peer, &msg->MeshMsg_u.ended);
   else if (msg->kind == MESH_ANSWERED)
-    take_answered (suspects, peer, &msg->MeshMsg_u.answered);
+    handle_answered (suspects, peer, &msg->MeshMsg_u.answered);
   else
-    take_survived (suspects, peer, &msg->MeshMsg_u.survived);
+    handle_survived (suspects, peer, &msg->MeshMsg_u.survived);
   return true;
 }
 
@@ -355,7 +360,7 @@
 void
 suspects_up (Suspects *suspects, MeshPeer *peer)
 {
-  tell_up (suspects->tell, peer, crashes_index (suspects->account) > 0);
+  tell_up (suspects->tell, peer, crashes_index (suspects->table) > 0);
 }
 
 void
@@ -367,12 +372,12 @@
 void
 suspects_tick (Suspects *suspects)
 {
-  int64_t since = loop_now (suspects->loop) - VERDICT_MOST;
+  int64_t since = loop_now (suspects->loop) - RESULT_TIMEOUT;
 
   while (suspects->proposals->len > 0
          && ((const Proposal *) suspects->proposals->pdata[0])->at < since)
     g_ptr_array_remove_index (suspects->proposals, 0);
-  tell_entries (suspects);
+  publish (suspects);
 }
 
 /* ---- Operators ---- */
@@ -382,10 +387,10 @@
 {
   char text[CONTENT_TEXT];
 
-  if (crashes_find (suspects->account, content) == NULL)
+  if (crashes_find (suspects->table, content) == NULL)
     return 0;
   jlog (JLOG_WARN, "released", NULL, JL_TEXT ("content", content_text (content, text)));
-  return clear (suspects, content);
+  return propose_clear (suspects, content);
 }
 
 char *
@@ -393,7 +398,7 @@
 {
   GString *out = g_string_new ("{\"suspects\":");
 
-  crashes_append_json (suspects->account, g_get_real_time () / 1000, out);
+  crashes_append_json (suspects->table, g_get_real_time () / 1000, out);
   g_string_append (out, "}\n");
   return g_string_free (out, FALSE);
 }
@@ -401,12 +406,12 @@
 void
 suspects_describe (const Suspects *suspects, GString *out)
 {
-  unsigned held, all = crashes_count (suspects->account, &held);
+  unsigned quarantined, all = crashes_count (suspects->table, &quarantined);
 
-  g_string_append_printf (out, "foxtail_suspects %u\nfoxtail_quarantined %u\n", all, held);
+  g_string_append_printf (out, "foxtail_suspects %u\nfoxtail_quarantined %u\n", all, quarantined);
 }
 
-/* ---- The module ---- */
+/* ---- Construction ---- */
 
 Suspects *
 suspects_new (Loop *loop, Voter *voter)
@@ -415,10 +420,10 @@
 
   suspects->loop = loop;
   suspects->voter = voter;
-  suspects->account = crashes_new ();
-  suspects->tell = tell_new (pack_newest, suspects);
+  suspects->table = crashes_new ();
+  suspects->tell = tell_new (pack_for_entries, suspects);
   suspects->proposals = g_ptr_array_new_with_free_func (proposal_free);
-  note_account (suspects);
+  update_packed (suspects);
   return suspects;
 }
 
@@ -430,6 +435,6 @@
   tell_free (suspects->tell);
   g_ptr_array_unref (suspects->proposals);
   g_bytes_unref (suspects->packed);
-  crashes_free (suspects->account);
+  crashes_free (suspects->table);
   g_free (suspects);
 }
--- a/node/suspects.h
+++ b/node/suspects.h
@@ -1,5 +1,6 @@
-/* suspects.h - a voter's part in finding contents that end servers: takes what entries saw into the
- * log, tells entries what the log says, and lets operators look and let go. */
+/* suspects.h - a voter's part in finding contents that crash servers: writes the crashes that
+ * entries report to the log, publishes the resulting table to entries, and lets operators list and
+ * release contents. */
 #ifndef SUSPECTS_H
 #define SUSPECTS_H
 
@@ -8,27 +9,28 @@
 
 typedef struct Suspects Suspects;
 
-/* All that it is given must outlive it. */
+/* The arguments must outlive the object. */
 Suspects *suspects_new (Loop *loop, Voter *voter);
 void suspects_free (Suspects *suspects);
-/* A link has come up or goes down. */
+/* The link to a peer has been established or is about to close. */
 void suspects_up (Suspects *suspects, MeshPeer *peer);
 void suspects_down (Suspects *suspects, const MeshPeer *peer);
-/* False: the message is not this module's. */
+/* Handles a message; returns false if it belongs to another module. */
 bool suspects_message (Suspects *suspects, MeshPeer *peer, const MeshMsg *msg);
-/* The committed account has changed, or this voter has started. */
+/* To be called when the committed crash table has changed, and when this voter has started. */
 void suspects_committed (Suspects *suspects);
-/* The end of a proposal, as VoterOps.verdict tells it. */
+/* Result of a proposal, as reported by VoterOps.verdict. */
 void suspects_verdict (Suspects *suspects, uint64_t ticket, FtStatus status);
-/* Call every 20 ms or so. */
+/* To be called about every 20 ms. */
 void suspects_tick (Suspects *suspects);
 
-/* All contents that are held, and those with fewer ends, as JSON; g_free. */
+/* Returns all suspected and quarantined contents as JSON; free with g_free. */
 char *suspects_list (const Suspects *suspects);
-/* Lets a content go: servers get it again, and its ends count from 0. A ticket of the voter's, with
- * which the verdict follows; 0: nothing is said against it. */
+/* Releases a content: its crash count is reset and servers get it again. Returns the ticket of the
+ * proposal, whose result suspects_verdict receives, or 0 if no crash is recorded for the content.
+ */
 uint64_t suspects_release (Suspects *suspects, uint64_t content);
-/* Lines for metrics. */
+/* Appends lines of metrics. */
 void suspects_describe (const Suspects *suspects, GString *out);
 
 #endif
--- a/node/versions.c
+++ b/node/versions.c
@@ -1,9 +1,9 @@
-/* versions.c - an entry's knowledge of versions, and what its own scheduler makes of it.
+/* versions.c - keeps the published versions on an entry and passes them to its own scheduler.
  *
- * A trial is the voter's in charge alone, so that what the new version gets is counted in one
- * place: an entry's own scheduler, also as deputy, gives nothing to a version that is only tried.
- * An entry that has been cut off since the trial finds no server of the version before in its list
- * once the move is done, and goes on with the other then.
+ * Only the scheduler of the voter in charge sends requests to a version on trial, so that they are
+ * counted in one place. An entry's own scheduler, also while it acts as deputy, sends none to it.
+ * An entry that has been cut off since the trial finds no server of the previous version in its
+ * list once the move is done, and then uses the target version.
  */
 #include "versions.h"
 #include "codec.h"
@@ -11,11 +11,11 @@
 
 #include <string.h>
 
-struct RouteVersions
+struct EntryVersions
 {
   Broker *broker;
   uint64_t index;
-  GHashTable *services; /* name: MeshVersions, whose texts are its own */
+  GHashTable *services; /* service name -> MeshVersions with its own copies of the strings */
 };
 
 static void
@@ -25,10 +25,10 @@
   g_free (data);
 }
 
-RouteVersions *
+EntryVersions *
 versions_new (Broker *broker)
 {
-  RouteVersions *versions = g_new0 (RouteVersions, 1);
+  EntryVersions *versions = g_new0 (EntryVersions, 1);
 
   versions->broker = broker;
   versions->services = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, record_free);
@@ -36,7 +36,7 @@
 }
 
 void
-versions_free (RouteVersions *versions)
+versions_free (EntryVersions *versions)
 {
   if (versions == NULL)
     return;
@@ -45,7 +45,7 @@
 }
 
 static void
-give_to_scheduler (const RouteVersions *versions, const MeshVersions *from)
+update_scheduler (const EntryVersions *versions, const MeshVersions *from)
 {
   bool moved = from->phase == MESH_VERSIONS_MOVED;
   SchedVersions out = { .in_use = moved ? from->target : from->before,
@@ -59,7 +59,7 @@
 }
 
 static void
-take_one (RouteVersions *versions, const MeshVersions *from)
+update_service (EntryVersions *versions, const MeshVersions *from)
 {
   MeshVersions *copy = g_new0 (MeshVersions, 1);
 
@@ -68,29 +68,29 @@
   copy->before = strdup (from->before);
   copy->phase = from->phase;
   g_hash_table_replace (versions->services, copy->service, copy);
-  give_to_scheduler (versions, copy);
+  update_scheduler (versions, copy);
 }
 
 void
-versions_take (RouteVersions *versions, const MeshRollouts *from)
+versions_update (EntryVersions *versions, const MeshRollouts *from)
 {
   if (from->index <= versions->index)
     return;
   versions->index = from->index;
   for (unsigned i = 0; i < from->services.services_len; i++)
-    take_one (versions, &from->services.services_val[i]);
+    update_service (versions, &from->services.services_val[i]);
   jlog (JLOG_INFO, "versions", NULL, JL_INT ("index", from->index),
         JL_INT ("services", from->services.services_len));
 }
 
 bool
-versions_bar (const RouteVersions *versions, const char *service, const char *version)
+versions_is_blocked (const EntryVersions *versions, const char *service, const char *version)
 {
-  const MeshVersions *known = g_hash_table_lookup (versions->services, service);
+  const MeshVersions *current = g_hash_table_lookup (versions->services, service);
 
-  if (known == NULL || version == NULL || strcmp (known->before, known->target) == 0)
+  if (current == NULL || version == NULL || strcmp (current->before, current->target) == 0)
     return false;
-  if (known->phase == MESH_VERSIONS_MOVED)
-    return strcmp (version, known->before) == 0;
-  return known->phase == MESH_VERSIONS_BACK && strcmp (version, known->target) == 0;
+  if (current->phase == MESH_VERSIONS_MOVED)
+    return strcmp (version, current->before) == 0;
+  return current->phase == MESH_VERSIONS_BACK && strcmp (version, current->target) == 0;
 }
--- a/node/versions.h
+++ b/node/versions.h
@@ -1,16 +1,18 @@
-/* versions.h - which versions of servers an entry may send to, as voters have told it. */
+/* versions.h - the server versions to which an entry may send requests, as published by the
+ * voters. */
 #ifndef VERSIONS_H
 #define VERSIONS_H
 
 #include "broker.h"
 
-typedef struct RouteVersions RouteVersions;
+typedef struct EntryVersions EntryVersions;
 
-RouteVersions *versions_new (Broker *broker);
-void versions_free (RouteVersions *versions);
-/* A voter's word; an older one than the newest changes nothing. */
-void versions_take (RouteVersions *versions, const MeshRollouts *rollouts);
-/* Servers of the version get no request, whoever grants it. version NULL: not known. */
-bool versions_bar (const RouteVersions *versions, const char *service, const char *version);
+EntryVersions *versions_new (Broker *broker);
+void versions_free (EntryVersions *versions);
+/* Applies a voter's message, unless it is older than the newest one applied. */
+void versions_update (EntryVersions *versions, const MeshRollouts *rollouts);
+/* Whether servers of the version must get no request, whichever scheduler grants it. version NULL:
+ * unknown. */
+bool versions_is_blocked (const EntryVersions *versions, const char *service, const char *version);
 
 #endif
