--- /dev/null
+++ b/node/crashrep.c
@@ -0,0 +1,331 @@
+/* crashrep.c - reports the server crashes that an entry detects to all other instances.
+ *
+ * A report is sent to the voter in charge, and resent to it or its successor until it is in the
+ * log. While no voter is in charge, deputies forward reports to the entries that have connected to
+ * them. This is not stored, and the voters still receive the reports later.
+ */
+#include "crashrep.h"
+#include "content.h"
+#include "count.h"
+#include "jlog.h"
+
+#include <string.h>
+
+/* Two syncs of a slow disk, and the round trip. */
+#define RESEND_INTERVAL (400 * FT_MS)
+/* Unacknowledged reports, about 200 bytes each. */
+#define REPORTS_MAX 256
+
+typedef struct
+{
+  uint64_t number;
+  char *server;
+  int64_t crashed_at, sent_at; /* sent_at 0: not sent yet */
+  uint64_t contents[MESH_CONTENTS_MOST];
+  unsigned count;
+} Report;
+
+struct CrashReporter
+{
+  Loop *loop;
+  Mesh *mesh;
+  Quarantine *quar;
+  CrashDetector *detector;
+  void (*changed) (void *host);
+  void *host;
+  MeshPeer *voter;    /* the voter in charge; NULL: none is reachable */
+  GPtrArray *reports; /* Report, oldest first */
+  uint64_t next_number;
+};
+
+static void
+report_free (void *data)
+{
+  Report *report = data;
+
+  g_free (report->server);
+  g_free (report);
+}
+
+/* ---- Sending ---- */
+
+static void
+send_to_deputy (MeshPeer *peer, void *data)
+{
+  if (peer->dialled && peer->role == MESH_ENTRY)
+    mesh_send (peer, data);
+}
+
+static void
+send_report (CrashReporter *reporter, Report *report)
+{
+  int64_t now = loop_now (reporter->loop);
+  MeshMsg msg = { .kind = MESH_ENDED };
+
+  msg.MeshMsg_u.ended = (MeshEnded){ .number = report->number,
+                                     .server = report->server,
+                                     .age_ms = (u_int) ((now - report->crashed_at) / FT_MS),
+                                     .contents = { report->count, report->contents } };
+  if (reporter->voter)
+    mesh_send (reporter->voter, &msg);
+  else if (report->sent_at == 0)
+    mesh_each (reporter->mesh, send_to_deputy, &msg);
+  report->sent_at = now;
+}
+
+static void
+on_crash (void *host, const char *server, int64_t at, const CrashRun *runs, unsigned count)
+{
+  CrashReporter *reporter = host;
+  Report *report = g_new0 (Report, 1);
+  char content[CONTENT_TEXT];
+
+  count_up (COUNT_SERVER_ENDS);
+  report->number = ++reporter->next_number;
+  report->server = g_strdup (server);
+  report->crashed_at = at;
+  for (unsigned i = 0; i < count && report->count < MESH_CONTENTS_MOST; i++)
+    {
+      quar_add_crash (reporter->quar, runs[i].content, server, true);
+      report->contents[report->count++] = runs[i].content;
+      jlog (JLOG_INFO, "ran-at-end", runs[i].request, JL_TEXT ("server", server),
+            JL_TEXT ("content", content_text (runs[i].content, content)),
+            JL_INT ("ends", quar_check (reporter->quar, runs[i].content).ends),
+            JL_INT ("report", report->number));
+    }
+  if (reporter->reports->len >= REPORTS_MAX)
+    {
+      jlog (JLOG_WARN, "report-dropped", NULL,
+            JL_INT ("report", ((const Report *) reporter->reports->pdata[0])->number));
+      g_ptr_array_remove_index (reporter->reports, 0);
+    }
+  g_ptr_array_add (reporter->reports, report);
+  send_report (reporter, report);
+  reporter->changed (reporter->host);
+}
+
+/* Tells the voter which contents of the crash table were answered completely here. */
+static void
+send_recent_answers (const CrashReporter *reporter)
+{
+  uint64_t contents[MESH_CONTENTS_MOST];
+  MeshMsg msg = { .kind = MESH_ANSWERED };
+  unsigned count = quar_recently_answered (reporter->quar, contents, MESH_CONTENTS_MOST);
+
+  if (count == 0 || reporter->voter == NULL)
+    return;
+  msg.MeshMsg_u.answered.contents.contents_len = count;
+  msg.MeshMsg_u.answered.contents.contents_val = contents;
+  mesh_send (reporter->voter, &msg);
+}
+
+/* ---- Receiving ---- */
+
+static bool
+has_report_of (const CrashReporter *reporter, const char *server)
+{
+  for (unsigned i = 0; i < reporter->reports->len; i++)
+    if (strcmp (((const Report *) reporter->reports->pdata[i])->server, server) == 0)
+      return true;
+  return false;
+}
+
+static void
+handle_acknowledged (CrashReporter *reporter, uint64_t number)
+{
+  for (unsigned i = 0; i < reporter->reports->len; i++)
+    {
+      const Report *report = reporter->reports->pdata[i];
+      if (report->number != number)
+        continue;
+      char *server = g_strdup (report->server);
+      g_ptr_array_remove_index (reporter->reports, i);
+      if (!has_report_of (reporter, server))
+        quar_crash_recorded (reporter->quar, server);
+      g_free (server);
+      return;
+    }
+}
+
+static void
+handle_crash_table (CrashReporter *reporter, const MeshBlamed *blamed)
+{
+  unsigned count = blamed->suspects.suspects_len;
+  QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
+
+  for (unsigned i = 0; i < count; i++)
+    {
+      const MeshSuspect *from = &blamed->suspects.suspects_val[i];
+      records[i] = (QuarRecord){ .content = from->content,
+                                 .ends = from->ends,
+                                 .servers = from->servers.servers_val,
+                                 .server_count = from->servers.servers_len };
+    }
+  bool applied = quar_update_table (reporter->quar, blamed->index, records, count);
+  g_free (records);
+  if (!applied)
+    return;
+  jlog (JLOG_INFO, "account", NULL, JL_INT ("index", blamed->index), JL_INT ("suspects", count),
+        JL_INT ("quarantined", quar_count_blocked (reporter->quar)));
+  send_recent_answers (reporter);
+  reporter->changed (reporter->host);
+}
+
+typedef struct
+{
+  const MeshPeer *source;
+  const MeshMsg *msg;
+} Forward;
+
+static void
+forward (MeshPeer *peer, void *data)
+{
+  const Forward *context = data;
+
+  if (!peer->dialled && peer->role == MESH_ENTRY && peer != context->source)
+    mesh_send (peer, context->msg);
+}
+
+/* Another entry has detected a crash while no voter is in charge. A deputy, which receives the
+ * report on a link that the other entry opened, forwards it. */
+static void
+handle_remote_crash (CrashReporter *reporter, const MeshPeer *peer, const MeshMsg *msg)
+{
+  const MeshEnded *ended = &msg->MeshMsg_u.ended;
+  Forward context = { peer, msg };
+
+  for (unsigned i = 0; i < ended->contents.contents_len; i++)
+    quar_add_crash (reporter->quar, ended->contents.contents_val[i], ended->server, false);
+  if (!peer->dialled && reporter->voter == NULL)
+    mesh_each (reporter->mesh, forward, &context);
+  reporter->changed (reporter->host);
+}
+
+bool
+crashrep_message (CrashReporter *reporter, MeshPeer *peer, const MeshMsg *msg)
+{
+  switch (msg->kind)
+    {
+    case MESH_ENDED:
+      handle_remote_crash (reporter, peer, msg);
+      return true;
+    case MESH_ENDED_KNOWN:
+      handle_acknowledged (reporter, msg->MeshMsg_u.known.number);
+      return true;
+    case MESH_BLAMED:
+      handle_crash_table (reporter, &msg->MeshMsg_u.blamed);
+      return true;
+    default:
+      return false;
+    }
+}
+
+void
+crashrep_set_voter (CrashReporter *reporter, MeshPeer *voter)
+{
+  if (reporter->voter == voter)
+    return;
+  reporter->voter = voter;
+  if (voter == NULL)
+    return;
+  for (unsigned i = 0; i < reporter->reports->len; i++)
+    send_report (reporter, reporter->reports->pdata[i]);
+  send_recent_answers (reporter);
+}
+
+void
+crashrep_peer_down (CrashReporter *reporter, const MeshPeer *peer)
+{
+  if (reporter->voter == peer)
+    reporter->voter = NULL;
+}
+
+void
+crashrep_tick (CrashReporter *reporter)
+{
+  int64_t since = loop_now (reporter->loop) - RESEND_INTERVAL;
+
+  quar_tick (reporter->quar, reporter->voter != NULL);
+  for (unsigned i = 0; reporter->voter && i < reporter->reports->len; i++)
+    {
+      Report *report = reporter->reports->pdata[i];
+      if (report->sent_at < since)
+        send_report (reporter, report);
+    }
+}
+
+/* ---- Results of requests ---- */
+
+QuarVerdict
+crashrep_check (const CrashReporter *reporter, uint64_t content)
+{
+  return quar_check (reporter->quar, content);
+}
+
+void
+crashrep_connection_lost (CrashReporter *reporter, const char *server, SockAddr addr,
+                          uint64_t content, const char *request)
+{
+  crashdet_connection_lost (reporter->detector, server, addr, content, request);
+}
+
+void
+crashrep_abandoned (CrashReporter *reporter, const char *server, uint64_t content,
+                    const char *request)
+{
+  crashdet_abandoned (reporter->detector, server, content, request);
+}
+
+void
+crashrep_refused (CrashReporter *reporter, const char *server)
+{
+  crashdet_refused (reporter->detector, server);
+}
+
+void
+crashrep_answered (CrashReporter *reporter, const char *server, uint64_t content, int64_t sent_at)
+{
+  MeshMsg msg = { .kind = MESH_SURVIVED };
+
+  if (quar_answered (reporter->quar, content))
+    send_recent_answers (reporter);
+  if (reporter->voter == NULL || !quar_crash_disproved (reporter->quar, server, sent_at))
+    return;
+  msg.MeshMsg_u.survived.server = (char *) server;
+  mesh_send (reporter->voter, &msg);
+}
+
+/* ---- Construction ---- */
+
+void
+crashrep_describe (const CrashReporter *reporter, GString *out)
+{
+  g_string_append_printf (out, "foxtail_quarantined %u\nfoxtail_reports_untold %u\n",
+                          quar_count_blocked (reporter->quar), reporter->reports->len);
+}
+
+CrashReporter *
+crashrep_new (Loop *loop, Mesh *mesh, HCli *cli, void (*changed) (void *host), void *host)
+{
+  CrashReporter *reporter = g_new0 (CrashReporter, 1);
+
+  reporter->loop = loop;
+  reporter->mesh = mesh;
+  reporter->changed = changed;
+  reporter->host = host;
+  reporter->quar = quar_new (loop_clock (loop));
+  reporter->detector = crashdet_new (loop, cli, on_crash, reporter);
+  reporter->reports = g_ptr_array_new_with_free_func (report_free);
+  return reporter;
+}
+
+void
+crashrep_free (CrashReporter *reporter)
+{
+  if (reporter == NULL)
+    return;
+  crashdet_free (reporter->detector);
+  quar_free (reporter->quar);
+  g_ptr_array_unref (reporter->reports);
+  g_free (reporter);
+}
--- a/node/ends.c
+++ b/node/ends.c
@@ -1,14 +1,15 @@
-/* ends.c - tells the end of a server from the end of a connection.
+/* ends.c - distinguishes a crashed server process from a lost connection.
  *
- * Connections break for many reasons: the server closes idle ones, a path is cut, an answer is
- * lost. Only where the process is gone is what it ran a suspect. A process that is gone listens no
- * more, while its machine still answers: so once a connection breaks under a request, another one
- * is opened. Refused: the server has ended. Established: it lives, or its listener is just going
- * too, which a second look, SECOND_LOOK later, tells. No answer at all: the path is cut, and
- * nothing is said against anybody.
+ * Connections are lost for many reasons: the server closes idle ones, a network path fails, or an
+ * answer is lost. Only if the process is gone do its requests become suspects. Once a process is
+ * gone, its port refuses connections while its machine still answers. So when a connection is lost
+ * during a request, another one is opened. If it is refused, the server has crashed. If it is
+ * established, the server is alive, or its listening socket is just about to close, which a second
+ * probe SECOND_PROBE later detects. If there is no reply at all, the network path has failed, and
+ * no request is suspected.
  *
- * What was given up shortly before, since its caller left or for silence, is a suspect as well: a
- * server may end a moment after it was told to stop.
+ * Requests that were abandoned shortly before, because the caller left or the server was silent,
+ * are suspects as well: a server may crash a moment after it was told to stop.
  */
 #include "ends.h"
 #include "jlog.h"
@@ -16,269 +17,277 @@
 #include <errno.h>
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define CONNECT_MOST (250 * FT_MS)   /* as for requests */
-#define SECOND_LOOK  (60 * FT_MS)    /* a process that is ending closes all it has within that */
-#define LOOKS_MOST   4               /* a second in all, with packets lost on the way */
-#define ENDED_KEPT   (2 * FT_SECOND) /* breaks are seen late where packets are lost */
-#define LEFT_KEPT    (1 * FT_SECOND) /* from giving a request up to an end that may be its doing */
-#define LEFT_MOST    64
-#define RUNS_MOST    64 /* of one server; more than the places of any seen so far */
+#define PROBE_TIMEOUT (250 * FT_MS) /* the same as for requests */
+/* A process that is exiting closes all its sockets within this time. */
+#define SECOND_PROBE (60 * FT_MS)
+/* One second in total if packets are lost. */
+#define PROBES_MAX 4
+/* How long a crash is remembered: lost connections are noticed late when packets are lost. */
+#define CRASH_KEPT (2 * FT_SECOND)
+/* Time after abandoning a request within which a crash may be caused by it. */
+#define ABANDONED_KEPT (1 * FT_SECOND)
+#define ABANDONED_MAX  64
+/* Of one server; more than the request slots of any server seen so far. */
+#define RUNS_MAX 64
 
 typedef enum
 {
-  STATE_ASKING,
-  STATE_ENDED
-} State;
+  STATE_PROBING,
+  STATE_CRASHED
+} CheckState;
 
 typedef struct
 {
-  LoopTimer timer; /* the second look, or the end of what is known */
-  Ends *ends;
+  LoopTimer timer; /* next probe, or the end of CRASH_KEPT */
+  CrashDetector *detector;
   char *server;
   SockAddr addr;
-  State state;
-  unsigned looks;
-  int64_t ended_at;
-  bool probing, dropped; /* dropped: freed once its probe has ended */
-  GArray *runs;          /* EndsRun, not told yet */
-} Case;
+  CheckState state;
+  unsigned probes;
+  int64_t crashed_at;
+  bool probing, dropped; /* dropped: to be freed when the pending probe detector */
+  GArray *runs;          /* CrashRun, not reported yet */
+} ServerCheck;
 
 typedef struct
 {
   char server[128];
-  EndsRun run;
+  CrashRun run;
   int64_t at;
-} Left;
+} Abandoned;
 
-struct Ends
+struct CrashDetector
 {
   Loop *loop;
   HCli *cli;
-  EndsEnded ended;
-  void *host;
-  GHashTable *cases; /* server: Case */
-  Left left[LEFT_MOST];
-  unsigned left_next;
+  CrashFunc on_crash;
+  void *user;
+  GHashTable *checks; /* server -> ServerCheck */
+  Abandoned abandoned[ABANDONED_MAX];
+  unsigned next_abandoned;
 };
 
 static void
-case_free (Case *one)
+check_free (ServerCheck *check)
 {
-  g_array_unref (one->runs);
-  g_free (one->server);
-  g_free (one);
+  g_array_unref (check->runs);
+  g_free (check->server);
+  g_free (check);
 }
 
 static void
-drop_case (void *data)
+drop_check (void *data)
 {
-  Case *one = data;
+  ServerCheck *check = data;
 
-  loop_timer_stop (one->ends->loop, &one->timer);
-  one->dropped = true;
-  if (!one->probing)
-    case_free (one);
+  loop_timer_stop (check->detector->loop, &check->timer);
+  check->dropped = true;
+  if (!check->probing)
+    check_free (check);
 }
 
 static void
 add_run (GArray *runs, uint64_t content, const char *request)
 {
-  EndsRun run = { .content = content };
+  CrashRun run = { .content = content };
 
-  if (runs->len >= RUNS_MOST)
+  if (runs->len >= RUNS_MAX)
     return;
   g_strlcpy (run.request, request, sizeof run.request);
   g_array_append_val (runs, run);
 }
 
-/* ---- Verdicts ---- */
+/* ---- Results ---- */
 
-/* Was it given up at the server lately? */
+/* Whether the request was recently abandoned on this server. */
 static bool
-left_lately (const Ends *ends, const Left *left, const char *server)
+abandoned_recently (const CrashDetector *detector, const Abandoned *abandoned, const char *server)
 {
-  return left->at > loop_now (ends->loop) - LEFT_KEPT && strcmp (left->server, server) == 0;
+  return abandoned->at > loop_now (detector->loop) - ABANDONED_KEPT
+         && strcmp (abandoned->server, server) == 0;
 }
 
 static void
-add_left (const Ends *ends, Case *one)
+add_abandoned_runs (const CrashDetector *detector, ServerCheck *check)
 {
-  for (unsigned i = 0; i < LEFT_MOST; i++)
+  for (unsigned i = 0; i < ABANDONED_MAX; i++)
     {
-      const Left *left = &ends->left[i];
-      if (left_lately (ends, left, one->server))
-        add_run (one->runs, left->run.content, left->run.request);
+      const Abandoned *abandoned = &detector->abandoned[i];
+      if (abandoned_recently (detector, abandoned, check->server))
+        add_run (check->runs, abandoned->run.content, abandoned->run.request);
     }
 }
 
 static void
-tell (Case *one)
+report_runs (ServerCheck *check)
 {
-  if (one->runs->len > 0)
-    one->ends->ended (one->ends->host, one->server, one->ended_at,
-                      (const EndsRun *) (void *) one->runs->data, one->runs->len);
-  g_array_set_size (one->runs, 0);
+  if (check->runs->len > 0)
+    check->detector->on_crash (check->detector->user, check->server, check->crashed_at,
+                               (const CrashRun *) (void *) check->runs->data, check->runs->len);
+  g_array_set_size (check->runs, 0);
 }
 
 static void
-log_verdict (const Case *one, const char *event, const char *evidence)
+log_result (const ServerCheck *check, const char *event, const char *evidence)
 {
-  jlog (JLOG_INFO, event, NULL, JL_TEXT ("server", one->server), JL_TEXT ("evidence", evidence),
-        JL_INT ("looks", one->looks), JL_INT ("ran", one->runs->len));
+  jlog (JLOG_INFO, event, NULL, JL_TEXT ("server", check->server), JL_TEXT ("evidence", evidence),
+        JL_INT ("looks", check->probes), JL_INT ("ran", check->runs->len));
 }
 
 static void
-has_ended (Case *one, const char *evidence)
+set_crashed (ServerCheck *check, const char *evidence)
 {
-  Loop *loop = one->ends->loop;
-
-  one->state = STATE_ENDED;
-  one->ended_at = loop_now (loop);
-  add_left (one->ends, one);
-  log_verdict (one, "server-ended", evidence);
-  loop_timer_set (loop, &one->timer, one->ended_at + ENDED_KEPT);
-  tell (one);
+  Loop *loop = check->detector->loop;
+
+  check->state = STATE_CRASHED;
+  check->crashed_at = loop_now (loop);
+  add_abandoned_runs (check->detector, check);
+  log_result (check, "server-ended", evidence);
+  loop_timer_set (loop, &check->timer, check->crashed_at + CRASH_KEPT);
+  report_runs (check);
 }
 
-/* Nothing is said against what it ran. */
+/* The requests of the server do not become suspects. */
 static void
-lives_on (Case *one, const char *evidence)
+set_alive (ServerCheck *check, const char *evidence)
 {
-  log_verdict (one, "server-lives", evidence);
-  g_hash_table_remove (one->ends->cases, one->server);
+  log_result (check, "server-lives", evidence);
+  g_hash_table_remove (check->detector->checks, check->server);
 }
 
-/* ---- Looking ---- */
+/* ---- Probes ---- */
 
 static void
 on_probed (void *user, bool connected, HXferFault fault)
 {
-  Case *one = user;
+  ServerCheck *check = user;
 
-  one->probing = false;
-  if (one->dropped)
-    case_free (one);
-  else if (one->state != STATE_ASKING)
+  check->probing = false;
+  if (check->dropped)
+    check_free (check);
+  else if (check->state != STATE_PROBING)
     return;
   else if (!connected && fault == HXFER_REFUSED)
-    has_ended (one, "nobody listens at its address");
+    set_crashed (check, "its address refuses connections");
   else
-    loop_timer_set (one->ends->loop, &one->timer, loop_now (one->ends->loop) + SECOND_LOOK);
+    loop_timer_set (check->detector->loop, &check->timer,
+                    loop_now (check->detector->loop) + SECOND_PROBE);
 }
 
 static void
-look (Case *one)
+probe (ServerCheck *check)
 {
-  HCliTarget target = { one->addr, one->server, CONNECT_MOST, 0, false };
+  HCliTarget target = { check->addr, check->server, PROBE_TIMEOUT, 0, false };
 
-  one->looks++;
-  one->probing = hcli_probe (one->ends->cli, &target, on_probed, one);
-  if (one->probing)
+  check->probes++;
+  check->probing = hcli_probe (check->detector->cli, &target, on_probed, check);
+  if (check->probing)
     return;
-  if (errno == ECONNREFUSED) /* on one machine it is known at once */
-    has_ended (one, "nobody listens at its address");
+  if (errno == ECONNREFUSED) /* on the same machine the refusal is immediate */
+    set_crashed (check, "its address refuses connections");
   else
-    lives_on (one, "no connection can be opened here");
+    set_alive (check, "no connection can be opened from here");
 }
 
 static void
 on_timer (LoopTimer *timer)
 {
-  Case *one = (Case *) timer;
-  Ends *ends = one->ends;
-
-  if (one->state == STATE_ENDED)
-    g_hash_table_remove (ends->cases, one->server);
-  else if (hcli_is_connected (ends->cli, one->server))
-    lives_on (one, "it takes connections");
-  else if (one->looks < LOOKS_MOST)
-    look (one);
+  ServerCheck *check = (ServerCheck *) timer;
+  CrashDetector *detector = check->detector;
+
+  if (check->state == STATE_CRASHED)
+    g_hash_table_remove (detector->checks, check->server);
+  else if (hcli_is_connected (detector->cli, check->server))
+    set_alive (check, "it accepts connections");
+  else if (check->probes < PROBES_MAX)
+    probe (check);
   else
-    lives_on (one, "it cannot be reached, and does not refuse");
+    set_alive (check, "no reply, and no refusal");
 }
 
-static Case *
-case_of (Ends *ends, const char *server, SockAddr addr)
+static ServerCheck *
+find_or_add_check (CrashDetector *detector, const char *server, SockAddr addr)
 {
-  Case *one = g_hash_table_lookup (ends->cases, server);
-
-  if (one)
-    return one;
-  one = g_new0 (Case, 1);
-  one->timer.fire = on_timer;
-  one->ends = ends;
-  one->server = g_strdup (server);
-  one->addr = addr;
-  one->runs = g_array_new (FALSE, FALSE, sizeof (EndsRun));
-  g_hash_table_insert (ends->cases, one->server, one);
-  return one;
+  ServerCheck *check = g_hash_table_lookup (detector->checks, server);
+
+  if (check)
+    return check;
+  check = g_new0 (ServerCheck, 1);
+  check->timer.fire = on_timer;
+  check->detector = detector;
+  check->server = g_strdup (server);
+  check->addr = addr;
+  check->runs = g_array_new (FALSE, FALSE, sizeof (CrashRun));
+  g_hash_table_insert (detector->checks, check->server, check);
+  return check;
 }
 
 /* ---- Interface ---- */
 
-Ends *
-ends_new (Loop *loop, HCli *cli, EndsEnded ended, void *host)
+CrashDetector *
+crashdet_new (Loop *loop, HCli *cli, CrashFunc on_crash, void *user)
 {
-  Ends *ends = g_new0 (Ends, 1);
-
-  ends->loop = loop;
-  ends->cli = cli;
-  ends->ended = ended;
-  ends->host = host;
-  ends->cases = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, drop_case);
-  return ends;
+  CrashDetector *detector = g_new0 (CrashDetector, 1);
+
+  detector->loop = loop;
+  detector->cli = cli;
+  detector->on_crash = on_crash;
+  detector->user = user;
+  detector->checks = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, drop_check);
+  return detector;
 }
 
 void
-ends_free (Ends *ends)
+crashdet_free (CrashDetector *detector)
 {
-  if (ends == NULL)
+  if (detector == NULL)
     return;
-  g_hash_table_unref (ends->cases);
-  g_free (ends);
+  g_hash_table_unref (detector->checks);
+  g_free (detector);
 }
 
 void
-ends_broke (Ends *ends, const char *server, SockAddr addr, uint64_t content, const char *request)
+crashdet_connection_lost (CrashDetector *detector, const char *server, SockAddr addr,
+                          uint64_t content, const char *request)
 {
-  bool known = g_hash_table_contains (ends->cases, server);
-  Case *one = case_of (ends, server, addr);
+  bool known = g_hash_table_contains (detector->checks, server);
+  ServerCheck *check = find_or_add_check (detector, server, addr);
 
-  add_run (one->runs, content, request);
-  if (one->state == STATE_ENDED)
-    tell (one);
+  add_run (check->runs, content, request);
+  if (check->state == STATE_CRASHED)
+    report_runs (check);
   else if (!known)
-    look (one);
+    probe (check);
 }
 
 void
-ends_left (Ends *ends, const char *server, uint64_t content, const char *request)
+crashdet_abandoned (CrashDetector *detector, const char *server, uint64_t content,
+                    const char *request)
 {
-  Left *left = &ends->left[ends->left_next++ % LEFT_MOST];
+  Abandoned *abandoned = &detector->abandoned[detector->next_abandoned++ % ABANDONED_MAX];
 
-  g_strlcpy (left->server, server, sizeof left->server);
-  left->run.content = content;
-  g_strlcpy (left->run.request, request, sizeof left->run.request);
-  left->at = loop_now (ends->loop);
+  g_strlcpy (abandoned->server, server, sizeof abandoned->server);
+  abandoned->run.content = content;
+  g_strlcpy (abandoned->run.request, request, sizeof abandoned->run.request);
+  abandoned->at = loop_now (detector->loop);
 }
 
 static bool
-any_left (const Ends *ends, const char *server)
+has_abandoned (const CrashDetector *detector, const char *server)
 {
-  for (unsigned i = 0; i < LEFT_MOST; i++)
-    if (left_lately (ends, &ends->left[i], server))
+  for (unsigned i = 0; i < ABANDONED_MAX; i++)
+    if (abandoned_recently (detector, &detector->abandoned[i], server))
       return true;
   return false;
 }
 
 void
-ends_refused (Ends *ends, const char *server)
+crashdet_refused (CrashDetector *detector, const char *server)
 {
-  Case *one = g_hash_table_lookup (ends->cases, server);
+  ServerCheck *check = g_hash_table_lookup (detector->checks, server);
 
-  if (one == NULL && any_left (ends, server))
-    one = case_of (ends, server, (SockAddr){ 0, 0 });
-  if (one && one->state == STATE_ASKING)
-    has_ended (one, "it refuses a connection");
+  if (check == NULL && has_abandoned (detector, server))
+    check = find_or_add_check (detector, server, (SockAddr){ 0, 0 });
+  if (check && check->state == STATE_PROBING)
+    set_crashed (check, "it refused a connection of a request");
 }
--- a/node/ends.h
+++ b/node/ends.h
@@ -1,32 +1,34 @@
-/* ends.h - which servers have ended, and what they were running for this instance. */
+/* ends.h - detects that the process of a server has crashed, and which requests of this
+ * instance it was running. */
 #ifndef ENDS_H
 #define ENDS_H
 
 #include "hcli.h"
 #include "seam.h"
 
-typedef struct Ends Ends;
+typedef struct CrashDetector CrashDetector;
 
-/* A request that was running on a server. */
+/* A request that was running on a crashed server. */
 typedef struct
 {
   uint64_t content;
   char request[SEAM_ID_MOST];
-} EndsRun;
+} CrashRun;
 
-/* The process of server has ended, as was seen at that time, while it ran these; once for each of
- * them. */
-typedef void (*EndsEnded) (void *host, const char *server, int64_t at, const EndsRun *runs,
+/* Called when the server process has crashed. at: the time of detection; runs: the requests that
+ * it was running, each reported once. */
+typedef void (*CrashFunc) (void *user, const char *server, int64_t at, const CrashRun *runs,
                            unsigned count);
 
-Ends *ends_new (Loop *loop, HCli *cli, EndsEnded ended, void *host);
-void ends_free (Ends *ends);
-/* The connection broke on which the server at addr was running the request. */
-void ends_broke (Ends *ends, const char *server, SockAddr addr, uint64_t content,
-                 const char *request);
-/* The request was given up while the server was running it. */
-void ends_left (Ends *ends, const char *server, uint64_t content, const char *request);
-/* Nobody listens at the server's address. */
-void ends_refused (Ends *ends, const char *server);
+CrashDetector *crashdet_new (Loop *loop, HCli *cli, CrashFunc on_crash, void *user);
+void crashdet_free (CrashDetector *detector);
+/* The connection on which the server at addr was running the request was lost. */
+void crashdet_connection_lost (CrashDetector *detector, const char *server, SockAddr addr,
+                               uint64_t content, const char *request);
+/* The request was abandoned while the server was running it. */
+void crashdet_abandoned (CrashDetector *detector, const char *server, uint64_t content,
+                         const char *request);
+/* A connection to the server's address was refused. */
+void crashdet_refused (CrashDetector *detector, const char *server);
 
 #endif
--- a/node/entry.c
+++ b/node/entry.c
@@ -39,7 +39,7 @@
   EntryVersions *versions;
   Reader *reader;
   Requests *requests;
-  Witness *witness;
+  CrashReporter *witness;
   RtCat *cat;
   GBytes *text; /* that cat was read from, which changes are against */
   LoopTimer tick;
@@ -239,7 +239,7 @@
   else if (entry->newest_from == peer)
     entry->newest = 0;
   if (view->proved || entry->newest == 0)
-    witness_voter (entry->witness, view->proved ? peer : NULL);
+    crashrep_set_voter (entry->witness, view->proved ? peer : NULL);
   if (view->proved && view->entries > 0)
     {
       entry->entries = view->entries;
@@ -303,7 +303,7 @@
       versions_update (entry->versions, &msg->MeshMsg_u.rollouts);
       break;
     default:
-      if (!witness_message (entry->witness, peer, msg))
+      if (!crashrep_message (entry->witness, peer, msg))
         place_message (entry->place, peer, msg);
       break;
     }
@@ -318,7 +318,7 @@
         JL_MS ("silent_ms", loop_now (entry->loop) - peer->heard));
   if (entry->newest_from == peer)
     entry->newest = 0;
-  witness_down (entry->witness, peer);
+  crashrep_peer_down (entry->witness, peer);
   place_down (entry->place, peer);
 }
 
@@ -457,7 +457,7 @@
           JL_MS ("list_age_ms", now - servers_asked_at (entry->servers)));
   entry->was_ready = ready;
   read_list_if_old (entry, now);
-  witness_tick (entry->witness);
+  crashrep_tick (entry->witness);
   mesh_each (entry->mesh, speak, entry);
   close_when_noticed (entry, now);
   if (entry->leaving_since && may_end (entry, now))
@@ -531,7 +531,7 @@
       hsrv_connections (entry->callers), hcli_opened (entry->cli), place_by (entry->place),
       (double) (loop_now (entry->loop) - servers_asked_at (entry->servers)) / 1e6);
   describe_held (entry, out);
-  witness_describe (entry->witness, out);
+  crashrep_describe (entry->witness, out);
   mesh_describe (entry->mesh, out);
   g_string_append (out, "# servers as this entry sees them\n");
   g_string_append (out, servers);
@@ -550,7 +550,7 @@
   mesh_free (entry->mesh);
   reader_free (entry->reader);
   requests_free (entry->requests);
-  witness_free (entry->witness);
+  crashrep_free (entry->witness);
   versions_free (entry->versions);
   place_free (entry->place);
   hcli_free (entry->cli);
@@ -573,7 +573,7 @@
     return FT_IO;
   entry->place = place_new (entry->loop, entry->mesh, s->ip, &place_ops, entry);
   instance_broker (s, place_broker (entry->place), false);
-  entry->witness = witness_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
+  entry->witness = crashrep_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
   entry->versions = versions_new (place_broker (entry->place));
   RequestsConf conf = { entry->loop,   entry->seam,    entry->cli,     entry->place,
                         entry->budget, entry->servers, entry->witness, entry->versions };
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -103,7 +103,7 @@
 void
 req_ask (Req *req)
 {
-  QuarVerdict verdict = witness_judge (req->all->conf.witness, req->content);
+  QuarVerdict verdict = crashrep_check (req->all->conf.witness, req->content);
 
   if (verdict.state == QUAR_BLOCKED)
     end_quarantined (req, &verdict);
@@ -122,7 +122,7 @@
 static bool
 is_stopped (const Req *req)
 {
-  return witness_judge (req->all->conf.witness, req->content).state >= QUAR_RECHECK;
+  return crashrep_check (req->all->conf.witness, req->content).state >= QUAR_RECHECK;
 }
 
 /* Gives back the place that was granted or is waited for, and asks again. */
--- a/node/reqend.c
+++ b/node/reqend.c
@@ -74,7 +74,7 @@
   req->xfer = NULL;
   if (xfer)
     {
-      witness_left (req->all->conf.witness, req->server, req->content, req->id);
+      crashrep_abandoned (req->all->conf.witness, req->server, req->content, req->id);
       hxfer_cancel (xfer);
     }
   if (req->number == 0)
--- a/node/reqint.h
+++ b/node/reqint.h
@@ -7,7 +7,7 @@
 #include "patience.h"
 #include "requests.h"
 #include "retry.h"
-#include "witness.h"
+#include "crashrep.h"
 
 #define SILENT_EVENT                                                                               \
   (1200 * FT_MS) /* between events: above a long prompt's stall of neighbours                      \
--- a/node/requests.c
+++ b/node/requests.c
@@ -64,7 +64,7 @@
                        .most_sends = req->route->attempts,
                        .unreached = req->unreached,
                        .left_us = req->end_at - req_now (req),
-                       .suspect = witness_judge (all->conf.witness, req->content).ends > 0,
+                       .suspect = crashrep_check (all->conf.witness, req->content).ends > 0,
                        .budget = true };
   RetryStep step = retry_next (event, &facts);
 
--- a/node/requests.h
+++ b/node/requests.h
@@ -9,7 +9,7 @@
 #include "place.h"
 #include "servers.h"
 #include "versions.h"
-#include "witness.h"
+#include "crashrep.h"
 
 typedef struct Requests Requests;
 
@@ -21,7 +21,7 @@
   Place *place;
   Budget *budget;
   const Servers *servers;
-  Witness *witness;
+  CrashReporter *witness;
   const EntryVersions *versions;
 } RequestsConf;
 
--- a/node/try.c
+++ b/node/try.c
@@ -248,7 +248,8 @@
 note_break (const Req *req)
 {
   if (!req->rejected)
-    witness_broke (req->all->conf.witness, req->server, req->addr, req->content, req->id);
+    crashrep_connection_lost (req->all->conf.witness, req->server, req->addr, req->content,
+                              req->id);
 }
 
 static void
@@ -266,7 +267,7 @@
   if (req->unframed)
     note_break (req);
   else if (is_proof (req))
-    witness_answered (req->all->conf.witness, req->server, req->content, req->sent_at);
+    crashrep_answered (req->all->conf.witness, req->server, req->content, req->sent_at);
   if (req->is_stream && events_within (req->stream))
     req_after_try (req, RETRY_CUT);
   else if (req->is_stream)
@@ -296,7 +297,7 @@
       req->may_have_run = req->may_have_run_before;
       count_up (COUNT_UNREACHED);
       if (fault == HXFER_REFUSED)
-        witness_refused (req->all->conf.witness, req->server);
+        crashrep_refused (req->all->conf.witness, req->server);
       req_after_try (req, RETRY_UNREACHED);
       return;
     }
