--- a/node/rollpriv.h
+++ b/node/rollpriv.h
@@ -23,8 +23,8 @@
   uint64_t number;
   Judge *judge;
   int64_t ordered_at; /* when the order was accepted */
-  unsigned placed,
-      granted; /* counts before this voter took charge: requests, and those to the target */
+  /* Requests, and those to the target, before this voter took charge. */
+  unsigned placed, granted;
   unsigned placed_from, granted_from; /* the scheduler's counters when it took charge */
   const char *stopped; /* reason of a stop that is not committed yet; NULL: not stopped */
   uint64_t ticket;     /* ticket of the pending step; 0: none */
--- a/src/judge.c
+++ b/src/judge.c
@@ -26,7 +26,7 @@
 #define ASSUMED_INCREASE 0.25
 /* Minimum expected share: single failures are no evidence. */
 #define BAD_SHARE_MIN 0.02
-/* Maximum expected share: above it the previous version's answers tell little. */
+/* Maximum expected share: above it the previous version's answers say little. */
 #define BAD_SHARE_MAX 0.75
 /* Log-likelihood ratio at which the version is bad, for a run of about a thousand answers. */
 #define THRESHOLD 10.0
@@ -35,7 +35,7 @@
 /* Time constant of the previous version's average. */
 #define LONG_SPAN_US 2.5e6
 /* A second, shorter time constant; the worse average counts, so that a fault that begins on all
- * servers is seen at once. */
+ * servers is detected at once. */
 #define SHORT_SPAN_US 0.4e6
 /* After this long without answers of the previous version, the short average is ignored. */
 #define BASELINE_STALE (1 * FT_SECOND)
--- a/src/judge.h
+++ b/src/judge.h
@@ -16,12 +16,13 @@
 typedef struct
 {
   unsigned answers, bad; /* of the target version */
-  double suspicion; /* evidence against the target version as a fraction of the threshold; from 1 on
-                       it is bad */
-  unsigned route;   /* digest of the route with the strongest evidence; 0: all routes together */
-  double before,
-      after; /* the previous and the target version's recent share of bad answers there */
-  double before_all, after_all; /* the same over all routes */
+  /* Evidence against the target version as a fraction of the threshold; from 1 on it is bad. */
+  double suspicion;
+  unsigned route; /* digest of the route with the strongest evidence; 0: all routes together */
+  /* Recent share of bad answers of the previous and of the target version, on that route and over
+   * all routes. */
+  double before, after;
+  double before_all, after_all;
 } JudgeResult;
 
 typedef struct Judge Judge;
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -61,8 +61,8 @@
  * case. */
 bool quar_update_table (Quarantine *quar, uint64_t index, const QuarRecord *records,
                         unsigned count);
-/* Fills contents with those of the table that were answered completely here shortly before the
- * table arrived, and returns how many there are. */
+/* Fills contents with up to max contents of the table that were recently answered completely here,
+ * and returns their number. */
 unsigned quar_recently_answered (const Quarantine *quar, uint64_t *contents, unsigned max);
 /* To be called about every 50 ms. reachable: the leading voter is reachable. */
 void quar_tick (Quarantine *quar, bool reachable);
