--- a/bench/cost.c
+++ b/bench/cost.c
@@ -127,9 +127,9 @@
 
 static void
 on_sched_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
-                int64_t rest_most)
+                int64_t max_idle_us)
 {
-  (void) rest_most;
+  (void) max_idle_us;
   (void) host;
   (void) owner;
   (void) org;
@@ -197,10 +197,10 @@
   unsigned rounds = REQUESTS / 10;
 
   granted_head = granted_tail = 0;
-  sched_service (sched, "s", &conf);
+  sched_set_service (sched, "s", &conf);
   for (unsigned i = 0; i < servers; i++)
     list[i] = (SchedServer){ g_strdup_printf ("s%u", i), "s", "d", 4, false, 0, NULL };
-  sched_list (sched, list, servers);
+  sched_set_servers (sched, list, servers);
   while (number <= servers * 4 + waiting)
     sched_ask_one (sched, &clock, number++);
   double started = now_ns ();
@@ -210,7 +210,7 @@
           = { .outcome = SCHED_OK, .event_us = 24 * FT_MS, .answer_us = 600 * FT_MS };
       uint64_t request = granted[granted_tail++ & (G_N_ELEMENTS (granted) - 1)];
       clock.now += FT_SECOND / 760;
-      sched_first (sched, 1 + request % 64, request, 100 * FT_MS);
+      sched_first_event (sched, 1 + request % 64, request, 100 * FT_MS);
       sched_done (sched, 1 + request % 64, request, &result);
       sched_ask_one (sched, &clock, number++);
       if (i % 15 == 0)
--- a/node/crashrep.c
+++ b/node/crashrep.c
@@ -78,9 +78,9 @@
 {
   CrashReporter *reporter = host;
   Report *report = g_new0 (Report, 1);
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
 
-  count_up (COUNT_SERVER_ENDS);
+  count_inc (COUNT_SERVER_ENDS);
   report->number = ++reporter->next_number;
   report->server = g_strdup (server);
   report->crashed_at = at;
@@ -89,7 +89,7 @@
       quar_add_crash (reporter->quar, runs[i].content, server, true);
       report->contents[report->count++] = runs[i].content;
       jlog (JLOG_INFO, "ran-at-end", runs[i].request, JL_TEXT ("server", server),
-            JL_TEXT ("content", content_text (runs[i].content, content)),
+            JL_TEXT ("content", content_format (runs[i].content, content)),
             JL_INT ("ends", quar_check (reporter->quar, runs[i].content).ends),
             JL_INT ("report", report->number));
     }
--- a/node/rollctl.c
+++ b/node/rollctl.c
@@ -79,7 +79,7 @@
   SchedVersions versions = rollouts_settings_for_phase (rollout, MSG_ROLLOUT_ROLLED_BACK);
 
   versions.watched = true;
-  broker_versions (rollouts->broker, rollout->service, &versions);
+  broker_set_versions (rollouts->broker, rollout->service, &versions);
   if (active->stopped)
     return;
   active->stopped = step->why;
@@ -144,7 +144,7 @@
       unsigned reserved = rollout->trial.reserved;
       versions.share = step.share;
       versions.left = MIN (step.left, reserved > facts.granted ? reserved - facts.granted : 0);
-      broker_versions (rollouts->broker, rollout->service, &versions);
+      broker_set_versions (rollouts->broker, rollout->service, &versions);
     }
   if (active->ticket && now - active->proposed_at < STEP_TIMEOUT)
     return;
@@ -199,7 +199,7 @@
 }
 
 void
-rollctl_on_answer (void *user, const SchedJudged *judged)
+rollctl_on_answer (void *user, const SchedVerdict *judged)
 {
   const Rollouts *rollouts = user;
   const ActiveRollout *active = find_active (rollouts, judged->service);
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -63,7 +63,7 @@
 {
   SchedVersions versions = rollouts_settings_for_phase (rollout, rollout->phase);
 
-  broker_versions (rollouts->broker, rollout->service, &versions);
+  broker_set_versions (rollouts->broker, rollout->service, &versions);
 }
 
 static MeshVersionsPhase
@@ -323,7 +323,7 @@
   rollouts->progress = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   rollouts->active = g_ptr_array_new_with_free_func (rollctl_active_free);
   rollouts->tell = tell_new (pack_for_entries, rollouts);
-  broker_watch (broker, rollctl_on_answer, rollouts);
+  broker_set_judged_callback (broker, rollctl_on_answer, rollouts);
   return rollouts;
 }
 
--- a/node/rollpriv.h
+++ b/node/rollpriv.h
@@ -59,7 +59,7 @@
 /* ---- Control (rollctl.c) ---- */
 
 void rollctl_active_free (void *data);
-/* Callback for broker_watch; user is the Rollouts. */
-void rollctl_on_answer (void *user, const SchedJudged *judged);
+/* Callback for broker_set_judged_callback; user is the Rollouts. */
+void rollctl_on_answer (void *user, const SchedVerdict *judged);
 
 #endif
--- a/node/suspects.c
+++ b/node/suspects.c
@@ -135,12 +135,12 @@
   const MsgServerEnd *last = &now->latest.latest_val[now->latest.latest_len - 1];
   bool quarantined
       = now->ends >= CRASHES_QUARANTINE && (before == NULL || before->ends < CRASHES_QUARANTINE);
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
 
   if (now->latest.latest_len == 0 || (before && now->ends <= before->ends))
     return;
   jlog (quarantined ? JLOG_WARN : JLOG_INFO, quarantined ? "quarantined" : "suspect", NULL,
-        JL_TEXT ("content", content_text (now->content, content)), JL_INT ("ends", now->ends),
+        JL_TEXT ("content", content_format (now->content, content)), JL_INT ("ends", now->ends),
         JL_TEXT ("server", last->server), JL_INT ("since_ms", last->wall_ms - now->first_ms),
         JL_INT ("index", now->index));
 }
@@ -149,7 +149,7 @@
 log_changes (const CrashTable *before, const CrashTable *now)
 {
   MsgBlame all;
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
 
   crashes_capture (now, 0, &all);
   for (unsigned i = 0; i < all.suspects.suspects_len; i++)
@@ -160,7 +160,7 @@
   for (unsigned i = 0; i < all.suspects.suspects_len; i++)
     if (crashes_find (now, all.suspects.suspects_val[i].content) == NULL)
       jlog (JLOG_INFO, "suspect-cleared", NULL,
-            JL_TEXT ("content", content_text (all.suspects.suspects_val[i].content, content)),
+            JL_TEXT ("content", content_format (all.suspects.suspects_val[i].content, content)),
             JL_INT ("ends", all.suspects.suspects_val[i].ends));
   g_free (all.suspects.suspects_val);
 }
@@ -284,14 +284,14 @@
 static void
 handle_answered (Suspects *suspects, const MeshPeer *peer, const MeshAnswered *from)
 {
-  char text[CONTENT_TEXT];
+  char text[CONTENT_ID_SIZE];
 
   for (unsigned i = 0; i < from->contents.contents_len; i++)
     {
       uint64_t content = from->contents.contents_val[i];
       if (crashes_find (suspects->table, content) == NULL || has_pending_clear (suspects, content))
         continue;
-      jlog (JLOG_INFO, "answered-whole", NULL, JL_TEXT ("content", content_text (content, text)),
+      jlog (JLOG_INFO, "answered-whole", NULL, JL_TEXT ("content", content_format (content, text)),
             JL_INT ("peer", peer->ip));
       propose_clear (suspects, content);
     }
@@ -385,11 +385,11 @@
 uint64_t
 suspects_release (Suspects *suspects, uint64_t content)
 {
-  char text[CONTENT_TEXT];
+  char text[CONTENT_ID_SIZE];
 
   if (crashes_find (suspects->table, content) == NULL)
     return 0;
-  jlog (JLOG_WARN, "released", NULL, JL_TEXT ("content", content_text (content, text)));
+  jlog (JLOG_WARN, "released", NULL, JL_TEXT ("content", content_format (content, text)));
   return propose_clear (suspects, content);
 }
 
--- a/node/versions.c
+++ b/node/versions.c
@@ -55,7 +55,7 @@
 
   if (strcmp (from->before, from->target) == 0)
     out.other = "";
-  broker_versions (versions->broker, from->service, &out);
+  broker_set_versions (versions->broker, from->service, &out);
 }
 
 static void
--- a/node/voter.c
+++ b/node/voter.c
@@ -295,7 +295,7 @@
 }
 
 static void
-on_apply (void *host, uint64_t index, const MsgOp *op, const StateVerdict *verdict)
+on_apply (void *host, uint64_t index, const MsgOp *op, const StateResult *verdict)
 {
   Voter *voter = host;
 
@@ -362,7 +362,7 @@
       codec_clear (CODEC (Msg), &msg);
       break;
     case WORK_MEET:
-      raft_meet (voter->raft, work->from);
+      raft_add_peer (voter->raft, work->from);
       break;
     case WORK_PROPOSE:
       propose_document (voter, work);
@@ -371,7 +371,7 @@
       propose_op (voter, work);
       break;
     case WORK_HAND_OVER:
-      raft_hand_over (voter->raft);
+      raft_transfer_leadership (voter->raft);
       break;
     }
   if (work->bytes)
@@ -386,10 +386,10 @@
 
   status.term = raft_term (voter->raft);
   status.leader = raft_leader (voter->raft);
-  status.broken = raft_broken (voter->raft);
+  status.broken = raft_storage_failed (voter->raft);
   status.member = raft_is_member (voter->raft);
   status.count = raft_voters (voter->raft, status.voters);
-  int64_t until = raft_leads_until (voter->raft);
+  int64_t until = raft_lease_until (voter->raft);
   pthread_mutex_lock (&voter->lock);
   voter->status = status;
   voter->proved_until = until;
@@ -416,7 +416,7 @@
 static void
 reopen (Voter *voter)
 {
-  if (voter->raft && !raft_broken (voter->raft))
+  if (voter->raft && !raft_storage_failed (voter->raft))
     return;
   int64_t now = now_us (NULL);
   if (now < voter->reopen_at)
@@ -510,9 +510,9 @@
   voter->conf = (RaftConf){ .self = conf->self,
                             .voters = voter->seeds,
                             .count = conf->seed_count,
-                            .log_most = LOG_MOST,
+                            .snapshot_after = LOG_MOST,
                             .found = true,
-                            .may_form = conf->may_form,
+                            .may_bootstrap = conf->may_bootstrap,
                             .least = 2 * conf->losses + 1 };
   FtStatus status = disk_new (conf->folder, &voter->disk, error);
   if (status == FT_OK)
--- a/node/voter.h
+++ b/node/voter.h
@@ -32,7 +32,7 @@
   uint32_t self;         /* IPv4 of this instance */
   const uint32_t *seeds; /* of the voters that form the first set; copied */
   unsigned seed_count;
-  bool may_form;
+  bool may_bootstrap;
   unsigned losses; /* voters that may be lost at once */
   const char *folder;
 } VoterConf;
--- a/src/crashes.c
+++ b/src/crashes.c
@@ -279,12 +279,12 @@
   const MsgServerEnd *ends = suspect->latest.latest_val;
   unsigned count = suspect->latest.latest_len;
   int64_t last_ms = count ? ends[count - 1].wall_ms : suspect->first_ms;
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
 
   g_string_append_printf (out,
                           "{\"content\":\"%s\",\"quarantined\":%s,\"ends\":%u,"
                           "\"first_s_ago\":%.1f,\"last_s_ago\":%.1f,\"servers\":[",
-                          content_text (suspect->content, content),
+                          content_format (suspect->content, content),
                           suspect->ends >= CRASHES_QUARANTINE ? "true" : "false", suspect->ends,
                           (double) (wall_ms - suspect->first_ms) / 1e3,
                           (double) (wall_ms - last_ms) / 1e3);
--- a/src/events.c
+++ b/src/events.c
@@ -106,7 +106,7 @@
 }
 
 unsigned
-events_take (Events *events, const char *data, size_t size, GString *out)
+events_feed (Events *events, const char *data, size_t size, GString *out)
 {
   unsigned count = 0;
   size_t at = 0, length;
@@ -128,7 +128,7 @@
 }
 
 void
-events_restart (Events *events)
+events_drop_partial (Events *events)
 {
   g_string_truncate (events->held, 0);
 }
@@ -140,7 +140,7 @@
 }
 
 bool
-events_within (const Events *events)
+events_has_partial (const Events *events)
 {
   return events->held->len > 0;
 }
--- a/src/lead.c
+++ b/src/lead.c
@@ -259,7 +259,7 @@
 }
 
 void
-lead_applied (Lead *lead, uint64_t index, const StateVerdict *verdict)
+lead_applied (Lead *lead, uint64_t index, const StateResult *verdict)
 {
   Waiting *waiting = g_hash_table_lookup (lead->waiting, &index);
 
@@ -341,7 +341,7 @@
 place_leases (Lead *lead, int64_t now)
 {
   FtNode *node = lead->node;
-  FtCat *cat = state_cat (node->state);
+  FtCat *cat = state_parsed_catalogue (node->state);
 
   if (cat == NULL || raft_commit (node->raft) < lead->placing)
     return; /* one batch at a time: counts of leases are then true */
@@ -379,7 +379,7 @@
     {
       const Instance *one = data;
       uint64_t older, index;
-      if (!state_claim_of_older (node->state, one->id, one->incarnation, &older))
+      if (!state_claim_of_other (node->state, one->id, one->incarnation, &older))
         continue;
       MsgOp op = { .kind = MSG_OP_CLAIM_END };
       MsgClaimDone *done = &op.MsgOp_u.claim_done;
--- a/src/node.c
+++ b/src/node.c
@@ -44,7 +44,7 @@
 }
 
 static void
-raft_applied (void *host, uint64_t index, const MsgOp *op, const StateVerdict *verdict)
+raft_applied (void *host, uint64_t index, const MsgOp *op, const StateResult *verdict)
 {
   FtNode *node = host;
 
@@ -534,7 +534,7 @@
   status->term = raft_term (node->raft);
   status->commit = raft_commit (node->raft);
   status->member = raft_is_member (node->raft);
-  status->broken = raft_broken (node->raft);
+  status->broken = raft_storage_failed (node->raft);
 }
 
 bool
--- a/src/node.h
+++ b/src/node.h
@@ -146,7 +146,7 @@
 void lead_free (Lead *lead);
 void lead_hello (Lead *lead, uint32_t from, const MsgHello *hello);
 void lead_propose (Lead *lead, uint32_t from, const MsgPropose *propose);
-void lead_applied (Lead *lead, uint64_t index, const StateVerdict *verdict);
+void lead_applied (Lead *lead, uint64_t index, const StateResult *verdict);
 void lead_find (Lead *lead, uint32_t from, const MsgFind *find);
 void lead_tick (Lead *lead, int64_t now);
 
--- a/src/raft.c
+++ b/src/raft.c
@@ -38,13 +38,13 @@
 }
 
 void
-raft_post (Raft *raft, uint32_t to, const Msg *msg)
+raft_queue_after_sync (Raft *raft, uint32_t to, const Msg *msg)
 {
   post (raft->outbox, to, msg);
 }
 
 void
-raft_post_early (Raft *raft, uint32_t to, const Msg *msg)
+raft_queue_before_sync (Raft *raft, uint32_t to, const Msg *msg)
 {
   post (raft->early, to, msg);
 }
@@ -69,14 +69,14 @@
 }
 
 void
-raft_wait_note (Wait *wait, int64_t waited, int64_t now)
+raft_recent_max_add (Wait *wait, int64_t waited, int64_t now)
 {
-  if (waited >= raft_wait_longest (wait, now))
+  if (waited >= raft_recent_max_get (wait, now))
     *wait = (Wait){ waited, now };
 }
 
 int64_t
-raft_wait_longest (const Wait *wait, int64_t now)
+raft_recent_max_get (const Wait *wait, int64_t now)
 {
   return now - wait->ended < WAIT_KEPT ? wait->longest : 0;
 }
@@ -94,7 +94,7 @@
 }
 
 bool
-raft_in_config (const Raft *raft)
+raft_is_voter (const Raft *raft)
 {
   return rlog_config_has (rlog_config (&raft->log), raft->conf.self, raft->incarnation);
 }
@@ -106,7 +106,7 @@
 }
 
 void
-raft_enter_term (Raft *raft, uint64_t term, uint32_t voted_for)
+raft_record_vote (Raft *raft, uint64_t term, uint32_t voted_for)
 {
   raft->term = term;
   raft->voted_for = voted_for;
@@ -115,10 +115,10 @@
 }
 
 void
-raft_follow (Raft *raft, uint64_t term, uint32_t leader, int64_t now)
+raft_become_follower (Raft *raft, uint64_t term, uint32_t leader, int64_t now)
 {
   if (term > raft->term)
-    raft_enter_term (raft, term, 0);
+    raft_record_vote (raft, term, 0);
   raft->role = ROLE_FOLLOWER;
   raft->leader = leader;
   if (leader)
@@ -159,7 +159,7 @@
 static void
 take_snapshot (Raft *raft)
 {
-  uint64_t most = raft->conf.log_most ? raft->conf.log_most : RAFT_LOG_MOST;
+  uint64_t most = raft->conf.snapshot_after ? raft->conf.snapshot_after : RAFT_SNAPSHOT_AFTER;
 
   uint64_t tail = MIN (KEEP_TAIL, most);
 
@@ -177,7 +177,7 @@
   g_byte_array_unref (state);
   raft->synced = rlog_last (&raft->log);
   if (first > tail)
-    rlog_cut (&raft->log, raft->applied - tail);
+    rlog_drop_prefix (&raft->log, raft->applied - tail);
 }
 
 void
@@ -187,7 +187,7 @@
     {
       MsgEntry *entry = rlog_entry (&raft->log, raft->applied + 1);
       MsgOp op = { 0 };
-      StateVerdict verdict;
+      StateResult verdict;
 
       if (entry == NULL)
         return;
@@ -215,7 +215,7 @@
   out->incarnation = raft->incarnation;
   out->ok = ok;
   out->match = match;
-  raft_post (raft, to, &msg);
+  raft_queue_after_sync (raft, to, &msg);
 }
 
 static void
@@ -250,7 +250,7 @@
       answer_append (raft, from, append->round, false, 0);
       return;
     }
-  raft_follow (raft, append->term, from, now);
+  raft_become_follower (raft, append->term, from, now);
   raft->leader_heard = now;
   uint64_t prev = append->prev_index;
   bool fits
@@ -281,7 +281,7 @@
       answer_append (raft, from, snapshot->round, false, 0);
       return;
     }
-  raft_follow (raft, snapshot->term, from, now);
+  raft_become_follower (raft, snapshot->term, from, now);
   raft->leader_heard = now;
   /* Failure: a late snapshot replaces a log that holds more. Symptom: entries that this voter has
    * acknowledged are gone and a majority no longer holds them. A log that has the snapshot's last
@@ -366,7 +366,7 @@
   raft->vote_synced = true;
   rlog_init (&raft->log);
   for (unsigned i = 0; i < conf->count; i++)
-    raftset_meet (raft, conf->voters[i]);
+    raftset_add_peer (raft, conf->voters[i]);
   FtStatus status = wal_open (disk, &raft->wal, &from, error);
   if (status == FT_OK)
     load (raft, &from, error, &status);
@@ -375,11 +375,11 @@
   if (status == FT_OK && new_folder)
     {
       raft->incarnation = ft_random_next (random) | 1;
-      status = wal_identify (raft->wal, raft->incarnation);
+      status = wal_write_identity (raft->wal, raft->incarnation);
       if (status != FT_OK)
         ft_error_set (error, status, 0, "ident", "cannot be written");
     }
-  raftset_meet_voters (raft);
+  raftset_add_voters (raft);
   begin_timers (raft, new_folder, now);
   *out = raft;
   if (status != FT_OK)
@@ -408,7 +408,7 @@
 raft_receive (Raft *raft, uint32_t from, const Msg *msg)
 {
   int64_t now = ft_clock_now (raft->clock);
-  Peer *peer = raft->conf.found ? raftset_meet (raft, from) : raftset_find (raft, from);
+  Peer *peer = raft->conf.found ? raftset_add_peer (raft, from) : raftset_find_peer (raft, from);
 
   if (peer == NULL || raft->broken)
     return;
@@ -416,16 +416,16 @@
   switch (msg->kind)
     {
     case MSG_VOTE:
-      raftvote_on_vote (raft, from, &msg->Msg_u.vote, now);
+      raftvote_on_request (raft, from, &msg->Msg_u.vote, now);
       break;
     case MSG_VOTED:
-      raftvote_on_voted (raft, peer, &msg->Msg_u.voted, now);
+      raftvote_on_reply (raft, peer, &msg->Msg_u.voted, now);
       break;
     case MSG_APPEND:
       on_append (raft, from, &msg->Msg_u.append, now);
       break;
     case MSG_APPENDED:
-      raftlead_on_appended (raft, peer, &msg->Msg_u.appended, now);
+      raftlead_on_append_reply (raft, peer, &msg->Msg_u.appended, now);
       break;
     case MSG_SNAPSHOT:
       on_snapshot (raft, from, &msg->Msg_u.snapshot, now);
@@ -434,8 +434,8 @@
       raftset_on_blank (raft, peer, &msg->Msg_u.blank, now);
       break;
     case MSG_STAND:
-      if (raft_in_config (raft) && raft->role == ROLE_FOLLOWER && from == raft->leader)
-        raftvote_stand (raft, false, true, now);
+      if (raft_is_voter (raft) && raft->role == ROLE_FOLLOWER && from == raft->leader)
+        raftvote_start_election (raft, false, true, now);
       break;
     default:
       break;
@@ -449,13 +449,13 @@
 
   if (raft->broken)
     return;
-  raftset_meet_voters (raft);
+  raftset_add_voters (raft);
   if (rlog_last (&raft->log) == 0)
     raftset_tick_blank (raft, now);
   else if (raft->role == ROLE_LEADER)
     raftlead_tick (raft, now);
-  else if (now >= raft->election_at && raft_in_config (raft))
-    raftvote_stand (raft, true, false, now);
+  else if (now >= raft->election_at && raft_is_voter (raft))
+    raftvote_start_election (raft, true, false, now);
   else if (now >= raft->election_at)
     raftset_tick_blank (raft, now); /* a learner that nobody feeds makes itself known */
 }
@@ -481,7 +481,7 @@
   check_disk (raft, wal_sync (raft->wal));
   int64_t now = ft_clock_now (raft->clock);
   raft->election_at += now - began;
-  raft_wait_note (&raft->own_syncs, now - began, now);
+  raft_recent_max_add (&raft->own_syncs, now - began, now);
 }
 
 static void
@@ -503,7 +503,7 @@
   raft->vote_synced = true;
   raft->synced = rlog_last (&raft->log);
   raftvote_on_synced (raft, ft_clock_now (raft->clock));
-  raftlead_advance (raft); /* counts the own copy, alone enough when there is one voter */
+  raftlead_advance_commit (raft); /* counts the own copy, alone enough when there is one voter */
   if (raft->broken)
     return;
   send_box (raft, raft->outbox);
@@ -521,10 +521,10 @@
 }
 
 void
-raft_meet (Raft *raft, uint32_t id)
+raft_add_peer (Raft *raft, uint32_t id)
 {
   if (raft->conf.found)
-    raftset_meet (raft, id);
+    raftset_add_peer (raft, id);
 }
 
 unsigned
@@ -568,7 +568,7 @@
 }
 
 bool
-raft_broken (const Raft *raft)
+raft_storage_failed (const Raft *raft)
 {
   return raft->broken;
 }
@@ -576,5 +576,5 @@
 bool
 raft_is_member (const Raft *raft)
 {
-  return raft_in_config (raft);
+  return raft_is_voter (raft);
 }
--- a/src/raft.h
+++ b/src/raft.h
@@ -11,23 +11,23 @@
   /* The packed Msg is the receiver's to unref. Called from raft_flush only. */
   void (*send) (void *host, uint32_t to, GByteArray *msg);
   /* An operation was committed and applied to the state. */
-  void (*apply) (void *host, uint64_t index, const MsgOp *op, const StateVerdict *verdict);
+  void (*apply) (void *host, uint64_t index, const MsgOp *op, const StateResult *verdict);
 } RaftOps;
 
 typedef struct
 {
   uint32_t self;
-  const uint32_t *voters; /* ids of all voters, self among them; copied */
-  unsigned count;         /* 1 to FT_VOTERS_MOST */
-  uint64_t log_most;      /* entries applied before a snapshot is taken; 0: RAFT_LOG_MOST */
-  bool found;             /* members are found while running: voters names only those that form
-                             the first set, and any instance that asks may join */
-  bool may_form;          /* with found: the whole deployment starts for the first time */
-  unsigned least;         /* with found: a voter that is gone is dropped while more than so many are
-                             left; 0: never */
+  const uint32_t *voters;  /* ids of all voters, self among them; copied */
+  unsigned count;          /* 1 to FT_VOTERS_MOST */
+  uint64_t snapshot_after; /* entries applied before a snapshot is taken; 0: RAFT_SNAPSHOT_AFTER */
+  bool found;              /* members are found while running: voters names only those that form
+                              the first set, and any instance that asks may join */
+  bool may_bootstrap;      /* with found: the whole deployment starts for the first time */
+  unsigned least; /* with found: a voter that is gone is dropped while more than so many are
+                     left; 0: never */
 } RaftConf;
 
-#define RAFT_LOG_MOST 8192
+#define RAFT_SNAPSHOT_AFTER 8192
 
 /* Reads the voter's files. Fails with FT_CORRUPT and the place of the damage, or FT_IO. */
 FtStatus raft_new (const RaftConf *conf, FtClock *clock, FtRandom *random, FtDisk *disk,
@@ -38,11 +38,11 @@
 /* Call every 20 ms or so. */
 void raft_tick (Raft *raft);
 /* With found: id takes part, or wants to. */
-void raft_meet (Raft *raft, uint32_t id);
+void raft_add_peer (Raft *raft, uint32_t id);
 /* A leader steps down in favour of the voter that holds most; others do nothing. */
-void raft_hand_over (Raft *raft);
+void raft_transfer_leadership (Raft *raft);
 /* Until when raft_leading stays true if nothing more is heard; 0: not leading. */
-int64_t raft_leads_until (Raft *raft);
+int64_t raft_lease_until (Raft *raft);
 /* Ids of the voters that the log names, at most FT_VOTERS_MOST. Returns how many. */
 unsigned raft_voters (const Raft *raft, uint32_t *ids);
 /* FT_NOT_LEADER, FT_FULL while too much is uncommitted, or FT_OK with the operation's index. */
@@ -59,7 +59,7 @@
 uint64_t raft_commit (const Raft *raft);
 uint64_t raft_incarnation (const Raft *raft);
 /* Storage failed: the voter takes no part until it is restarted. */
-bool raft_broken (const Raft *raft);
+bool raft_storage_failed (const Raft *raft);
 /* A voter whose memory the log vouches for. */
 bool raft_is_member (const Raft *raft);
 
--- a/src/raftint.h
+++ b/src/raftint.h
@@ -85,58 +85,58 @@
 /* ---- raft.c ---- */
 
 /* Puts a message behind what the next sync makes lasting. */
-void raft_post (Raft *raft, uint32_t to, const Msg *msg);
+void raft_queue_after_sync (Raft *raft, uint32_t to, const Msg *msg);
 /* Puts a message that promises nothing of what is not synced yet before the next sync. */
-void raft_post_early (Raft *raft, uint32_t to, const Msg *msg);
-void raft_wait_note (Wait *wait, int64_t waited, int64_t now);
+void raft_queue_before_sync (Raft *raft, uint32_t to, const Msg *msg);
+void raft_recent_max_add (Wait *wait, int64_t waited, int64_t now);
 /* 0: none lately. */
-int64_t raft_wait_longest (const Wait *wait, int64_t now);
+int64_t raft_recent_max_get (const Wait *wait, int64_t now);
 FtStatus raft_append_op (Raft *raft, uint64_t term, const MsgOp *op);
 /* Writes the term and the vote down. */
-void raft_enter_term (Raft *raft, uint64_t term, uint32_t voted_for);
+void raft_record_vote (Raft *raft, uint64_t term, uint32_t voted_for);
 /* leader 0: unknown. */
-void raft_follow (Raft *raft, uint64_t term, uint32_t leader, int64_t now);
+void raft_become_follower (Raft *raft, uint64_t term, uint32_t leader, int64_t now);
 unsigned raft_majority (const RlogConfig *config);
 /* Is this voter, with the memory that it has, named in the newest set? */
-bool raft_in_config (const Raft *raft);
+bool raft_is_voter (const Raft *raft);
 /* Applies what is committed, and takes a snapshot when it is time. */
 void raft_apply_committed (Raft *raft);
 
 /* ---- Leading (raftlead.c) ---- */
 
 /* The election is won. */
-void raftlead_begin (Raft *raft, int64_t now);
+void raftlead_become_leader (Raft *raft, int64_t now);
 /* Entries and heartbeats to all. */
 void raftlead_broadcast (Raft *raft, int64_t now);
 /* Commits what a majority has synced. */
-void raftlead_advance (Raft *raft);
-void raftlead_on_appended (Raft *raft, Peer *peer, const MsgAppended *appended, int64_t now);
+void raftlead_advance_commit (Raft *raft);
+void raftlead_on_append_reply (Raft *raft, Peer *peer, const MsgAppended *appended, int64_t now);
 void raftlead_tick (Raft *raft, int64_t now);
 
 /* ---- Elections (raftvote.c) ---- */
 
 void raftvote_restart_timer (Raft *raft, int64_t now);
 /* pre: asks whether it would win, without a new term. handed_over: the leader asked it to stand. */
-void raftvote_stand (Raft *raft, bool pre, bool handed_over, int64_t now);
-void raftvote_on_vote (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now);
-void raftvote_on_voted (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now);
+void raftvote_start_election (Raft *raft, bool pre, bool handed_over, int64_t now);
+void raftvote_on_request (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now);
+void raftvote_on_reply (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now);
 /* The own vote lasts: it may decide. */
 void raftvote_on_synced (Raft *raft, int64_t now);
 
 /* ---- Who votes (raftset.c) ---- */
 
 /* NULL: unknown. */
-Peer *raftset_find (const Raft *raft, uint32_t id);
+Peer *raftset_find_peer (const Raft *raft, uint32_t id);
 /* Does the newest set of voters name id? */
-bool raftset_names (const Raft *raft, uint32_t id);
+bool raftset_is_voter (const Raft *raft, uint32_t id);
 /* The peer of that id, made if there is room; NULL: this voter itself, or no room. */
-Peer *raftset_meet (Raft *raft, uint32_t id);
+Peer *raftset_add_peer (Raft *raft, uint32_t id);
 /* Meets all voters that the log names. */
-void raftset_meet_voters (Raft *raft);
+void raftset_add_voters (Raft *raft);
 /* A leader's steps, at most one open at a time: the incarnations that are there are named, ... */
-void raftset_adjust (Raft *raft, int64_t now);
+void raftset_reconcile (Raft *raft, int64_t now);
 /* ... and one that is gone is dropped when enough others are heard. */
-void raftset_drop_gone (Raft *raft, int64_t now);
+void raftset_remove_dead (Raft *raft, int64_t now);
 void raftset_on_blank (Raft *raft, Peer *peer, const MsgBlank *blank, int64_t now);
 /* A voter without a log makes itself known, and forms the first set when it may. */
 void raftset_tick_blank (Raft *raft, int64_t now);
--- a/src/raftlead.c
+++ b/src/raftlead.c
@@ -25,7 +25,7 @@
   out->index_term = rlog_term (&raft->log, raft->applied);
   out->state.state_len = state->len;
   out->state.state_val = (char *) state->data;
-  raft_post_early (raft, peer->id, &msg);
+  raft_queue_before_sync (raft, peer->id, &msg);
   g_byte_array_unref (state);
   peer->next = raft->applied + 1;
 }
@@ -59,7 +59,7 @@
     }
   out->entries.entries_len = count;
   out->entries.entries_val = entries;
-  raft_post_early (raft, peer->id, &msg);
+  raft_queue_before_sync (raft, peer->id, &msg);
   peer->next += count; /* taken back when the peer says that it missed something */
 }
 
@@ -94,7 +94,7 @@
   for (unsigned i = 0; i < config->count; i++)
     {
       const MsgVoter *voter = &config->voters[i];
-      const Peer *peer = raftset_find (raft, voter->id);
+      const Peer *peer = raftset_find_peer (raft, voter->id);
       if (voter->id == raft->conf.self)
         values[i] = voter->incarnation == raft->incarnation ? own : 0;
       else if (peer && peer->incarnation == voter->incarnation)
@@ -117,7 +117,7 @@
 }
 
 void
-raftlead_advance (Raft *raft)
+raftlead_advance_commit (Raft *raft)
 {
   if (raft->role != ROLE_LEADER)
     return;
@@ -129,7 +129,7 @@
 }
 
 void
-raftlead_begin (Raft *raft, int64_t now)
+raftlead_become_leader (Raft *raft, int64_t now)
 {
   MsgOp noop = { .kind = MSG_OP_NOOP };
 
@@ -148,11 +148,11 @@
 }
 
 void
-raftlead_on_appended (Raft *raft, Peer *peer, const MsgAppended *appended, int64_t now)
+raftlead_on_append_reply (Raft *raft, Peer *peer, const MsgAppended *appended, int64_t now)
 {
   if (appended->term > raft->term)
     {
-      raft_follow (raft, appended->term, 0, now);
+      raft_become_follower (raft, appended->term, 0, now);
       return;
     }
   if (raft->role != ROLE_LEADER || appended->term != raft->term)
@@ -166,7 +166,7 @@
     {
       int64_t sent = raft->round_sent[appended->round % ROUNDS];
       peer->acked_sent = MAX (peer->acked_sent, sent);
-      raft_wait_note (&raft->answers, now - sent, now);
+      raft_recent_max_add (&raft->answers, now - sent, now);
     }
   if (appended->ok)
     {
@@ -174,7 +174,7 @@
       peer->next = MAX (peer->next, peer->match + 1);
       if (peer->next <= rlog_last (&raft->log))
         send_append (raft, peer);
-      raftlead_advance (raft);
+      raftlead_advance_commit (raft);
       return;
     }
   peer->next = CLAMP (appended->match + 1, peer->match + 1, rlog_last (&raft->log) + 1);
@@ -188,15 +188,15 @@
 {
   int64_t quorum = (int64_t) majority_of (raft, (uint64_t) now, peer_acked);
   int64_t wait
-      = raft_wait_longest (&raft->own_syncs, now) + raft_wait_longest (&raft->answers, now);
+      = raft_recent_max_get (&raft->own_syncs, now) + raft_recent_max_get (&raft->answers, now);
 
-  if (now - quorum > QUORUM_LOST + wait || !raft_in_config (raft))
+  if (now - quorum > QUORUM_LOST + wait || !raft_is_voter (raft))
     {
-      raft_follow (raft, raft->term, 0, now);
+      raft_become_follower (raft, raft->term, 0, now);
       return;
     }
-  raftset_adjust (raft, now);
-  raftset_drop_gone (raft, now);
+  raftset_reconcile (raft, now);
+  raftset_remove_dead (raft, now);
   if (now >= raft->heartbeat_at)
     raft->must_send = true;
 }
@@ -214,7 +214,7 @@
 }
 
 int64_t
-raft_leads_until (Raft *raft)
+raft_lease_until (Raft *raft)
 {
   if (!raft_leading (raft))
     return 0;
@@ -223,7 +223,7 @@
 }
 
 void
-raft_hand_over (Raft *raft)
+raft_transfer_leadership (Raft *raft)
 {
   Msg msg = { .kind = MSG_STAND };
   Peer *best = NULL;
@@ -235,12 +235,12 @@
     {
       Peer *peer = &raft->peers[i];
       bool heard = now - peer->acked_sent < ELECTION_LEAST;
-      if (raftset_names (raft, peer->id) && heard && (best == NULL || peer->match > best->match))
+      if (raftset_is_voter (raft, peer->id) && heard && (best == NULL || peer->match > best->match))
         best = peer;
     }
   if (best == NULL)
     return;
   /* It stops leading before it lets another stand: two never lead at once. */
-  raft_follow (raft, raft->term, 0, now);
-  raft_post (raft, best->id, &msg);
+  raft_become_follower (raft, raft->term, 0, now);
+  raft_queue_after_sync (raft, best->id, &msg);
 }
--- a/src/raftset.c
+++ b/src/raftset.c
@@ -23,7 +23,7 @@
                     elections, and before a second loss may follow (4 s) */
 
 Peer *
-raftset_find (const Raft *raft, uint32_t id)
+raftset_find_peer (const Raft *raft, uint32_t id)
 {
   for (unsigned i = 0; i < raft->peer_count; i++)
     if (raft->peers[i].id == id)
@@ -32,15 +32,15 @@
 }
 
 bool
-raftset_names (const Raft *raft, uint32_t id)
+raftset_is_voter (const Raft *raft, uint32_t id)
 {
   return rlog_config_incarnation (rlog_config (&raft->log), id) != 0;
 }
 
 Peer *
-raftset_meet (Raft *raft, uint32_t id)
+raftset_add_peer (Raft *raft, uint32_t id)
 {
-  Peer *peer = raftset_find (raft, id);
+  Peer *peer = raftset_find_peer (raft, id);
   int64_t now = ft_clock_now (raft->clock);
 
   if (peer || id == raft->conf.self || id == 0)
@@ -48,7 +48,7 @@
   if (raft->peer_count < PEERS_MOST)
     peer = &raft->peers[raft->peer_count++];
   for (unsigned i = 0; peer == NULL && i < raft->peer_count; i++)
-    if (!raftset_names (raft, raft->peers[i].id) && now - raft->peers[i].heard > GONE)
+    if (!raftset_is_voter (raft, raft->peers[i].id) && now - raft->peers[i].heard > GONE)
       peer = &raft->peers[i]; /* one that never came back makes room */
   if (peer)
     *peer = (Peer){ .id = id, .next = rlog_last (&raft->log) + 1, .heard = now };
@@ -58,12 +58,12 @@
 /* Failure: the log names voters that nobody has told this one of, after a restart with other
  * contacts. Symptom: it stands for election and asks nobody. */
 void
-raftset_meet_voters (Raft *raft)
+raftset_add_voters (Raft *raft)
 {
   const RlogConfig *config = rlog_config (&raft->log);
 
   for (unsigned i = 0; raft->conf.found && i < config->count; i++)
-    raftset_meet (raft, config->voters[i].id);
+    raftset_add_peer (raft, config->voters[i].id);
 }
 
 static void
@@ -78,7 +78,7 @@
 
 /* One step towards naming the incarnations that are really there; at most one change is open. */
 void
-raftset_adjust (Raft *raft, int64_t now)
+raftset_reconcile (Raft *raft, int64_t now)
 {
   RlogConfig config = *rlog_config (&raft->log);
 
@@ -107,7 +107,7 @@
  * dead a second loss stops the log. So the dead one is dropped, once the others that are heard
  * number at least conf.least: no majority needs it then. */
 void
-raftset_drop_gone (Raft *raft, int64_t now)
+raftset_remove_dead (Raft *raft, int64_t now)
 {
   RlogConfig config = *rlog_config (&raft->log);
   unsigned heard = 0, gone = config.count;
@@ -117,7 +117,7 @@
     return;
   for (unsigned i = 0; i < config.count; i++)
     {
-      const Peer *peer = raftset_find (raft, config.voters[i].id);
+      const Peer *peer = raftset_find_peer (raft, config.voters[i].id);
       if (config.voters[i].id == raft->conf.self
           || (peer && now - peer->acked_sent < ELECTION_LEAST))
         heard++;
@@ -142,7 +142,7 @@
   out->formed = rlog_last (&raft->log) > 0;
   out->voters.voters_len = config->index == 1 ? config->count : 0; /* as formed, or none */
   out->voters.voters_val = (MsgVoter *) config->voters;
-  raft_post (raft, to, &msg);
+  raft_queue_after_sync (raft, to, &msg);
 }
 
 static void
@@ -151,7 +151,7 @@
   RlogConfig config = { .count = count };
 
   memcpy (config.voters, voters, count * sizeof *voters);
-  raft_enter_term (raft, MAX (raft->term, 1), raft->voted_for);
+  raft_record_vote (raft, MAX (raft->term, 1), raft->voted_for);
   MsgOp op = { .kind = MSG_OP_VOTERS };
   op.MsgOp_u.voters.voters.voters_len = config.count;
   op.MsgOp_u.voters.voters.voters_val = config.voters;
@@ -165,12 +165,12 @@
   unsigned count = 1;
   bool named = false;
 
-  if (raft->conf.found && !raft->conf.may_form)
+  if (raft->conf.found && !raft->conf.may_bootstrap)
     return;
   for (unsigned i = 0; i < raft->conf.count; i++)
     {
       uint32_t id = raft->conf.voters[i];
-      const Peer *peer = raftset_find (raft, id);
+      const Peer *peer = raftset_find_peer (raft, id);
       named = named || id == raft->conf.self;
       if (id == raft->conf.self)
         continue;
--- a/src/raftvote.c
+++ b/src/raftvote.c
@@ -1,7 +1,7 @@
 /* raftvote.c - elections of a voter: asking for votes, first without a new term (pre-vote), and
  * giving them.
  *
- * A vote is written down before it is said (raft_enter_term), and given only to a log that is no
+ * A vote is written down before it is said (raft_record_vote), and given only to a log that is no
  * older than the own one; votes count for a pair of voter and incarnation of its data folder.
  *
  * Votes are asked for before the own one is synced, so that voters sync at the same time, but the
@@ -18,7 +18,7 @@
 void
 raftvote_restart_timer (Raft *raft, int64_t now)
 {
-  raft->election_at = now + ELECTION_LEAST + raft_wait_longest (&raft->own_syncs, now)
+  raft->election_at = now + ELECTION_LEAST + raft_recent_max_get (&raft->own_syncs, now)
                       + (int64_t) (ft_random_next (raft->random) % (uint64_t) ELECTION_SPREAD);
 }
 
@@ -37,7 +37,7 @@
   for (unsigned i = 0; i < raft->peer_count; i++)
     {
       raft->peers[i].granted = false;
-      raft_post_early (raft, raft->peers[i].id, &msg);
+      raft_queue_before_sync (raft, raft->peers[i].id, &msg);
     }
 }
 
@@ -49,7 +49,7 @@
   if (voter->id == raft->conf.self)
     return voter->incarnation == raft->incarnation
            && (pre || (raft->vote_synced && raft->voted_for == raft->conf.self));
-  peer = raftset_find (raft, voter->id);
+  peer = raftset_find_peer (raft, voter->id);
   return peer && peer->incarnation == voter->incarnation
          && (pre ? peer->granted : peer->vote_term == raft->term);
 }
@@ -68,7 +68,7 @@
 static void count_votes (Raft *raft, int64_t now);
 
 void
-raftvote_stand (Raft *raft, bool pre, bool handed_over, int64_t now)
+raftvote_start_election (Raft *raft, bool pre, bool handed_over, int64_t now)
 {
   raftvote_restart_timer (raft, now);
   if (pre)
@@ -79,7 +79,7 @@
   if (!pre)
     {
       raft->fresh = false;
-      raft_enter_term (raft, raft->term + 1, raft->conf.self);
+      raft_record_vote (raft, raft->term + 1, raft->conf.self);
       raft->stood_at = now;
     }
   ask_votes (raft, pre, handed_over);
@@ -92,9 +92,9 @@
   if (raft->role != ROLE_PRECANDIDATE && raft->role != ROLE_CANDIDATE)
     return;
   if (raft->led_term < raft->term && has_majority (raft, false))
-    raftlead_begin (raft, now);
+    raftlead_become_leader (raft, now);
   else if (raft->role == ROLE_PRECANDIDATE && has_majority (raft, true))
-    raftvote_stand (raft, false, false, now);
+    raftvote_start_election (raft, false, false, now);
 }
 
 void
@@ -113,7 +113,7 @@
 }
 
 void
-raftvote_on_vote (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now)
+raftvote_on_request (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now)
 {
   Msg msg = { .kind = MSG_VOTED };
   MsgVoted *out = &msg.Msg_u.voted;
@@ -126,7 +126,7 @@
              && (now - raft->leader_heard < ELECTION_LEAST
                  || (raft->role == ROLE_LEADER && raft_leading (raft)));
   if (!led && vote->term > raft->term && !vote->pre)
-    raft_follow (raft, vote->term, 0, now);
+    raft_become_follower (raft, vote->term, 0, now);
   if (led)
     granted = false;
   else if (vote->pre)
@@ -136,25 +136,25 @@
     {
       granted = true;
       raft->fresh = false;
-      raft_enter_term (raft, raft->term, from);
+      raft_record_vote (raft, raft->term, from);
       raftvote_restart_timer (raft, now);
     }
   out->pre = vote->pre;
   out->term = granted && vote->pre ? vote->term : raft->term;
   out->incarnation = raft->incarnation;
   out->granted = granted;
-  raft_post (raft, from, &msg);
+  raft_queue_after_sync (raft, from, &msg);
 }
 
 void
-raftvote_on_voted (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now)
+raftvote_on_reply (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now)
 {
   uint64_t wanted = voted->pre ? raft->term + 1 : raft->term;
 
   peer->incarnation = voted->incarnation;
   if (!voted->granted && voted->term > raft->term)
     {
-      raft_follow (raft, voted->term, 0, now);
+      raft_become_follower (raft, voted->term, 0, now);
       return;
     }
   if (!voted->granted || voted->term != wanted)
@@ -164,7 +164,7 @@
   else
     {
       peer->vote_term = voted->term;
-      raft_wait_note (&raft->answers, now - raft->stood_at, now);
+      raft_recent_max_add (&raft->answers, now - raft->stood_at, now);
     }
   count_votes (raft, now);
 }
--- a/src/rlog.c
+++ b/src/rlog.c
@@ -72,7 +72,7 @@
 }
 
 void
-rlog_cut (Rlog *log, uint64_t index)
+rlog_drop_prefix (Rlog *log, uint64_t index)
 {
   log->base_term = rlog_term (log, index);
   g_ptr_array_remove_range (log->entries, 0, (guint) (index - log->base));
--- a/src/rlog.h
+++ b/src/rlog.h
@@ -26,7 +26,7 @@
 void rlog_append (Rlog *log, MsgEntry *entry);
 void rlog_truncate (Rlog *log, uint64_t from);
 /* Drops entries up to index. */
-void rlog_cut (Rlog *log, uint64_t index);
+void rlog_drop_prefix (Rlog *log, uint64_t index);
 uint64_t rlog_last (const Rlog *log);
 uint64_t rlog_last_term (const Rlog *log);
 /* 0 for an index that the log does not hold. */
--- a/src/state.c
+++ b/src/state.c
@@ -131,11 +131,11 @@
   return digest;
 }
 
-static void say (StateVerdict *verdict, FtStatus status, uint64_t revision, const char *format, ...)
+static void say (StateResult *verdict, FtStatus status, uint64_t revision, const char *format, ...)
     G_GNUC_PRINTF (4, 5);
 
 static void
-say (StateVerdict *verdict, FtStatus status, uint64_t revision, const char *format, ...)
+say (StateResult *verdict, FtStatus status, uint64_t revision, const char *format, ...)
 {
   va_list args;
 
@@ -159,7 +159,7 @@
 }
 
 static void
-judge_change (State *state, const MsgChange *change, StateVerdict *verdict)
+judge_change (State *state, const MsgChange *change, StateResult *verdict)
 {
   FtError error;
   FtCat *cat = NULL;
@@ -191,7 +191,7 @@
 }
 
 static void
-apply_change (State *state, const MsgChange *change, StateVerdict *verdict)
+apply_change (State *state, const MsgChange *change, StateResult *verdict)
 {
   char *digest = change_digest (change);
   MsgRevision *known = g_hash_table_lookup (state->by_change, change->change_id);
@@ -246,7 +246,7 @@
 }
 
 static void
-apply_claim (State *state, const MsgClaim *claim, StateVerdict *verdict)
+apply_claim (State *state, const MsgClaim *claim, StateResult *verdict)
 {
   expire_claims (state, claim->wall_ms);
   MsgClaimState *known = g_hash_table_lookup (state->claims, claim->key);
@@ -303,7 +303,7 @@
 }
 
 static void
-apply_claim_done (State *state, const MsgClaimDone *done, StateVerdict *verdict)
+apply_claim_done (State *state, const MsgClaimDone *done, StateResult *verdict)
 {
   say (verdict, FT_OK, state->revision, "%s", done->key);
   if (done->key[0] == '\0')
@@ -330,7 +330,7 @@
 }
 
 static void
-apply_lease (State *state, uint64_t index, const MsgLease *lease, StateVerdict *verdict)
+apply_lease (State *state, uint64_t index, const MsgLease *lease, StateResult *verdict)
 {
   MsgLease *copy = copy_of (CODEC (MsgLease), lease, sizeof *lease);
 
@@ -358,7 +358,7 @@
 /* Failure: a lower number arrives late, sent again or by another operator. Symptom: what is in
  * force reverts. The highest number wins, in whatever order they come. */
 static void
-apply_document (State *state, const MsgDocument *document, StateVerdict *verdict)
+apply_document (State *state, const MsgDocument *document, StateResult *verdict)
 {
   if (document->number > state->document.number)
     {
@@ -371,7 +371,7 @@
 }
 
 void
-state_apply (State *state, uint64_t index, const MsgOp *op, StateVerdict *verdict)
+state_apply (State *state, uint64_t index, const MsgOp *op, StateResult *verdict)
 {
   say (verdict, FT_OK, state->revision, "%s", "");
   switch (op->kind)
@@ -581,7 +581,7 @@
 }
 
 FtCat *
-state_cat (const State *state)
+state_parsed_catalogue (const State *state)
 {
   return state->cat;
 }
@@ -648,7 +648,7 @@
 }
 
 bool
-state_claim_of_older (const State *state, uint32_t entry, uint64_t incarnation, uint64_t *older)
+state_claim_of_other (const State *state, uint32_t entry, uint64_t incarnation, uint64_t *older)
 {
   GHashTableIter iter;
   void *data;
--- a/src/state.h
+++ b/src/state.h
@@ -14,19 +14,19 @@
   FtStatus status;
   uint64_t revision;
   char text[1024];
-} StateVerdict;
+} StateResult;
 
 State *state_new (void);
 void state_free (State *state);
 /* Deterministic: the same operations in the same order give the same state and verdicts. */
-void state_apply (State *state, uint64_t index, const MsgOp *op, StateVerdict *verdict);
+void state_apply (State *state, uint64_t index, const MsgOp *op, StateResult *verdict);
 GByteArray *state_capture (const State *state);
 FtStatus state_restore (State *state, const void *data, size_t size);
 
 uint64_t state_revision (const State *state);
 const char *state_catalogue (const State *state);
 /* The catalogue in force, parsed; borrowed, NULL before the first change. */
-FtCat *state_cat (const State *state);
+FtCat *state_parsed_catalogue (const State *state);
 /* Epoch of the newest lease of any pool. */
 uint64_t state_epoch (const State *state);
 /* Borrowed; NULL: nobody has held it. */
@@ -42,7 +42,7 @@
 const MsgClaimState *state_claim (const State *state, const char *key);
 unsigned state_claim_count (const State *state);
 /* Is there a running claim of this entry whose incarnation differs from current? */
-bool state_claim_of_older (const State *state, uint32_t entry, uint64_t incarnation,
+bool state_claim_of_other (const State *state, uint32_t entry, uint64_t incarnation,
                            uint64_t *older);
 const MsgRecord *state_refusal (const State *state, const char *id);
 const GPtrArray *state_history (const State *state); /* MsgRevision *, oldest first */
--- a/src/wal.c
+++ b/src/wal.c
@@ -329,7 +329,7 @@
 }
 
 FtStatus
-wal_identify (Wal *wal, uint64_t incarnation)
+wal_write_identity (Wal *wal, uint64_t incarnation)
 {
   GByteArray *payload = g_byte_array_new (), *file = g_byte_array_new ();
 
--- a/src/wal.h
+++ b/src/wal.h
@@ -26,7 +26,7 @@
 void wal_state_clear (WalState *state);
 void wal_free (Wal *wal);
 /* Makes the folder's identity durable at once. */
-FtStatus wal_identify (Wal *wal, uint64_t incarnation);
+FtStatus wal_write_identity (Wal *wal, uint64_t incarnation);
 /* These last only once wal_sync returned FT_OK. After a failure the wal refuses all writes. */
 FtStatus wal_vote (Wal *wal, uint64_t term, uint32_t voted_for);
 FtStatus wal_entry (Wal *wal, const MsgEntry *entry);
--- a/test/blame.c
+++ b/test/blame.c
@@ -150,7 +150,7 @@
   State *state = state_new (), *later = state_new ();
   u_quad_t contents[] = { KILLER, INNOCENT };
   MsgOp op = { .kind = MSG_OP_ENDED };
-  StateVerdict verdict;
+  StateResult verdict;
 
   op.MsgOp_u.ended = (MsgEnded){ (char *) "s", 10, { 2, contents } };
   state_apply (state, 1, &op, &verdict);
@@ -177,7 +177,7 @@
 {
   State *state = state_new (), *later = state_new ();
   MsgOp op = { .kind = MSG_OP_DOCUMENT };
-  StateVerdict verdict;
+  StateResult verdict;
   unsigned held;
 
   op.MsgOp_u.document.number = 3;
--- a/test/found.c
+++ b/test/found.c
@@ -166,7 +166,7 @@
 }
 
 static void
-on_apply (void *host, uint64_t index, const MsgOp *op, const StateVerdict *verdict)
+on_apply (void *host, uint64_t index, const MsgOp *op, const StateResult *verdict)
 {
   (void) host;
   (void) index;
@@ -183,9 +183,9 @@
   RaftConf conf = { .self = voter->id,
                     .voters = seeds,
                     .count = 3,
-                    .log_most = 8,
+                    .snapshot_after = 8,
                     .found = true,
-                    .may_form = first,
+                    .may_bootstrap = first,
                     .least = 3 };
   FtError error = { 0 };
 
@@ -201,7 +201,7 @@
   lose_in_syncs = lose;
   for (unsigned i = 0; i < IDS; i++)
     if (voters[i].exists)
-      raft_meet (voter->raft, voters[i].id); /* as views of other voters tell */
+      raft_add_peer (voter->raft, voters[i].id); /* as views of other voters tell */
 }
 
 static void
--- a/test/publish.c
+++ b/test/publish.c
@@ -84,7 +84,7 @@
                         .slots = 4 };
 
   g_array_append_val (list, server);
-  g_assert_true (servers_take_read (servers, list, loop_now (loop)));
+  g_assert_true (servers_apply_read (servers, list, loop_now (loop)));
   g_array_unref (list);
 }
 
@@ -92,7 +92,7 @@
 begin (unsigned count)
 {
   uint32_t self = 0x7f000001;
-  VoterConf conf = { .self = self, .seeds = &self, .seed_count = 1, .may_form = true };
+  VoterConf conf = { .self = self, .seeds = &self, .seed_count = 1, .may_bootstrap = true };
 
   loops = g_thread_self ();
   g_atomic_int_set (&reads, 0);
--- a/test/rollout.c
+++ b/test/rollout.c
@@ -81,7 +81,7 @@
 {
   State *state = state_new (), *later = state_new ();
   MsgOp start = { .kind = MSG_OP_ROLLOUT_START }, step = { .kind = MSG_OP_ROLLOUT_STEP };
-  StateVerdict verdict;
+  StateResult verdict;
 
   start.MsgOp_u.rollout_start
       = (MsgRolloutStart){ (char *) "s", (char *) "v2", (char *) "v1", 12000, 0 };
@@ -115,7 +115,7 @@
   State *state = state_new (), *later = state_new ();
   MsgOp op = { .kind = MSG_OP_ENDED };
   uint64_t content = 77;
-  StateVerdict verdict;
+  StateResult verdict;
 
   op.MsgOp_u.ended.server = (char *) "i";
   op.MsgOp_u.ended.contents.contents_len = 1;
@@ -406,14 +406,14 @@
 
 static void
 on_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
-          int64_t rest_most)
+          int64_t max_idle_us)
 {
   Pool *pool = host;
 
   (void) owner;
   (void) request;
   (void) org;
-  (void) rest_most;
+  (void) max_idle_us;
   g_strlcpy (pool->last, server, sizeof pool->last);
   pool->granted[server[1] - '0']++;
 }
@@ -446,7 +446,7 @@
 }
 
 static void
-on_judged (void *host, const SchedJudged *judged)
+on_judged (void *host, const SchedVerdict *judged)
 {
   Pool *pool = host;
 
@@ -474,7 +474,7 @@
   for (unsigned i = 0; i < 4; i++)
     if (listed >> i & 1)
       list[count++] = (SchedServer){ ids[i], "s", "d", pool->slots, false, 0, i < 2 ? "v1" : "v2" };
-  sched_list (pool->sched, list, count);
+  sched_set_servers (pool->sched, list, count);
 }
 
 static Pool *
@@ -485,7 +485,7 @@
   pool->clock = test_clock ();
   pool->slots = 4;
   pool->sched = sched_new (&pool->clock.base, &sched_ops, pool);
-  sched_service (pool->sched, "s", &(SchedServiceConf){ 0 });
+  sched_set_service (pool->sched, "s", &(SchedServiceConf){ 0 });
   list_servers (pool, listed);
   return pool;
 }
@@ -526,7 +526,7 @@
       SchedResult result = { .outcome = SCHED_OK, .answer_us = took_us };
       ask_one (pool, ++number);
       pool->clock.now += took_us;
-      sched_first (pool->sched, 1, number, took_us);
+      sched_first_event (pool->sched, 1, number, took_us);
       sched_done (pool->sched, 1, number, &result);
       sched_tick (pool->sched);
     }
@@ -576,7 +576,7 @@
       g_snprintf (ids[i], sizeof ids[i], "%c0-%u", i < ODD ? 's' : 't', i);
       list[i] = (SchedServer){ ids[i], "s", "d", 4, false, 0, i < ODD ? "v0" : "v1" };
     }
-  sched_list (pool->sched, list, MANY);
+  sched_set_servers (pool->sched, list, MANY);
   SchedServiceStats stats;
   sched_service_stats (pool->sched, "s", &stats);
   g_assert_cmpstr (stats.in_use, ==, "v1");
@@ -595,14 +595,14 @@
   Pool *pool = pool_new (15);
   SchedVersions trial = { "v1", "v2", "v2", 0.1, 1000, false, true };
 
-  sched_versions (pool->sched, "s", &trial);
+  sched_set_versions (pool->sched, "s", &trial);
   run_many (pool, 400, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), >=, 38);
   g_assert_cmpuint (granted_new (pool), <=, 40);
   g_assert_cmpuint (pool->granted[2], >=, 15);
   g_assert_cmpuint (pool->granted[3], >=, 15);
   trial.left = 3;
-  sched_versions (pool->sched, "s", &trial);
+  sched_set_versions (pool->sched, "s", &trial);
   run_many (pool, 400, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), ==, 3);
   g_assert_cmpuint (pool->judged, ==, 800);
@@ -617,10 +617,10 @@
 {
   Pool *pool = pool_new (15);
 
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, false });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, false });
   run_many (pool, 20, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), ==, 20);
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, false, false });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, false, false });
   run_many (pool, 20, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), ==, 0);
   list_servers (pool, 12);
@@ -636,7 +636,7 @@
 {
   Pool *pool = pool_new (15);
 
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, true, false });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, true, false });
   run_many (pool, 20, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), ==, 0);
   list_servers (pool, 12);
@@ -652,10 +652,10 @@
 {
   Pool *pool = pool_new (15);
 
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0.1, 0, false, true });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0.1, 0, false, true });
   run_many (pool, 100, 40 * FT_MS);
   g_assert_cmpuint (pool->judged_bad, ==, 0);
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
   run_many (pool, 10, 200 * FT_MS);
   g_assert_cmpuint (pool->judged_bad, ==, 10);
   ask_one (pool, 9000);
@@ -676,14 +676,14 @@
   SchedResult slow = { .outcome = SCHED_OK, .event_us = 100 * FT_MS };
   SchedAsk old = { .owner = 1, .request = 50, .service = "s", .org = "o" };
 
-  sched_service (pool->sched, "s", &(SchedServiceConf){ .engine = true, .stride = 1 });
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
+  sched_set_service (pool->sched, "s", &(SchedServiceConf){ .engine = true, .stride = 1 });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
   sched_adopt (pool->sched, &old, "s0");
   sched_tick (pool->sched);
   for (uint64_t number = 1; number <= 10; number++)
     {
       ask_one (pool, number);
-      sched_first (pool->sched, 1, number, 300 * FT_MS);
+      sched_first_event (pool->sched, 1, number, 300 * FT_MS);
       sched_done (pool->sched, 1, number, &usual);
     }
   g_assert_cmpuint (pool->judged, ==, 10);
@@ -716,7 +716,8 @@
   Pool *pool = pool_new (13);
   uint64_t number = 0;
 
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0.1, 100, false, true });
+  sched_set_versions (pool->sched, "s",
+                      &(SchedVersions){ "v1", "v2", "v2", 0.1, 100, false, true });
   while (number < 50 * ROUTES)
     {
       number++;
@@ -725,7 +726,7 @@
   for (unsigned i = 0; i < 10; i++)
     answer_in (pool, ++number * ROUTES + 1, 20 * FT_MS);
   unsigned bad = pool->judged_bad;
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
   for (unsigned i = 0; i < 10; i++)
     answer_in (pool, ++number * ROUTES, 160 * FT_MS);
   g_assert_cmpuint (pool->judged_bad, ==, bad);
@@ -795,7 +796,7 @@
       && now >= (engine ? sent->sent_at + (sent->due_at - sent->sent_at) / 5 : sent->due_at))
     {
       sent->first_at = now;
-      sched_first (pool->sched, 1, sent->number, took);
+      sched_first_event (pool->sched, 1, sent->number, took);
     }
   if (now < sent->due_at)
     return;
@@ -827,10 +828,10 @@
 
   pool->slots = UNDER_WAY / 4;
   pool->prompt_tokens = play->engine ? PROMPT : 0;
-  sched_service (pool->sched, "s", &(SchedServiceConf){ .engine = play->engine, .stride = 1 });
+  sched_set_service (pool->sched, "s", &(SchedServiceConf){ .engine = play->engine, .stride = 1 });
   list_servers (pool, 15);
   SchedVersions trial = { "v1", "v2", "v2", 0, 10000, false, true };
-  sched_versions (pool->sched, "s", &trial);
+  sched_set_versions (pool->sched, "s", &trial);
   pool->judge = judge_new (&pool->clock.base, JUDGE_CUSUM);
   judge_set_servers (pool->judge, 2);
   for (int64_t at = 0, asked = 0; at < PLAYED && facts.suspicion < 1; at += FT_MS)
@@ -839,7 +840,7 @@
       if (at == ORDER_AT)
         {
           trial.share = play->share;
-          sched_versions (pool->sched, "s", &trial);
+          sched_set_versions (pool->sched, "s", &trial);
         }
       for (unsigned i = 0; i < UNDER_WAY; i++)
         if (sent[i].number)
--- a/test/stall.c
+++ b/test/stall.c
@@ -145,7 +145,7 @@
 }
 
 static void
-on_apply (void *host, uint64_t index, const MsgOp *op, const StateVerdict *verdict)
+on_apply (void *host, uint64_t index, const MsgOp *op, const StateResult *verdict)
 {
   (void) host;
   (void) index;
@@ -163,7 +163,7 @@
                     .voters = ids,
                     .count = voter_count,
                     .found = true,
-                    .may_form = true,
+                    .may_bootstrap = true,
                     .least = voter_count };
   FtError error = { 0 };
 
@@ -226,7 +226,7 @@
   receive (voter);
   raft_tick (voter->raft);
   raft_flush (voter->raft);
-  voter->proved_until = raft_leads_until (voter->raft);
+  voter->proved_until = raft_lease_until (voter->raft);
 }
 
 static void
--- a/test/witness.c
+++ b/test/witness.c
@@ -284,7 +284,7 @@
 begin_voter (void)
 {
   uint32_t self = 0x7f000001;
-  VoterConf conf = { .self = self, .seeds = &self, .seed_count = 1, .may_form = true };
+  VoterConf conf = { .self = self, .seeds = &self, .seed_count = 1, .may_bootstrap = true };
 
   begin_loop (MESH_VOTER);
   folder = g_dir_make_tmp ("suspects-XXXXXX", NULL);
