--- a/node/entry.c
+++ b/node/entry.c
@@ -37,10 +37,10 @@
   Place *place;
   RetryBudget *budget;
   Servers *servers;
-  RouteVersions *versions;
+  EntryVersions *versions;
   Reader *reader;
   Requests *requests;
-  Witness *witness;
+  CrashReporter *witness;
   RtCat *cat;
   GBytes *text; /* the text of cat, to which deltas are applied */
   LoopTimer tick;
@@ -242,7 +242,7 @@
   else if (entry->newest_from == peer)
     entry->newest_version = 0;
   if (view->proved || entry->newest_version == 0)
-    witness_voter (entry->witness, view->proved ? peer : NULL);
+    crashrep_set_voter (entry->witness, view->proved ? peer : NULL);
   if (view->proved && view->entries > 0)
     {
       entry->entries = view->entries;
@@ -306,10 +306,10 @@
                           servers_apply_message (entry->servers, &msg->MeshMsg_u.list, now));
       break;
     case MESH_ROLLOUTS:
-      versions_take (entry->versions, &msg->MeshMsg_u.rollouts);
+      versions_update (entry->versions, &msg->MeshMsg_u.rollouts);
       break;
     default:
-      if (!witness_message (entry->witness, peer, msg))
+      if (!crashrep_message (entry->witness, peer, msg))
         place_message (entry->place, peer, msg);
       break;
     }
@@ -324,7 +324,7 @@
         JL_MS ("silent_ms", loop_now (entry->loop) - peer->heard));
   if (entry->newest_from == peer)
     entry->newest_version = 0;
-  witness_down (entry->witness, peer);
+  crashrep_peer_down (entry->witness, peer);
   place_link_down (entry->place, peer);
 }
 
@@ -463,7 +463,7 @@
           JL_MS ("list_age_ms", now - servers_asked_at (entry->servers)));
   entry->was_ready = ready;
   read_list_if_old (entry, now);
-  witness_tick (entry->witness);
+  crashrep_tick (entry->witness);
   mesh_each (entry->mesh, send_keep_alive, entry);
   close_idle_when_leaving (entry, now);
   if (entry->leaving_since && may_stop (entry, now))
@@ -538,7 +538,7 @@
       place_scheduler_name (entry->place),
       (double) (loop_now (entry->loop) - servers_asked_at (entry->servers)) / 1e6);
   describe_memory (entry, out);
-  witness_describe (entry->witness, out);
+  crashrep_describe (entry->witness, out);
   mesh_describe (entry->mesh, out);
   g_string_append (out, "# servers as this entry sees them\n");
   g_string_append (out, servers);
@@ -557,7 +557,7 @@
   mesh_free (entry->mesh);
   reader_free (entry->reader);
   requests_free (entry->requests);
-  witness_free (entry->witness);
+  crashrep_free (entry->witness);
   versions_free (entry->versions);
   place_free (entry->place);
   hcli_free (entry->cli);
@@ -580,7 +580,7 @@
     return FT_IO;
   entry->place = place_new (entry->loop, entry->mesh, s->ip, &place_ops, entry);
   instance_broker (s, place_own_broker (entry->place), false);
-  entry->witness = witness_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
+  entry->witness = crashrep_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
   entry->versions = versions_new (place_own_broker (entry->place));
   RequestsConf conf = { entry->loop,   entry->seam,    entry->cli,     entry->place,
                         entry->budget, entry->servers, entry->witness, entry->versions };
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -93,7 +93,7 @@
   count_inc (COUNT_QUARANTINED);
   jlog (JLOG_INFO, "decision", req->id, JL_TEXT ("reason", why),
         JL_TEXT ("content", content_format (req->content, content)), JL_INT ("ends", verdict->ends),
-        JL_MS ("known_ms", verdict->known_us), JL_TEXT ("by", "entry"));
+        JL_MS ("known_ms", verdict->blocked_for_us), JL_TEXT ("by", "entry"));
   if (req->begun)
     req_break_off (req, why);
   else if (req->may_have_run)
@@ -105,12 +105,12 @@
 void
 req_ask (Req *req)
 {
-  QuarVerdict verdict = witness_judge (req->requests->conf.witness, req->content);
+  QuarVerdict verdict = crashrep_check (req->requests->conf.witness, req->content);
 
-  if (verdict.state == QUAR_HELD)
+  if (verdict.state == QUAR_BLOCKED)
     end_as_quarantined (req, &verdict);
-  else if (verdict.state == QUAR_SETTLES)
-    loop_timer_set (req->requests->conf.loop, &req->verdict_wait, verdict.settles_at);
+  else if (verdict.state == QUAR_RECHECK)
+    loop_timer_set (req->requests->conf.loop, &req->verdict_wait, verdict.recheck_at);
   else
     ask (req);
 }
@@ -124,7 +124,7 @@
 static bool
 is_quarantined (const Req *req)
 {
-  return witness_judge (req->requests->conf.witness, req->content).state >= QUAR_SETTLES;
+  return crashrep_check (req->requests->conf.witness, req->content).state >= QUAR_RECHECK;
 }
 
 /* Withdraws the open ask, with the place if one was granted, and asks again. */
@@ -174,7 +174,8 @@
   const SeamServer *held = servers_find (requests->conf.servers, id);
 
   if (held)
-    return held->leaving || versions_bar (requests->conf.versions, held->service, held->version);
+    return held->leaving
+           || versions_is_blocked (requests->conf.versions, held->service, held->version);
   return servers_asked_at (requests->conf.servers) > listed_at;
 }
 
--- a/node/reqint.h
+++ b/node/reqint.h
@@ -7,7 +7,7 @@
 #include "patience.h"
 #include "requests.h"
 #include "retry.h"
-#include "witness.h"
+#include "crashrep.h"
 
 #define EVENT_TIMEOUT                                                                              \
   (1200 * FT_MS) /* between two events: longer than the prefill of a long prompt stalls the        \
--- a/node/requests.c
+++ b/node/requests.c
@@ -66,7 +66,7 @@
                        .most_sends = req->route->attempts,
                        .unreached = req->unreached,
                        .left_us = req->deadline - req_now (req),
-                       .suspect = witness_judge (requests->conf.witness, req->content).ends > 0,
+                       .suspect = crashrep_check (requests->conf.witness, req->content).ends > 0,
                        .budget = true };
   RetryStep step = retry_next (event, &facts);
 
--- a/node/requests.h
+++ b/node/requests.h
@@ -9,7 +9,7 @@
 #include "place.h"
 #include "servers.h"
 #include "versions.h"
-#include "witness.h"
+#include "crashrep.h"
 
 typedef struct Requests Requests;
 
@@ -21,8 +21,8 @@
   Place *place;
   RetryBudget *budget;
   const Servers *servers;
-  Witness *witness;
-  const RouteVersions *versions;
+  CrashReporter *witness;
+  const EntryVersions *versions;
 } RequestsConf;
 
 Requests *requests_new (const RequestsConf *conf);
--- a/node/try.c
+++ b/node/try.c
@@ -254,7 +254,8 @@
 report_break (const Req *req)
 {
   if (!req->rejected)
-    witness_broke (req->requests->conf.witness, req->server, req->addr, req->content, req->id);
+    crashrep_connection_lost (req->requests->conf.witness, req->server, req->addr, req->content,
+                              req->id);
 }
 
 static void
@@ -272,7 +273,7 @@
   if (req->close_delimited)
     report_break (req);
   else if (proves_survival (req))
-    witness_answered (req->requests->conf.witness, req->server, req->content, req->sent_at);
+    crashrep_answered (req->requests->conf.witness, req->server, req->content, req->sent_at);
   if (req->is_stream && events_has_partial (req->stream))
     req_after_try (req, RETRY_STREAM_CUT);
   else if (req->is_stream)
@@ -302,7 +303,7 @@
       req->may_have_run = req->may_have_run_before;
       count_inc (COUNT_UNREACHED);
       if (fault == HXFER_REFUSED)
-        witness_refused (req->requests->conf.witness, req->server);
+        crashrep_refused (req->requests->conf.witness, req->server);
       req_after_try (req, RETRY_NOT_CONNECTED);
       return;
     }
