--- a/node/broker.c
+++ b/node/broker.c
@@ -192,7 +192,7 @@
 within_limit (Broker *broker, const SchedAsk *ask, bool may_wait)
 {
   SchedRefusal refusal = { .reason = FT_REASON_LIMIT_TOKENS };
-  unsigned rank = rt_order_rank (ask->tier);
+  unsigned rank = rt_priority_route_tier (ask->tier);
   double cost = ask->cost;
   RetAsk want = { ask->org, ask->content, cost, rank, ask->end_at, timely_until (broker, ask) };
   RetWord word;
--- a/node/place.c
+++ b/node/place.c
@@ -435,7 +435,7 @@
 {
   Item *item = place_item (place, from->request);
   SchedRefusal refusal
-      = { .reason = from->reason < FT_REASONS ? from->reason : FT_REASON_SHORTAGE };
+      = { .reason = from->reason < FT_REASON_COUNT ? from->reason : FT_REASON_SHORTAGE };
 
   if (item == NULL || item->running || item->at != peer)
     return;
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -18,7 +18,7 @@
     return 1;
   if (req->facts.has_tokens)
     return req->facts.prompt_tokens + req->facts.output_most;
-  return req->org->plain_tokens;
+  return req->org->default_tokens;
 }
 
 static unsigned
@@ -62,16 +62,16 @@
   out.request = req->number;
   out.service = req->service;
   out.org = req->org ? req->org->name : "";
-  out.tier = rt_order (req->route, req->org);
+  out.tier = rt_priority (req->route, req->org);
   out.stream = req->route->kind == RT_STREAM;
-  out.repeatable = rt_route_repeatable (req->route);
+  out.repeatable = rt_route_is_repeatable (req->route);
   out.prompt_tokens = req->facts.prompt_tokens;
   out.output_tokens = expected_tokens (&req->facts);
   out.shared_part = req->facts.shared_part;
   out.content = req->content;
   out.route = g_str_hash (req->route->name);
   out.gap_us = req->route->gap_us;
-  out.aim_at = req->arrived + req->route->aim_us - req->waited_before;
+  out.aim_at = req->arrived + req->route->target_us - req->waited_before;
   out.limit_at = req->begun ? req_now (req) + SILENT_EVENT : req->first_by;
   out.end_at = req->end_at;
   out.avoid = req->avoid;
--- a/node/requests.c
+++ b/node/requests.c
@@ -207,7 +207,7 @@
   if (req->route->kind == RT_STREAM)
     req->first_by = MIN (
         req->end_at,
-        req->arrived + all->conf.seam->first_patience (req->route->aim_us, req->route->gap_us));
+        req->arrived + all->conf.seam->first_patience (req->route->target_us, req->route->gap_us));
   req->service = rt_route_target (req->route, g_random_int ());
   budget_note (all->conf.budget, req->service);
   loop_timer_set (all->conf.loop, &req->limit, req->end_at);
--- a/node/try.c
+++ b/node/try.c
@@ -312,7 +312,7 @@
 static int64_t
 silence_bound (const Req *req)
 {
-  double aim = (double) req->route->aim_us;
+  double aim = (double) req->route->target_us;
 
   if (req->route->kind != RT_STREAM)
     return MAX (SILENT_LEAST / 2, (int64_t) (aim * SILENT_PLAIN));
@@ -326,7 +326,7 @@
   const SeamServer *server = &grant->server;
   Requests *all = req->all;
   const GByteArray *body = hcall_body (req->call);
-  bool once = !rt_route_repeatable (req->route);
+  bool once = !rt_route_is_repeatable (req->route);
   HCliTarget target = { server->addr, server->id, CONNECT_MOST,
                         once ? grant->max_idle_us : MAX (IDLE_MOST, grant->max_idle_us),
                         strcmp (hmsg_method (hcall_msg (req->call)), "HEAD") == 0 };
--- a/src/ent.c
+++ b/src/ent.c
@@ -186,11 +186,11 @@
 }
 
 FtStatus
-ft_node_ask (FtNode *node, const FtNodeAsk *ask)
+ft_node_submit (FtNode *node, const FtNodeRequest *ask)
 {
   Ent *ent = node->ent;
   int64_t now = ft_clock_now (node->clock);
-  unsigned blocks = MIN (ask->block_count, FT_BLOCKS_MOST);
+  unsigned blocks = MIN (ask->block_count, FT_BLOCKS_MAX);
 
   if (find_request (ent, ask->request))
     return FT_CONFLICT;
@@ -202,8 +202,8 @@
   req->prompt_tokens = ask->prompt_tokens;
   req->most_tokens = ask->most_tokens;
   req->content = ask->content;
-  req->first_by = now + ask->first_in;
-  req->due = now + ask->due_in;
+  req->first_by = now + ask->first_token_in_us;
+  req->due = now + ask->deadline_in_us;
   req->block_count = blocks;
   if (blocks)
     memcpy (req->blocks, ask->blocks, blocks * sizeof (uint64_t));
@@ -242,7 +242,7 @@
 }
 
 static void
-tell_done (FtNode *node, const EntReq *req, FtDone how, unsigned tokens)
+tell_done (FtNode *node, const EntReq *req, FtOutcome how, unsigned tokens)
 {
   Msg msg = { .kind = MSG_DONE };
   MsgDone *out = &msg.Msg_u.done;
@@ -258,7 +258,7 @@
 }
 
 void
-ft_node_done (FtNode *node, uint64_t request, FtDone how, unsigned tokens)
+ft_node_end_request (FtNode *node, uint64_t request, FtOutcome how, unsigned tokens)
 {
   EntReq *req = find_request (node->ent, request);
 
@@ -267,23 +267,23 @@
   /* Out of the list first: telling may bring other requests' decisions at once. */
   g_hash_table_remove (node->ent->requests, &req->request);
   cds_list_del (&req->link);
-  if (how == FT_DONE_WHOLE && req->content)
-    susp_answered (node, req->content);
+  if (how == FT_OUTCOME_COMPLETE && req->content)
+    susp_on_answer (node, req->content);
   tell_done (node, req, how, tokens);
   request_free (req);
 }
 
 void
-ft_node_server_ended (FtNode *node, uint64_t request, int64_t wall_ms)
+ft_node_report_crash (FtNode *node, uint64_t request, int64_t wall_ms)
 {
   const EntReq *req = find_request (node->ent, request);
 
   if (req && req->server && req->content)
-    susp_ended (node, req->pool->name, req->server, req->content, wall_ms);
+    susp_propose_crash (node, req->pool->name, req->server, req->content, wall_ms);
 }
 
 static void
-ask_once_more (FtNode *node, EntReq *req, FtDone how)
+ask_once_more (FtNode *node, EntReq *req, FtOutcome how)
 {
   tell_done (node, req, how, 0);
   g_clear_pointer (&req->server, g_free);
@@ -293,12 +293,12 @@
 }
 
 void
-ft_node_ask_again (FtNode *node, uint64_t request)
+ft_node_resubmit (FtNode *node, uint64_t request)
 {
   EntReq *req = find_request (node->ent, request);
 
   if (req && req->state == MSG_ASK_RUNNING && req->tokens == 0)
-    ask_once_more (node, req, FT_DONE_REFUSED);
+    ask_once_more (node, req, FT_OUTCOME_NOT_CONNECTED);
 }
 
 /* The request that a decision is about; NULL when the decision comes from an ended epoch. */
@@ -326,7 +326,7 @@
   /* Failure: the scheduler's copy of the platform's list is older than ours. Symptom: new work
    * goes to a server that is leaving. The entry has the last look before the dispatch. */
   if ((server && server->state != FT_SERVER_LIVE) || is_stopped (ent, req))
-    ask_once_more (node, req, FT_DONE_CANCELLED);
+    ask_once_more (node, req, FT_OUTCOME_CANCELLED);
   else
     node->ops->grant (node->host, req->request, req->server);
 }
@@ -389,7 +389,7 @@
 {
   if (now <= MIN (req->first_by, req->due) + FT_SECOND)
     return;
-  tell_done (ent->node, req, FT_DONE_CANCELLED, 0);
+  tell_done (ent->node, req, FT_OUTCOME_CANCELLED, 0);
   refuse (ent, req, FT_REASON_NO_SCHEDULER, 0, 2000,
           "no decision came before the first token was due");
 }
@@ -407,7 +407,7 @@
       g_snprintf (rule, sizeof rule, "%u servers ended under content %016" G_GINT64_MODIFIER "x",
                   verdict.ends, req->content);
       if (!req->stopped)
-        tell_done (ent->node, req, FT_DONE_CANCELLED, 0);
+        tell_done (ent->node, req, FT_OUTCOME_CANCELLED, 0);
       refuse (ent, req, FT_REASON_QUARANTINED, 0, 0, rule);
     }
   else if (req->stopped && verdict.state != QUAR_SETTLES)
--- a/src/find.c
+++ b/src/find.c
@@ -9,10 +9,10 @@
 typedef struct
 {
   uint64_t number;
-  FtFindKind kind;
+  FtQueryKind kind;
   char *id;
   int64_t send_at, until;
-  unsigned unanswered; /* FT_FIND_ANSWER: instances that have not replied */
+  unsigned unanswered; /* FT_QUERY_ANSWER: instances that have not replied */
 } Find;
 
 void
@@ -32,7 +32,7 @@
   msg.Msg_u.find.number = find->number;
   msg.Msg_u.find.kind = (MsgFindKind) find->kind;
   msg.Msg_u.find.id = find->id;
-  if (find->kind != FT_FIND_ANSWER)
+  if (find->kind != FT_QUERY_ANSWER)
     {
       find->send_at = now + PROPOSE_EVERY;
       node_send (node, node->guess, &msg);
@@ -50,7 +50,7 @@
 }
 
 uint64_t
-ft_node_find (FtNode *node, FtFindKind kind, const char *id)
+ft_node_query (FtNode *node, FtQueryKind kind, const char *id)
 {
   Find *find = g_new0 (Find, 1);
 
@@ -64,8 +64,8 @@
 }
 
 void
-ft_node_answer (FtNode *node, uint32_t to, uint64_t number, FtStatus status, const void *body,
-                size_t size)
+ft_node_reply_query (FtNode *node, uint32_t to, uint64_t number, FtStatus status, const void *body,
+                     size_t size)
 {
   Msg msg = { .kind = MSG_FOUND };
 
@@ -102,7 +102,7 @@
 
   if (find == NULL || found->status == FT_NOT_LEADER)
     return;
-  if (find->kind == FT_FIND_ANSWER && found->status != FT_OK && --find->unanswered > 0)
+  if (find->kind == FT_QUERY_ANSWER && found->status != FT_OK && --find->unanswered > 0)
     return;
   end_find (node, find, found->status, found->body.body_val, found->body.body_len);
 }
--- a/src/heap.c
+++ b/src/heap.c
@@ -1,6 +1,6 @@
 /* heap.c - an intrusive pairing heap (Fredman, Sedgewick, Sleator, Tarjan 1986), two-pass merge.
  *
- * Chosen over a binary heap in an array because nodes live in their users' records, so that an
+ * Chosen over a binary heap in an array because its nodes are embedded in the users' records: an
  * entry is removed from the middle without a search, and nothing is allocated.
  */
 #include "foxtail.h"
--- a/src/node.c
+++ b/src/node.c
@@ -164,7 +164,7 @@
 }
 
 bool
-ft_node_fresh (FtNode *node)
+ft_node_is_fresh (FtNode *node)
 {
   return node->cat && !node->leaving && ft_clock_now (node->clock) - node->fresh_at < FRESH_LIMIT;
 }
@@ -285,7 +285,7 @@
   node->guess = from;
   node->heard_at = ft_clock_now (node->clock);
   if (fresh->blame.blame_len > 0)
-    susp_account (node, &fresh->blame.blame_val[0]);
+    susp_update_table (node, &fresh->blame.blame_val[0]);
   if (fresh->has_catalogue)
     node_take_catalogue (node, fresh->catalogue, fresh->revision);
   if (!node->cat || ft_cat_revision (node->cat) < fresh->revision)
@@ -313,8 +313,8 @@
 }
 
 void
-ft_node_server (FtNode *node, const char *pool, const char *name, uint64_t incarnation,
-                FtServerState state)
+ft_node_update_server (FtNode *node, const char *pool, const char *name, uint64_t incarnation,
+                       FtServerState state)
 {
   NodeServer *server = node_server (node, pool, name);
 
@@ -524,7 +524,7 @@
   status->voter = node->raft != NULL;
   status->leader = node->guess;
   status->revision = node->cat ? ft_cat_revision (node->cat) : 0;
-  status->fresh = ft_node_fresh (node);
+  status->fresh = ft_node_is_fresh (node);
   status->pools_held = hold_count (node->hold);
   status->requests = ent_count (node->ent);
   status->live = node->live->len;
@@ -538,7 +538,7 @@
 }
 
 bool
-ft_node_holds (FtNode *node, const char *pool)
+ft_node_holds_lease (FtNode *node, const char *pool)
 {
   return hold_pool (node->hold, pool) && node_lease_valid (node, ft_clock_now (node->clock));
 }
--- a/src/node.h
+++ b/src/node.h
@@ -133,13 +133,13 @@
 
 /* susp.c */
 /* The voters' account has come. */
-void susp_account (FtNode *node, const MsgBlame *blame);
+void susp_update_table (FtNode *node, const MsgBlame *blame);
 /* The server has ended while it ran the content for this instance. */
-void susp_ended (FtNode *node, const char *pool, const char *server, uint64_t content,
-                 int64_t wall_ms);
+void susp_propose_crash (FtNode *node, const char *pool, const char *server, uint64_t content,
+                         int64_t wall_ms);
 /* The content was answered whole here. */
-void susp_answered (FtNode *node, uint64_t content);
-uint64_t susp_propose_cleared (FtNode *node, const uint64_t *contents, unsigned count, bool silent);
+void susp_on_answer (FtNode *node, uint64_t content);
+uint64_t susp_propose_clear (FtNode *node, const uint64_t *contents, unsigned count, bool silent);
 
 /* lead.c */
 Lead *lead_new (FtNode *node);
--- a/src/prefix.c
+++ b/src/prefix.c
@@ -1,40 +1,40 @@
-/* prefix.c - which backend server probably holds which leading part of a prompt.
+/* prefix.c - estimates which backend servers have which prompt prefixes in their KV caches.
  *
- * A prompt's leading blocks are hashed in a chain, so that one hash stands for everything up to
- * its block. Per block the index keeps the servers that hold it, at most HOLDERS; per server the
- * blocks are kept in order of use and the oldest are dropped beyond its capacity, which follows
- * the bounded memory of the engine's own cache. Engines publish cache events late and with gaps: a
- * gap halves the trust in what is known of that server, and each block seen again restores some of
- * it; clearing everything instead would send hot prefixes to servers that would compute them anew.
+ * A prompt's leading blocks are hashed in a chain, so that one hash identifies everything up to the
+ * end of its block. For each block the index keeps at most HOLDERS_MAX servers that cache it. For
+ * each server it keeps an LRU list of blocks and evicts beyond a capacity, as the engine's own
+ * cache does. Engines publish cache events late and with gaps. A gap halves the confidence in the
+ * server's records, and each later addition restores part of it. Clearing the records instead would
+ * route common prefixes to servers that have to compute them again.
  */
 #include "foxtail.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#define HOLDERS 6
+#define HOLDERS_MAX 6
 
 typedef struct Block Block;
 
 typedef struct
 {
-  struct cds_list_head link; /* in the server's order of use, newest first */
-  Block *block;              /* NULL: slot unused */
+  struct cds_list_head link; /* in the server's LRU list, newest first */
+  Block *block;
 } Holding;
 
 struct Block
 {
   uint64_t hash;
   unsigned count;
-  unsigned server[HOLDERS];
-  Holding holding[HOLDERS];
+  unsigned server[HOLDERS_MAX];
+  Holding holding[HOLDERS_MAX];
 };
 
 typedef struct
 {
-  struct cds_list_head held;
+  struct cds_list_head lru; /* of Holding.link, newest first */
   unsigned count;
-  double trust; /* 0 to 1 */
+  double confidence; /* 0 to 1 */
 } Server;
 
 struct FtPrefix
@@ -55,8 +55,8 @@
   index->capacity = capacity;
   for (unsigned i = 0; i < servers; i++)
     {
-      CDS_INIT_LIST_HEAD (&index->servers[i].held);
-      index->servers[i].trust = 1;
+      CDS_INIT_LIST_HEAD (&index->servers[i].lru);
+      index->servers[i].confidence = 1;
     }
   return index;
 }
@@ -81,7 +81,7 @@
 }
 
 static void
-drop_holder (FtPrefix *index, Block *block, unsigned slot)
+remove_holder (FtPrefix *index, Block *block, unsigned slot)
 {
   unsigned last = block->count - 1;
 
@@ -100,7 +100,7 @@
 }
 
 static void
-hold (FtPrefix *index, unsigned server, uint64_t hash)
+add_holder (FtPrefix *index, unsigned server, uint64_t hash)
 {
   Server *holder = &index->servers[server];
   Block *block = g_hash_table_lookup (index->blocks, &hash);
@@ -115,15 +115,15 @@
   if (slot >= 0)
     {
       cds_list_del (&block->holding[slot].link);
-      cds_list_add (&block->holding[slot].link, &holder->held);
+      cds_list_add (&block->holding[slot].link, &holder->lru);
       return;
     }
-  if (block->count == HOLDERS)
-    return; /* hot enough: six servers are candidates, the router needs no seventh */
+  if (block->count == HOLDERS_MAX)
+    return; /* common enough: routing needs no more than six candidates */
   slot = (int) block->count++;
   block->server[slot] = server;
   block->holding[slot].block = block;
-  cds_list_add (&block->holding[slot].link, &holder->held);
+  cds_list_add (&block->holding[slot].link, &holder->lru);
   holder->count++;
 }
 
@@ -132,30 +132,30 @@
 {
   Server *holder = &index->servers[server];
 
-  for (unsigned i = count; i > 0; i--) /* deepest first, so that it is also dropped first */
-    hold (index, server, blocks[i - 1]);
+  for (unsigned i = count; i > 0; i--) /* last block first, so that it is evicted first */
+    add_holder (index, server, blocks[i - 1]);
   while (holder->count > index->capacity)
     {
-      Holding *oldest = cds_list_entry (holder->held.prev, Holding, link);
-      drop_holder (index, oldest->block, (unsigned) find_holder (oldest->block, server));
+      Holding *oldest = cds_list_entry (holder->lru.prev, Holding, link);
+      remove_holder (index, oldest->block, (unsigned) find_holder (oldest->block, server));
     }
-  holder->trust += (1 - holder->trust) * 0.02;
+  holder->confidence += (1 - holder->confidence) * 0.02;
 }
 
 void
-ft_prefix_drop (FtPrefix *index, unsigned server, uint64_t hash)
+ft_prefix_remove (FtPrefix *index, unsigned server, uint64_t hash)
 {
   Block *block = g_hash_table_lookup (index->blocks, &hash);
   int slot = block ? find_holder (block, server) : -1;
 
   if (slot >= 0)
-    drop_holder (index, block, (unsigned) slot);
+    remove_holder (index, block, (unsigned) slot);
 }
 
 void
-ft_prefix_gap (FtPrefix *index, unsigned server)
+ft_prefix_note_gap (FtPrefix *index, unsigned server)
 {
-  index->servers[server].trust *= 0.5;
+  index->servers[server].confidence *= 0.5;
 }
 
 void
@@ -163,12 +163,12 @@
 {
   Server *holder = &index->servers[server];
 
-  while (!cds_list_empty (&holder->held))
+  while (!cds_list_empty (&holder->lru))
     {
-      Holding *first = cds_list_entry (holder->held.next, Holding, link);
-      drop_holder (index, first->block, (unsigned) find_holder (first->block, server));
+      Holding *first = cds_list_entry (holder->lru.next, Holding, link);
+      remove_holder (index, first->block, (unsigned) find_holder (first->block, server));
     }
-  holder->trust = 1;
+  holder->confidence = 1;
 }
 
 double
@@ -183,7 +183,7 @@
         break;
       held++;
     }
-  return held * index->servers[server].trust;
+  return held * index->servers[server].confidence;
 }
 
 unsigned
--- a/src/reason.c
+++ b/src/reason.c
@@ -1,7 +1,7 @@
-/* reason.c - the one table of reasons why a request is refused or ends without an answer. */
+/* reason.c - reasons why a request is refused or ends without an answer, in one table. */
 #include "foxtail.h"
 
-static const FtReasonInfo table[FT_REASONS] = {
+static const FtReasonInfo table[FT_REASON_COUNT] = {
   [FT_REASON_NONE] = { "none", "No reason is recorded.", 500, FT_RAN_UNKNOWN, false },
   [FT_REASON_BAD_REQUEST]
   = { "bad-request", "The request breaks a rule of the interface.", 400, FT_RAN_NO, false },
@@ -26,27 +26,27 @@
   = { "deadline-too-short", "Even an idle backend server could not answer in time.", 422, FT_RAN_NO,
       false },
   [FT_REASON_LIMIT_CONCURRENT]
-  = { "limit-concurrent", "The organisation's limit of requests at once is reached.", 429,
+  = { "limit-concurrent", "The organisation's limit of concurrent requests is reached.", 429,
       FT_RAN_NO, false },
   [FT_REASON_LIMIT_REQUESTS]
-  = { "limit-requests", "The organisation's limit of requests a minute is reached.", 429, FT_RAN_NO,
-      false },
+  = { "limit-requests", "The organisation's limit of requests per minute is reached.", 429,
+      FT_RAN_NO, false },
   [FT_REASON_LIMIT_TOKENS]
-  = { "limit-tokens", "The organisation's limit of tokens a minute is reached.", 429, FT_RAN_NO,
+  = { "limit-tokens", "The organisation's limit of tokens per minute is reached.", 429, FT_RAN_NO,
       false },
   [FT_REASON_QUEUE_FULL]
-  = { "queue-full", "The queue's limit is reached by requests of this or a higher tier.", 503,
-      FT_RAN_NO, true },
+  = { "queue-full", "The queue is full of requests of this or a higher tier.", 503, FT_RAN_NO,
+      true },
   [FT_REASON_NO_SERVER]
   = { "no-server", "No backend server of the pool is live.", 503, FT_RAN_NO, true },
   [FT_REASON_NO_SCHEDULER]
-  = { "no-scheduler", "No instance decides for the pool at present.", 503, FT_RAN_NO, false },
+  = { "no-scheduler", "No instance schedules the pool at present.", 503, FT_RAN_NO, false },
   [FT_REASON_STALE_CATALOGUE]
   = { "stale-catalogue", "The instance cannot prove that its catalogue is in force.", 503,
       FT_RAN_NO, false },
   [FT_REASON_SHUTTING_DOWN]
   = { "shutting-down", "The instance is shutting down.", 503, FT_RAN_NO, false },
-  [FT_REASON_CLAIM_ELSEWHERE]
+  [FT_REASON_CLAIM_RUNNING]
   = { "still-running", "A request with this idempotency key is still running.", 409, FT_RAN_NO,
       false },
   [FT_REASON_CLAIM_MISMATCH]
@@ -56,25 +56,27 @@
   = { "claim-unavailable", "The claim could not be made durable, so the request was not sent.", 503,
       FT_RAN_NO, false },
   [FT_REASON_OUTCOME_UNKNOWN]
-  = { "outcome-unknown", "The request was sent and its outcome cannot be told.", 502,
-      FT_RAN_UNKNOWN, false },
+  = { "outcome-unknown", "The request was sent and its outcome is not known.", 502, FT_RAN_UNKNOWN,
+      false },
   [FT_REASON_BACKEND_FAILED]
-  = { "backend-failed", "The backend server refused or failed the request.", 502, FT_RAN_UNKNOWN,
+  = { "backend-failed", "The backend server rejected the request or failed.", 502, FT_RAN_UNKNOWN,
       false },
   [FT_REASON_CALLER_GONE]
   = { "caller-gone", "The caller left before the request was sent.", 499, FT_RAN_NO, false },
   [FT_REASON_NO_SUCH_REQUEST]
-  = { "no-such-request", "No live instance has it; if it was sent, its instance may have died.",
-      404, FT_RAN_UNKNOWN, false },
+  = { "no-such-request",
+      "No live instance has the request; if it was sent, its instance may have died.", 404,
+      FT_RAN_UNKNOWN, false },
   [FT_REASON_QUARANTINED]
-  = { "quarantined", "Backend servers end when they run this request; it is sent to none.", 503,
+  = { "quarantined",
+      "Backend servers crashed while running this request, so it is not sent to any.", 503,
       FT_RAN_NO, false },
 };
 
 const FtReasonInfo *
 ft_reason_info (FtReason reason)
 {
-  if ((unsigned) reason >= FT_REASONS)
+  if ((unsigned) reason >= FT_REASON_COUNT)
     reason = FT_REASON_NONE;
   return &table[reason];
 }
--- a/src/req.c
+++ b/src/req.c
@@ -1,21 +1,22 @@
-/* req.c - the life of one request and the order of its answer's pieces.
+/* req.c - state machine of a request and reassembly of its answer.
  *
  * received -> asked -> granted -> dispatched -> streaming -> answered
  *                 \         \          \            \-> unknown
  *                  \-> refused ("not run")  \-> unknown
  *
- * The dispatched state is entered before the first byte goes to a backend server and has no way
- * back, so a request is dispatched at most once and a refusal that says "not run" is true: the
- * only edge into refused leaves from states in which no byte was sent. Pieces of the answer carry
- * their number; a piece seen before is dropped, one ahead of its turn is kept until the gap
- * closes, so that a resumed stream may overlap what had arrived.
+ * The dispatched state is entered before the first byte is sent to a backend server, and no
+ * transition leads back. So a request is dispatched at most once, and a refusal that says "not run"
+ * is true: the refused state is entered only from states in which no byte was sent.
+ *
+ * Pieces of the answer are numbered. A duplicate is dropped and a piece that arrives early is
+ * buffered until the gap closes, so a resumed stream may overlap what had already arrived.
  */
 #include "foxtail.h"
 
 #include <string.h>
 
-#define ANSWER_BYTES_MOST (16u << 20) /* larger than any answer an engine's context allows */
-#define AHEAD_MOST        4096        /* pieces kept ahead of their turn */
+#define ANSWER_BYTES_MAX (16u << 20) /* larger than any answer an engine's context allows */
+#define EARLY_PIECES_MAX 4096        /* buffered pieces after a gap */
 
 struct FtReq
 {
@@ -26,10 +27,10 @@
   FtReqTrace trace;
   void *user;
   GString *bytes;
-  unsigned next;   /* number of the next piece in order */
-  unsigned pieces; /* pieces in all, once known */
+  unsigned next;   /* number of the first missing piece */
+  unsigned pieces; /* total number of pieces, once ended is set */
   bool ended;
-  GHashTable *ahead; /* piece number -> GBytes */
+  GHashTable *early; /* piece number -> GBytes, pieces after a gap */
 };
 
 static const char *const state_names[] = {
@@ -37,9 +38,9 @@
 };
 
 static bool
-step_exists (FtReqState from, FtReqState to)
+is_transition (FtReqState from, FtReqState to)
 {
-  static const unsigned char steps[][FT_REQ_UNKNOWN + 1] = {
+  static const unsigned char transitions[][FT_REQ_UNKNOWN + 1] = {
     [FT_REQ_RECEIVED] = { [FT_REQ_ASKED] = 1, [FT_REQ_REFUSED] = 1 },
     [FT_REQ_ASKED] = { [FT_REQ_GRANTED] = 1, [FT_REQ_REFUSED] = 1 },
     [FT_REQ_GRANTED] = { [FT_REQ_DISPATCHED] = 1, [FT_REQ_REFUSED] = 1 },
@@ -48,7 +49,7 @@
     [FT_REQ_UNKNOWN] = { 0 },
   };
 
-  return from < FT_REQ_UNKNOWN && to <= FT_REQ_UNKNOWN && steps[from][to];
+  return from < FT_REQ_UNKNOWN && to <= FT_REQ_UNKNOWN && transitions[from][to];
 }
 
 FtReq *
@@ -61,7 +62,7 @@
   req->trace = trace;
   req->user = user;
   req->bytes = g_string_new (NULL);
-  req->ahead
+  req->early
       = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, (GDestroyNotify) g_bytes_unref);
   return req;
 }
@@ -78,7 +79,7 @@
 {
   if (req == NULL || !g_atomic_int_dec_and_test (&req->refs))
     return;
-  g_hash_table_unref (req->ahead);
+  g_hash_table_unref (req->early);
   g_string_free (req->bytes, TRUE);
   g_free (req->id);
   g_free (req);
@@ -103,7 +104,7 @@
 }
 
 static void
-enter (FtReq *req, FtReqState to)
+change_state (FtReq *req, FtReqState to)
 {
   FtReqState from = req->state;
 
@@ -115,20 +116,20 @@
 }
 
 FtStatus
-ft_req_move (FtReq *req, FtReqState to)
+ft_req_set_state (FtReq *req, FtReqState to)
 {
-  if (!step_exists (req->state, to))
+  if (!is_transition (req->state, to))
     return FT_INVALID;
-  enter (req, to);
+  change_state (req, to);
   return FT_OK;
 }
 
 FtStatus
-ft_req_ask_again (FtReq *req)
+ft_req_undo_grant (FtReq *req)
 {
   if (req->state != FT_REQ_GRANTED)
     return FT_INVALID;
-  enter (req, FT_REQ_ASKED);
+  change_state (req, FT_REQ_ASKED);
   return FT_OK;
 }
 
@@ -139,40 +140,41 @@
 }
 
 static void
-take_ahead (FtReq *req)
+append_early (FtReq *req)
 {
   GBytes *piece;
 
-  while ((piece = g_hash_table_lookup (req->ahead, GUINT_TO_POINTER (req->next))) != NULL)
+  while ((piece = g_hash_table_lookup (req->early, GUINT_TO_POINTER (req->next))) != NULL)
     {
       gsize length;
       const char *data = g_bytes_get_data (piece, &length);
       g_string_append_len (req->bytes, data, (gssize) length);
-      g_hash_table_remove (req->ahead, GUINT_TO_POINTER (req->next));
+      g_hash_table_remove (req->early, GUINT_TO_POINTER (req->next));
       req->next++;
     }
 }
 
 FtStatus
-ft_req_piece (FtReq *req, unsigned offset, const char *data, size_t length)
+ft_req_add_piece (FtReq *req, unsigned offset, const char *data, size_t length)
 {
-  if (offset < req->next || g_hash_table_contains (req->ahead, GUINT_TO_POINTER (offset)))
+  if (offset < req->next || g_hash_table_contains (req->early, GUINT_TO_POINTER (offset)))
     return FT_CONFLICT;
-  if (req->bytes->len + length > ANSWER_BYTES_MOST || g_hash_table_size (req->ahead) >= AHEAD_MOST)
+  if (req->bytes->len + length > ANSWER_BYTES_MAX
+      || g_hash_table_size (req->early) >= EARLY_PIECES_MAX)
     return FT_FULL;
   if (offset > req->next)
     {
-      g_hash_table_insert (req->ahead, GUINT_TO_POINTER (offset), g_bytes_new (data, length));
+      g_hash_table_insert (req->early, GUINT_TO_POINTER (offset), g_bytes_new (data, length));
       return FT_OK;
     }
   g_string_append_len (req->bytes, data, (gssize) length);
   req->next++;
-  take_ahead (req);
+  append_early (req);
   return FT_OK;
 }
 
 unsigned
-ft_req_next (const FtReq *req)
+ft_req_next_piece (const FtReq *req)
 {
   return req->next;
 }
@@ -185,14 +187,14 @@
 }
 
 void
-ft_req_end (FtReq *req, unsigned pieces)
+ft_req_set_piece_count (FtReq *req, unsigned pieces)
 {
   req->ended = true;
   req->pieces = pieces;
 }
 
 bool
-ft_req_whole (const FtReq *req)
+ft_req_is_complete (const FtReq *req)
 {
   return req->ended && req->next == req->pieces;
 }
--- a/src/state.c
+++ b/src/state.c
@@ -278,8 +278,8 @@
     set_result (result, same_owner (&known->claim, claim) ? FT_OK : FT_CONFLICT, state->revision,
                 "%s", known->claim.request_id);
   else
-    set_result (result, known->end == MSG_CLAIM_ANSWERED ? FT_REPEAT : FT_STALE, state->revision,
-                "%s", known->claim.request_id);
+    set_result (result, known->end == MSG_CLAIM_ANSWERED ? FT_ALREADY_DONE : FT_STALE,
+                state->revision, "%s", known->claim.request_id);
 }
 
 static void
--- a/src/status.c
+++ b/src/status.c
@@ -1,4 +1,4 @@
-/* status.c - status codes, their messages, errors and the version. */
+/* status.c - texts of status codes, FtError and the library version. */
 #include "foxtail.h"
 
 #include <stdarg.h>
@@ -11,9 +11,9 @@
   [-FT_STALE] = "epoch, term or revision has ended",
   [-FT_IO] = "storage failed",
   [-FT_CORRUPT] = "stored data is damaged",
-  [-FT_FULL] = "bound reached",
-  [-FT_NOT_LEADER] = "this voter is not in charge",
-  [-FT_REPEAT] = "done before",
+  [-FT_FULL] = "limit reached",
+  [-FT_NOT_LEADER] = "this voter is not the leader",
+  [-FT_ALREADY_DONE] = "already done",
 };
 
 const char *
--- a/src/susp.c
+++ b/src/susp.c
@@ -11,7 +11,7 @@
 #define PROOFS_MOST 16 /* told at once; the others with the next account */
 
 uint64_t
-susp_propose_cleared (FtNode *node, const uint64_t *contents, unsigned count, bool silent)
+susp_propose_clear (FtNode *node, const uint64_t *contents, unsigned count, bool silent)
 {
   MsgOp op = { .kind = MSG_OP_CLEARED };
   u_quad_t list[PROOFS_MOST];
@@ -30,11 +30,11 @@
   unsigned count = quar_proofs (node->quar, contents, PROOFS_MOST);
 
   if (count > 0)
-    susp_propose_cleared (node, contents, count, true);
+    susp_propose_clear (node, contents, count, true);
 }
 
 void
-susp_account (FtNode *node, const MsgBlame *blame)
+susp_update_table (FtNode *node, const MsgBlame *blame)
 {
   unsigned count = blame->suspects.suspects_len;
   QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
@@ -58,7 +58,8 @@
 }
 
 void
-susp_ended (FtNode *node, const char *pool, const char *server, uint64_t content, int64_t wall_ms)
+susp_propose_crash (FtNode *node, const char *pool, const char *server, uint64_t content,
+                    int64_t wall_ms)
 {
   MsgOp op = { .kind = MSG_OP_ENDED };
   u_quad_t contents[] = { content };
@@ -71,14 +72,14 @@
 }
 
 void
-susp_answered (FtNode *node, uint64_t content)
+susp_on_answer (FtNode *node, uint64_t content)
 {
   if (quar_answered (node->quar, content))
     propose_proofs (node);
 }
 
 uint64_t
-ft_node_release (FtNode *node, uint64_t content)
+ft_node_release_content (FtNode *node, uint64_t content)
 {
-  return susp_propose_cleared (node, &content, 1, false);
+  return susp_propose_clear (node, &content, 1, false);
 }
--- a/test/decide.c
+++ b/test/decide.c
@@ -64,7 +64,7 @@
 static void
 once_is_once (void)
 {
-  RetryFacts f = facts (RT_ONCE);
+  RetryFacts f = facts (RT_AT_MOST_ONCE);
 
   g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_SAY_UNKNOWN);
   g_assert_cmpint (retry_next (RETRY_SILENT, &f), ==, RETRY_WAIT);
@@ -80,7 +80,7 @@
 static void
 not_run_may_go_elsewhere (void)
 {
-  RetryFacts f = facts (RT_ONCE);
+  RetryFacts f = facts (RT_AT_MOST_ONCE);
 
   f.may_have_run = false;
   g_assert_cmpint (retry_next (RETRY_REJECTED, &f), ==, RETRY_AGAIN);
@@ -100,7 +100,7 @@
 static void
 gone_server_is_none_reached (void)
 {
-  RetryFacts f = facts (RT_ONCE);
+  RetryFacts f = facts (RT_AT_MOST_ONCE);
 
   f.may_have_run = false;
   f.sends = 0;
@@ -140,7 +140,7 @@
 {
   static const RetryEvent events[]
       = { RETRY_UNREACHED, RETRY_REJECTED, RETRY_BROKEN, RETRY_FAILURE, RETRY_CUT, RETRY_GONE };
-  static const RtKind kinds[] = { RT_IDEMPOTENT, RT_ONCE };
+  static const RtKind kinds[] = { RT_IDEMPOTENT, RT_AT_MOST_ONCE };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (events); i++)
     for (unsigned j = 0; j < G_N_ELEMENTS (kinds); j++)
@@ -617,9 +617,9 @@
   g_assert_null (rt_cat_org_by_key (cat, NULL));
   RtRoute low = { .tier = 2 }, high = { .tier = 0 };
   RtOrg first = { .has_tier = true, .tier = 0 };
-  g_assert_cmpuint (rt_order (&low, &first), <, rt_order (&high, org));
-  g_assert_cmpuint (rt_order (&high, org), <, rt_order (&low, org));
-  g_assert_cmpuint (rt_order_rank (rt_order (&low, org)), ==, 2);
+  g_assert_cmpuint (rt_priority (&low, &first), <, rt_priority (&high, org));
+  g_assert_cmpuint (rt_priority (&high, org), <, rt_priority (&low, org));
+  g_assert_cmpuint (rt_priority_route_tier (rt_priority (&low, org)), ==, 2);
   rt_cat_unref (cat);
 }
 
