--- a/src/foxtail.h
+++ b/src/foxtail.h
@@ -384,7 +384,8 @@
 
 FtPool *ft_pool_new (const FtPoolConf *conf, FtClock *clock, const FtPoolOps *ops, void *host);
 void ft_pool_free (FtPool *pool);
-/* Applies new limits and targets of the catalogue, also to waiting requests. */
+/* Sets new limits and targets of the catalogue. Later decisions use them, also for requests that
+ * already wait. */
 void ft_pool_configure (FtPool *pool, const FtPoolConf *conf);
 
 typedef enum
--- a/src/org.c
+++ b/src/org.c
@@ -1,15 +1,16 @@
 /* org.c - limits and expected answer lengths of an organisation within one pool.
  *
- * Limits a minute are token buckets that hold one minute's allowance, so that a burst up to the
- * limit passes and the mean never exceeds it. The token limit is charged with the expected length
- * at admission and corrected at the end: a request is never stopped mid-answer by a limit.
+ * Limits per minute are token buckets that hold one minute's allowance: a burst up to the limit
+ * passes, and the mean rate does not exceed it. The token limit is charged with the expected length
+ * at admission and corrected when the request ends, so a limit never stops a running answer.
  */
 #include "org.h"
 
 #include <string.h>
 
-#define LENGTH_START  200.0 /* tokens, until the first answer of a class has been seen */
-#define LENGTH_WEIGHT 0.1   /* of a new answer; lengths differ a hundredfold within a class */
+#define LENGTH_INITIAL 200.0 /* tokens, before the first complete answer of a class */
+#define LENGTH_WEIGHT                                                                              \
+  0.1 /* of a new answer in the average; lengths vary a hundredfold within a class */
 
 Org *
 org_new (const char *name, int64_t now)
@@ -40,7 +41,7 @@
 }
 
 static void
-fill (OrgBucket *bucket, int64_t per_minute, int64_t now)
+refill (OrgBucket *bucket, int64_t per_minute, int64_t now)
 {
   double gained = (double) (now - bucket->filled_at) * (double) per_minute / (60.0 * FT_SECOND);
 
@@ -49,7 +50,7 @@
 }
 
 static int64_t
-wait_for (double missing, int64_t per_minute)
+refill_time_ms (double missing, int64_t per_minute)
 {
   return (int64_t) (missing * 60000.0 / (double) per_minute) + 1;
 }
@@ -62,29 +63,32 @@
   if (limits->concurrent && org->active >= limits->concurrent)
     {
       *wait_ms = 1000;
-      g_snprintf (rule, rule_size, "organisation %s: %" G_GINT64_FORMAT " requests at once",
-                  org->name, limits->concurrent);
+      g_snprintf (rule, rule_size,
+                  "organisation %s: limit of %" G_GINT64_FORMAT " concurrent requests", org->name,
+                  limits->concurrent);
       return FT_REASON_LIMIT_CONCURRENT;
     }
   if (limits->requests_per_minute)
-    fill (&org->requests, limits->requests_per_minute, now);
+    refill (&org->requests, limits->requests_per_minute, now);
   if (limits->requests_per_minute && org->requests.level < 1)
     {
-      *wait_ms = wait_for (1 - org->requests.level, limits->requests_per_minute);
-      g_snprintf (rule, rule_size, "organisation %s: %" G_GINT64_FORMAT " requests a minute",
-                  org->name, limits->requests_per_minute);
+      *wait_ms = refill_time_ms (1 - org->requests.level, limits->requests_per_minute);
+      g_snprintf (rule, rule_size,
+                  "organisation %s: limit of %" G_GINT64_FORMAT " requests per minute", org->name,
+                  limits->requests_per_minute);
       return FT_REASON_LIMIT_REQUESTS;
     }
   if (limits->tokens_per_minute)
-    fill (&org->tokens, limits->tokens_per_minute, now);
-  /* A request larger than a whole minute's allowance passes when the bucket is full; it would
-   * never pass otherwise. */
+    refill (&org->tokens, limits->tokens_per_minute, now);
+  /* A request larger than a whole minute's allowance passes when the bucket is full; otherwise it
+   * could never pass. */
   double needed = MIN (tokens, (double) limits->tokens_per_minute);
   if (limits->tokens_per_minute && org->tokens.level < needed)
     {
-      *wait_ms = wait_for (needed - org->tokens.level, limits->tokens_per_minute);
-      g_snprintf (rule, rule_size, "organisation %s: %" G_GINT64_FORMAT " tokens a minute",
-                  org->name, limits->tokens_per_minute);
+      *wait_ms = refill_time_ms (needed - org->tokens.level, limits->tokens_per_minute);
+      g_snprintf (rule, rule_size,
+                  "organisation %s: limit of %" G_GINT64_FORMAT " tokens per minute", org->name,
+                  limits->tokens_per_minute);
       return FT_REASON_LIMIT_TOKENS;
     }
   if (limits->requests_per_minute)
@@ -106,7 +110,7 @@
 {
   const double *length = g_hash_table_lookup (org->lengths, class_name);
 
-  return length ? *length : LENGTH_START;
+  return length ? *length : LENGTH_INITIAL;
 }
 
 void
--- a/src/pool.c
+++ b/src/pool.c
@@ -1,36 +1,43 @@
-/* pool.c - the scheduler of one pool: who runs next, where, and who is refused.
+/* pool.c - the scheduler of one pool: which request runs next and where, and which is refused.
  *
- * Tiers. Waiting requests of a higher tier are granted before any of a lower one. A request is
- * refused for shortage only when it could not start in time, and only after everything that a
- * lower tier holds was freed for it: lower running streams are paused one by one (their engines
- * resume them later at the same offset; that is the same dispatch). So at each refusal for shortage
- * of tier t, nothing below t runs on a usable server. Lower requests may go on waiting: they hold
- * nothing that t could use, and are granted only when nothing above them waits; docs/DESIGN.md has
- * the figures of refusing them too. A limited queue gives its places to higher tiers. Requests that
- * were admitted and started are never given up by the scheduler: a paused stream is late, but
- * whole.
+ * Tiers: waiting requests of a higher tier are granted before those of a lower one. A request is
+ * refused for shortage only if it cannot start in time even after all running streams of lower
+ * tiers were paused for it, one by one. (Their engines resume them later at the same offset, as
+ * part of the same dispatch.) So at each refusal of tier t for shortage, no stream below t runs on
+ * a usable server. Lower requests may go on waiting: they occupy nothing that tier t could use, and
+ * are granted only when no request above them waits. docs/DESIGN.md has measurements of refusing
+ * them too. If the queue is limited, its places go to higher tiers first. The scheduler never
+ * aborts a request that has started: a paused stream ends late, but complete.
  *
- * Within a tier, organisations share by start-time fair queueing (Goyal, Vin, Cheng 1996) over
- * expected work in milliseconds of one stream's place, corrected with the true work at the end.
+ * Within a tier, organisations share by start-time fair queueing (Goyal, Vin, Cheng 1996). The unit
+ * is expected work in milliseconds of one stream's place, corrected to the actual work at the end.
  *
- * Early truth. At its arrival a request's wait is estimated from the work ahead of it and the
- * places of usable servers; one that cannot start in time is refused at once with the time after
- * which the queue is expected to be short enough.
+ * Early refusal: when a request arrives, its wait is estimated from the work queued ahead of it and
+ * the places of usable servers. If it cannot start in time, it is refused at once, with the time
+ * after which the queue should be short enough as Retry-After.
  */
 #include "org.h"
 #include "srv.h"
 
 #include <string.h>
 
-#define PREFILL_WEIGHT  4.0           /* a ms of prompt work delays every stream of its server */
-#define START_MARGIN    (150 * FT_MS) /* messages, connect and one engine step */
-#define RETRY_LEAST_MS  1000          /* sooner would meet the same queue */
-#define RETRY_MOST_MS   60000
-#define LATE_WORK_SHARE 0.5    /* share of the expected answer that must fit when nothing waits */
-#define LONG_PROMPT_MS  1000.0 /* a prompt that fills a server for half the first-token target */
-#define SPARE_SHARE     0.2 /* of servers with room; 0.1 helps half as much, 0.33 costs goodput */
-#define SPARE_FOR       (5 * FT_SECOND) /* after the last request of a higher tier */
-#define SAMPLE_LEAST    (40 * FT_MS)    /* shorter gaps measure batching of messages, not engines */
+/* cost of prefill per ms, since it delays every stream of its server */
+#define PREFILL_WEIGHT 4.0
+/* for messages, the connect and one engine step */
+#define START_MARGIN (150 * FT_MS)
+/* an earlier retry would meet the same queue */
+#define RETRY_MIN_MS 1000
+#define RETRY_MAX_MS 60000
+/* of the expected time on an idle server; the deadline must allow at least this */
+#define WORK_SHARE_MIN 0.5
+/* prefill that occupies a server for half the target of the first token */
+#define LONG_PROMPT_MS 1000.0
+/* of usable servers, kept free of long prompts; 0.1 helps half as much, 0.33 costs goodput */
+#define SPARE_SHARE 0.2
+/* how long servers are kept free after the last request of a higher tier */
+#define SPARE_DURATION (5 * FT_SECOND)
+/* shorter gaps reflect the batching of messages, not the engine */
+#define SAMPLE_MIN (40 * FT_MS)
 
 typedef enum
 {
@@ -48,18 +55,19 @@
 typedef struct
 {
   JobKey key;
-  FtHeapNode expiry;              /* waiting: by latest start */
-  struct cds_list_head link;      /* waiting: OrgQueue; paused: Srv.paused */
-  struct cds_list_head tier_link; /* running: Pool.running[tier], newest first */
+  FtHeapNode expiry;              /* waiting: in FtPool.expiry by latest_start */
+  struct cds_list_head link;      /* waiting: in OrgQueue.waiting; paused: in Srv.paused */
+  struct cds_list_head tier_link; /* running: in Tier.run_list */
   JobState state;
   unsigned tier;
   Org *org;
   char *class_name;
   unsigned prompt, tokens;
-  double expected; /* tokens of the answer */
-  double charged;  /* work that its organisation is charged with, ms */
-  double prefill, work_ahead;
-  int64_t asked_at, first_by, due, granted_at, last_progress, latest_start;
+  double expected;   /* length of the answer, tokens */
+  double charged;    /* work charged to the organisation, ms */
+  double prefill;    /* prompt tokens to compute; 0 after the first token */
+  double work_ahead; /* prompt tokens to compute on the server at the grant, its own included */
+  int64_t arrived_at, first_token_due, due, granted_at, last_progress, latest_start;
   Srv *srv;
   unsigned block_count;
   uint64_t blocks[];
@@ -67,10 +75,10 @@
 
 typedef struct
 {
-  FtHeap active; /* OrgQueue with waiting requests, by finish */
+  FtHeap active; /* OrgQueues with waiting requests, by finish */
   double virtual_time, work, weight;
   unsigned waiting, running, paused;
-  int64_t asked_at;              /* when a request of this tier last came */
+  int64_t last_arrival;          /* arrival of the last request of this tier */
   struct cds_list_head run_list; /* Job.tier_link, newest first */
 } Tier;
 
@@ -85,7 +93,7 @@
   GHashTable *orgs; /* name -> Org */
   FtHeap expiry;
   Tier tiers[FT_TIERS + 1];
-  bool held;
+  bool held; /* nothing is granted, paused or expired */
   uint64_t decisions, violations;
 };
 
@@ -206,7 +214,7 @@
 }
 
 static void
-charge (FtPool *pool, Job *job)
+charge_org (FtPool *pool, Job *job)
 {
   Tier *tier = &pool->tiers[job->tier];
   OrgQueue *queue = &job->org->queue[job->tier];
@@ -220,7 +228,7 @@
 }
 
 static void
-forget (FtPool *pool, Job *job)
+remove_job (FtPool *pool, Job *job)
 {
   g_hash_table_remove (pool->jobs, &job->key);
   job->org->active--;
@@ -230,7 +238,7 @@
 /* ---- Running ---- */
 
 static void
-run (FtPool *pool, Job *job, Srv *srv, double cached, int64_t now)
+start_running (FtPool *pool, Job *job, Srv *srv, double cached, int64_t now)
 {
   Tier *tier = &pool->tiers[job->tier];
 
@@ -254,8 +262,8 @@
   pool->tiers[job->tier].running--;
 }
 
-/* Both rules of the tiers, checked on every single decision from counts that the decision itself
- * does not use; an operator's alarm and the bench read the result. */
+/* The two tier rules, checked on every decision from counts that the decision itself does not use.
+ * The benchmark and an alarm for operators use the result. */
 static void
 audit_grant (FtPool *pool, unsigned tier)
 {
@@ -271,7 +279,7 @@
     {
       const Job *job;
       if (pool->conf.service)
-        continue; /* a service's calls cannot be paused */
+        continue; /* calls of a service cannot be paused */
       cds_list_for_each_entry (job, &pool->tiers[t].run_list,
                                tier_link) if (srv_is_usable (job->srv))
       {
@@ -288,8 +296,8 @@
 
   dequeue (pool, job);
   audit_grant (pool, job->tier);
-  charge (pool, job);
-  run (pool, job, srv, cached, now);
+  charge_org (pool, job);
+  start_running (pool, job, srv, cached, now);
   pool->decisions++;
   pool->ops->grant (pool->host, &out);
 }
@@ -322,14 +330,14 @@
   FtGrant out = { job->key.entry, job->key.request, job->srv->name };
 
   unlink_paused (pool, job);
-  /* The engine's prefix cache usually still holds the prompt; what it has lost it computes. */
-  run (pool, job, job->srv, job->prompt, now);
+  /* The engine's prefix cache usually still has the prompt, so no prefill is counted. */
+  start_running (pool, job, job->srv, job->prompt, now);
   pool->decisions++;
   pool->ops->resume (pool->host, &out);
 }
 
 static Job *
-paused_on (Srv *srv, unsigned tier)
+first_paused (Srv *srv, unsigned tier)
 {
   Job *job;
 
@@ -345,9 +353,9 @@
   for (unsigned i = 0; i < pool->servers.all->len; i++)
     {
       Srv *srv = pool->servers.all->pdata[i];
-      /* A server that leaves or is suspect still ends what it started. */
+      /* A leaving or unresponsive server may still finish its paused streams. */
       bool room = srv->in_heap || (!srv_is_usable (srv) && srv->running < srv->window);
-      Job *job = srv->paused_count && room ? paused_on (srv, tier) : NULL;
+      Job *job = srv->paused_count && room ? first_paused (srv, tier) : NULL;
       if (job)
         {
           resume_job (pool, job, now);
@@ -357,16 +365,16 @@
   return false;
 }
 
-/* Failure: long prompts of lower tiers take every server at once. Symptom: a short request of the
- * first tier waits for seconds behind one of them, or a stream is paused for nothing. A long prompt
- * leaves a fifth of the servers to others; it waits no longer than its own latest start. */
+/* If long prompts of lower tiers occupied all servers at once, a short request of the first tier
+ * would wait for seconds behind one, or a stream would be paused needlessly. So a long prompt waits
+ * while only a fifth of the servers has room, but no longer than until its latest start. */
 static bool
-holds_back (const FtPool *pool, const Job *job, int64_t now)
+must_keep_spare (const FtPool *pool, const Job *job, int64_t now)
 {
-  bool expected = false; /* a request that the spare servers are for */
+  bool expected = false; /* a higher tier is active, for which servers are kept free */
 
   for (unsigned t = 1; t < job->tier; t++)
-    expected |= pool->tiers[t].asked_at && now - pool->tiers[t].asked_at < SPARE_FOR;
+    expected |= pool->tiers[t].last_arrival && now - pool->tiers[t].last_arrival < SPARE_DURATION;
   if (pool->conf.service || !expected)
     return false;
   double ms = job->prompt / srv_mean_rate (&pool->servers);
@@ -374,9 +382,9 @@
          && pool->servers.available_count <= pool->servers.usable * SPARE_SHARE;
 }
 
-/* Grants until no server has room or nothing waits. */
+/* Grants and resumes until no server has room or no request waits. */
 static void
-pump (FtPool *pool, int64_t now)
+grant_waiting (FtPool *pool, int64_t now)
 {
   if (pool->held)
     return;
@@ -392,13 +400,13 @@
               continue;
             break;
           }
-        if (holds_back (pool, job, now))
+        if (must_keep_spare (pool, job, now))
           return;
         Srv *srv = srv_choose (&pool->servers, job->prompt, job->expected, job->blocks,
                                job->block_count, &cached);
         if (srv == NULL)
-          return; /* nothing of a lower tier may pass a waiting higher one */
-        Job *paused = srv->paused_count ? paused_on (srv, t) : NULL;
+          return; /* a lower tier must not overtake a waiting higher one */
+        Job *paused = srv->paused_count ? first_paused (srv, t) : NULL;
         if (paused)
           resume_job (pool, paused, now);
         else
@@ -408,7 +416,7 @@
 
 /* ---- Refusals ---- */
 
-/* The estimated wait of a waiting request, microseconds; G_MAXINT64 when no server is usable. */
+/* Estimated wait of a waiting request; G_MAXINT64 if no server is usable. */
 static int64_t
 estimate_wait (const FtPool *pool, const Job *job)
 {
@@ -439,8 +447,8 @@
   int64_t wait = estimate_wait (pool, job), slack = MAX (0, job->latest_start - now);
 
   if (wait == G_MAXINT64)
-    return 5 * RETRY_LEAST_MS;
-  return CLAMP ((wait - slack) / FT_MS, RETRY_LEAST_MS, RETRY_MOST_MS);
+    return 5 * RETRY_MIN_MS;
+  return CLAMP ((wait - slack) / FT_MS, RETRY_MIN_MS, RETRY_MAX_MS);
 }
 
 static void
@@ -457,20 +465,21 @@
 static void
 refuse_waiting (FtPool *pool, Job *job, FtReason reason, int64_t retry_ms, const char *rule)
 {
-  /* The analyzer does not see that dequeue takes the job out of the list that callers loop over. */
+  /* The analyzer does not see that dequeue removes the job from the list that callers iterate. */
   JobKey key = job->key; // NOLINT(clang-analyzer-unix.Malloc)
   unsigned tier = job->tier;
 
   dequeue (pool, job);
   if (ft_reason_info (reason)->shortage)
     audit_shortage (pool, tier);
-  if (job->org->limits.tokens_per_minute) /* it used nothing of its allowance */
+  if (job->org->limits.tokens_per_minute) /* it did not run: refund the charge */
     org_charge_tokens (job->org, -(job->prompt + job->expected));
-  forget (pool, job);
+  remove_job (pool, job);
   send_refusal (pool, &key, tier, reason, retry_ms, rule);
 }
 
-/* The newest running stream of the lowest tier below tier, on a server whose place can be used. */
+/* The running stream to pause for a request of tier: on a usable server, in the lowest tier below,
+ * the newest with a first token, else the newest. */
 static Job *
 find_victim (FtPool *pool, unsigned tier)
 {
@@ -495,7 +504,7 @@
 }
 
 static Job *
-best_waiting (FtPool *pool)
+first_waiting (FtPool *pool)
 {
   for (unsigned t = 1; t <= FT_TIERS; t++)
     if (pool->tiers[t].waiting)
@@ -503,8 +512,8 @@
   return NULL;
 }
 
-/* A place for a request of tier that cannot wait for one with little prompt work ahead: any place
- * that is free, else one that a lower stream is paused for. NULL: there is none. */
+/* A place for a request that cannot wait for a server with little queued prefill: any free place,
+ * else one freed by pausing a stream below tier. NULL if there is none. */
 static Srv *
 find_place (FtPool *pool, unsigned tier, const Job *job)
 {
@@ -518,8 +527,8 @@
   return srv;
 }
 
-/* A waiting request cannot start in time. Frees what lower tiers hold; refuses only if that is not
- * enough. */
+/* Handles a waiting request that cannot start in time: pauses streams of lower tiers for waiting
+ * requests, highest tier first, and refuses the request only if that is not enough. */
 static void
 handle_shortage (FtPool *pool, Job *job, FtReason reason, bool expired, int64_t now)
 {
@@ -528,7 +537,7 @@
 
   for (;;)
     {
-      Job *head = best_waiting (pool);
+      Job *head = first_waiting (pool);
       Srv *srv = find_place (pool, tier, head);
       double cached = 0;
 
@@ -542,9 +551,9 @@
         return;
     }
   if (pool->servers.usable == 0)
-    g_snprintf (rule, sizeof rule, "no usable backend server among %u", pool->servers.all->len);
+    g_snprintf (rule, sizeof rule, "none of %u backend servers is usable", pool->servers.all->len);
   else
-    g_snprintf (rule, sizeof rule, "tier %u: %u waiting, %.0f places, wait about %.1f s", tier,
+    g_snprintf (rule, sizeof rule, "tier %u: %u waiting, %.0f places, estimated wait %.1f s", tier,
                 pool->tiers[tier].waiting, pool->servers.slots,
                 (double) estimate_wait (pool, job) / FT_SECOND);
   if (pool->servers.usable == 0)
@@ -553,7 +562,7 @@
 }
 
 static void
-expire (FtPool *pool, int64_t now)
+expire_waiting (FtPool *pool, int64_t now)
 {
   FtHeapNode *top;
 
@@ -563,44 +572,44 @@
     handle_shortage (pool, cds_list_entry (top, Job, expiry), FT_REASON_SHORTAGE, true, now);
 }
 
-/* ---- Asking ---- */
+/* ---- Arrival ---- */
 
 static Org *
-find_org (FtPool *pool, const FtPoolRequest *ask, int64_t now)
+find_org (FtPool *pool, const FtPoolRequest *req, int64_t now)
 {
-  Org *org = g_hash_table_lookup (pool->orgs, ask->org);
+  Org *org = g_hash_table_lookup (pool->orgs, req->org);
 
   if (org == NULL)
     {
-      org = org_new (ask->org, now);
+      org = org_new (req->org, now);
       g_hash_table_insert (pool->orgs, org->name, org);
     }
-  org->limits = ask->limits;
+  org->limits = req->limits;
   if (org->active == 0)
-    org->weight = MAX (1, ask->weight);
+    org->weight = MAX (1, req->weight);
   return org;
 }
 
 static Job *
-make_job (FtPool *pool, const FtPoolRequest *ask, Org *org, int64_t now)
+make_job (FtPool *pool, const FtPoolRequest *req, Org *org, int64_t now)
 {
-  unsigned blocks = MIN (ask->block_count, FT_BLOCKS_MAX);
+  unsigned blocks = MIN (req->block_count, FT_BLOCKS_MAX);
   Job *job = g_malloc0 (sizeof (Job) + blocks * sizeof (uint64_t));
 
-  job->key = (JobKey){ ask->entry, ask->request };
-  job->tier = CLAMP (ask->tier, 1, FT_TIERS);
+  job->key = (JobKey){ req->entry, req->request };
+  job->tier = CLAMP (req->tier, 1, FT_TIERS);
   job->org = org;
-  job->class_name = g_strdup (ask->class_name);
-  job->prompt = ask->prompt_tokens;
-  job->expected = pool->conf.service ? 1 : org_expected_tokens (org, ask->class_name);
-  if (ask->most_tokens)
-    job->expected = MIN (job->expected, ask->most_tokens);
-  job->asked_at = now;
-  job->first_by = now + ask->first_token_in_us;
-  job->due = now + ask->deadline_in_us;
+  job->class_name = g_strdup (req->class_name);
+  job->prompt = req->prompt_tokens;
+  job->expected = pool->conf.service ? 1 : org_expected_tokens (org, req->class_name);
+  if (req->most_tokens)
+    job->expected = MIN (job->expected, req->most_tokens);
+  job->arrived_at = now;
+  job->first_token_due = now + req->first_token_in_us;
+  job->due = now + req->deadline_in_us;
   job->block_count = blocks;
   if (blocks)
-    memcpy (job->blocks, ask->blocks, blocks * sizeof (uint64_t));
+    memcpy (job->blocks, req->blocks, blocks * sizeof (uint64_t));
   double prefill_ms = job->prompt / srv_mean_rate (&pool->servers);
   double answer_ms = job->expected * srv_mean_gap_ms (&pool->servers);
   job->charged = pool->conf.service ? 1 : answer_ms + PREFILL_WEIGHT * prefill_ms;
@@ -608,24 +617,26 @@
     prefill_ms = answer_ms = 0;
   int64_t to_first = (int64_t) (prefill_ms * FT_MS) + START_MARGIN;
   int64_t to_end = (int64_t) ((prefill_ms + answer_ms) * FT_MS) + START_MARGIN;
-  job->latest_start = MIN (job->first_by - to_first, job->due - to_end);
-  /* Failure: a long prompt alone exceeds the first-token target. Symptom: refused as shortage on
-   * an idle pool. What counts for the caller then is the deadline of the whole answer. */
+  job->latest_start = MIN (job->first_token_due - to_first, job->due - to_end);
+  /* The prefill of a long prompt may exceed the first-token target by itself, and the request would
+   * be refused for shortage on an idle pool. Then only the deadline of the complete answer counts.
+   */
   if (job->latest_start < now)
     job->latest_start = MIN (now + START_MARGIN, job->due - to_end);
   return job;
 }
 
-/* Even alone on a server it would miss its deadline by far: the caller's deadline is at fault. */
+/* True if it would miss its deadline by far even alone on a server: the caller's deadline is too
+ * short. */
 static bool
-is_hopeless (const FtPool *pool, const Job *job, int64_t now)
+cannot_meet_deadline (const FtPool *pool, const Job *job, int64_t now)
 {
   if (pool->conf.service)
     return false;
   double prefill_ms = job->prompt / srv_mean_rate (&pool->servers);
-  double answer_ms = job->expected * srv_mean_gap_ms (&pool->servers) * LATE_WORK_SHARE;
+  double answer_ms = job->expected * srv_mean_gap_ms (&pool->servers) * WORK_SHARE_MIN;
 
-  return now + (int64_t) ((prefill_ms * LATE_WORK_SHARE + answer_ms) * FT_MS) > job->due;
+  return now + (int64_t) ((prefill_ms * WORK_SHARE_MIN + answer_ms) * FT_MS) > job->due;
 }
 
 static void
@@ -639,7 +650,7 @@
 }
 
 static unsigned
-waiting_in_all (const FtPool *pool)
+total_waiting (const FtPool *pool)
 {
   unsigned sum = 0;
 
@@ -648,12 +659,12 @@
   return sum;
 }
 
-/* More wait than the queue's limit allows: a lower running stream is paused for the first that
- * waits, or the last of the lowest tier leaves. */
+/* While the queue exceeds its limit, pauses a lower running stream to grant the first waiting
+ * request, or else refuses the last request of the lowest tier. */
 static void
-shrink_queue (FtPool *pool, const JobKey *newest, int64_t now)
+enforce_queue_limit (FtPool *pool, const JobKey *newest, int64_t now)
 {
-  while (waiting_in_all (pool) > pool->conf.queue)
+  while (total_waiting (pool) > pool->conf.queue)
     {
       unsigned t = FT_TIERS;
       while (pool->tiers[t].waiting == 0)
@@ -663,30 +674,32 @@
         {
           Srv *srv = victim->srv;
           pause_job (pool, victim);
-          grant (pool, best_waiting (pool), srv, 0, now);
+          grant (pool, first_waiting (pool), srv, 0, now);
           continue;
         }
       last = cds_list_entry (last->org->queue[t].waiting.prev, Job, link);
       bool own = job_equal (&last->key, newest);
       refuse_waiting (pool, last, own ? FT_REASON_QUEUE_FULL : FT_REASON_SHED_FOR_HIGHER_TIER,
-                      retry_after_ms (pool, last, now), "the queue's limit of the catalogue");
+                      retry_after_ms (pool, last, now),
+                      "the catalogue's limit of waiting requests");
     }
 }
 
 FtStatus
-ft_pool_submit (FtPool *pool, const FtPoolRequest *ask)
+ft_pool_submit (FtPool *pool, const FtPoolRequest *req)
 {
   int64_t now = ft_clock_now (pool->clock), wait_ms = 0;
-  JobKey key = { ask->entry, ask->request };
+  JobKey key = { req->entry, req->request };
   char rule[128] = "";
 
   if (g_hash_table_contains (pool->jobs, &key))
-    return FT_CONFLICT; /* asked again after a lost message: the first ask stands */
-  Org *org = find_org (pool, ask, now);
-  Job *job = make_job (pool, ask, org, now);
-  if (is_hopeless (pool, job, now))
+    return FT_CONFLICT; /* sent again after a lost message: the first submission stands */
+  Org *org = find_org (pool, req, now);
+  Job *job = make_job (pool, req, org, now);
+  if (cannot_meet_deadline (pool, job, now))
     {
-      g_snprintf (rule, sizeof rule, "%u prompt tokens and about %.0f of answer by the deadline",
+      g_snprintf (rule, sizeof rule,
+                  "%u prompt tokens and about %.0f answer tokens do not fit before the deadline",
                   job->prompt, job->expected);
       refuse_new (pool, job, FT_REASON_DEADLINE_TOO_SHORT, 0, rule);
       return FT_OK;
@@ -699,14 +712,14 @@
     }
   g_hash_table_insert (pool->jobs, &job->key, job);
   org->active++;
-  pool->tiers[job->tier].asked_at = now;
+  pool->tiers[job->tier].last_arrival = now;
   enqueue (pool, job);
-  pump (pool, now);
+  grant_waiting (pool, now);
   if (!g_hash_table_contains (pool->jobs, &key) || job->state != JOB_WAITING || pool->held)
     return FT_OK;
   if (pool->conf.queue)
     {
-      shrink_queue (pool, &key, now);
+      enforce_queue_limit (pool, &key, now);
       if (g_hash_table_lookup (pool->jobs, &key) != job || job->state != JOB_WAITING)
         return FT_OK;
     }
@@ -716,11 +729,11 @@
 }
 
 FtStatus
-ft_pool_adopt (FtPool *pool, const FtPoolRequest *ask, const char *server, unsigned tokens,
+ft_pool_adopt (FtPool *pool, const FtPoolRequest *req, const char *server, unsigned tokens,
                bool paused)
 {
   int64_t now = ft_clock_now (pool->clock);
-  JobKey key = { ask->entry, ask->request };
+  JobKey key = { req->entry, req->request };
   Srv *srv = srv_find (&pool->servers, server);
 
   if (g_hash_table_contains (pool->jobs, &key))
@@ -729,11 +742,11 @@
     srv = srv_update (&pool->servers, server, 0, FT_SERVER_GONE, now);
   if (srv == NULL)
     return FT_FULL;
-  Org *org = find_org (pool, ask, now);
-  Job *job = make_job (pool, ask, org, now);
+  Org *org = find_org (pool, req, now);
+  Job *job = make_job (pool, req, org, now);
   g_hash_table_insert (pool->jobs, &job->key, job);
   org->active++;
-  run (pool, job, srv, tokens ? job->prompt : 0, now);
+  start_running (pool, job, srv, tokens ? job->prompt : 0, now);
   job->tokens = tokens;
   if (paused)
     {
@@ -765,18 +778,18 @@
       job->tokens = tokens;
       job->last_progress = now;
     }
-  else if (now - job->last_progress >= SAMPLE_LEAST)
+  else if (now - job->last_progress >= SAMPLE_MIN)
     {
       srv_gap_sample (&pool->servers, job->srv, (double) (now - job->last_progress) / FT_MS,
                       tokens - job->tokens, now);
       job->tokens = tokens;
       job->last_progress = now;
     }
-  pump (pool, now);
+  grant_waiting (pool, now);
 }
 
 static void
-settle (FtPool *pool, Job *job, FtOutcome how, unsigned tokens)
+correct_charge (FtPool *pool, Job *job, FtOutcome how, unsigned tokens)
 {
   OrgQueue *queue = &job->org->queue[job->tier];
 
@@ -811,16 +824,16 @@
   else
     {
       stop_running (pool, job);
-      settle (pool, job, how, tokens);
+      correct_charge (pool, job, how, tokens);
       if (how == FT_OUTCOME_NOT_CONNECTED)
         {
-          job->srv->suspect = true;
+          job->srv->unresponsive = true;
           job->srv->probe_at = now + job->srv->probe_wait;
           srv_update (&pool->servers, job->srv->name, job->srv->incarnation, job->srv->state, now);
         }
     }
-  forget (pool, job);
-  pump (pool, now);
+  remove_job (pool, job);
+  grant_waiting (pool, now);
 }
 
 void
@@ -848,7 +861,7 @@
 
   if (srv_update (&pool->servers, name, incarnation, state, now) == NULL)
     return FT_FULL;
-  pump (pool, now);
+  grant_waiting (pool, now);
   return FT_OK;
 }
 
@@ -857,9 +870,10 @@
 {
   Srv *srv = srv_find (&pool->servers, name);
 
-  /* Reports lag, so they never add room. One use is left: a suspect server that reports an empty
-   * queue and nothing running has lost our streams and may be probed at once. */
-  if (srv && srv->suspect && running == 0 && waiting == 0 && age < 3 * FT_SECOND)
+  /* Reports are too old to decide whether a server has room. They are used for one case only: an
+   * unresponsive server that reports nothing running or waiting has lost our streams and may be
+   * probed at once. */
+  if (srv && srv->unresponsive && running == 0 && waiting == 0 && age < 3 * FT_SECOND)
     srv->probe_at = MIN (srv->probe_at, ft_clock_now (pool->clock) + age);
 }
 
@@ -895,8 +909,8 @@
     while (org->queue[t].count && org->active > limits->concurrent)
       {
         Job *newest = cds_list_entry (org->queue[t].waiting.prev, Job, link);
-        refuse_waiting (pool, newest, FT_REASON_LIMIT_CONCURRENT, RETRY_LEAST_MS,
-                        "the catalogue's limit of requests at once was lowered");
+        refuse_waiting (pool, newest, FT_REASON_LIMIT_CONCURRENT, RETRY_MIN_MS,
+                        "the catalogue's limit of concurrent requests was lowered");
       }
 }
 
@@ -906,8 +920,8 @@
   int64_t now = ft_clock_now (pool->clock);
 
   srv_tick (&pool->servers, now);
-  pump (pool, now);
-  expire (pool, now);
+  grant_waiting (pool, now);
+  expire_waiting (pool, now);
 }
 
 void
--- a/src/srv.c
+++ b/src/srv.c
@@ -1,46 +1,64 @@
-/* srv.c - speed, window and choice of backend servers.
+/* srv.c - measured speed, concurrency window and choice of backend servers.
  *
- * Engines batch continuously, know no tiers and admit all they get, so each gets no more streams
- * at once than its window, and the rest waits with us where tiers count. The window follows
- * measured gaps between tokens: above the target it shrinks in proportion, below it grows by one
- * when it was in use (the additive increase and multiplicative decrease of congestion control,
- * Chiu and Jain 1989). Load reports lag by seconds and are not part of it.
+ * Engines batch continuously, know no tiers and accept everything they are sent. So each gets no
+ * more concurrent streams than its window, and other requests wait in the pool's queue, which
+ * respects tiers. The window follows the measured gaps between tokens: above the target it shrinks
+ * in proportion, below the target it grows by one if it was in use (additive increase and
+ * multiplicative decrease as in congestion control, Chiu and Jain 1989). Load reports are not used
+ * for it, since they are seconds old.
  *
- * The choice is by expected finish in milliseconds:
+ * The server with the lowest expected time to the end of the answer is chosen, in milliseconds:
  *
  *   backlog / rate + prompt not cached / rate + expected answer * gap
  *
- * Servers with room are kept in a heap by this cost for a reference request, so one decision looks
- * at the cheapest few and at those that hold part of the prompt, not at all of them.
+ * Servers with room are kept in a heap by this cost for a reference request, so a decision compares
+ * the cheapest one with those that cache part of the prompt, instead of all servers.
  *
- * A server that accepts and never answers is told from a slow one by silence: nothing at all came
- * from any of its streams for SILENCE_MS. It gets no more work until something comes, or one probe
- * request at a time after a wait that doubles.
+ * A server that accepts requests but never answers differs from a slow one in that none of its
+ * streams produces anything for SILENCE_TIMEOUT_MS. It is then unresponsive and gets no requests
+ * until one of its streams produces something, or until a probe: a single request after a delay
+ * that doubles each time.
  */
 #include "srv.h"
 
 #include <math.h>
 
-/* Tuning; each row with its reason. */
-#define WINDOW_START     8.0           /* streams; low enough for the slowest generation's target */
-#define WINDOW_LEAST     1.0           /* a slow server still ends what it has */
-#define GAP_WEIGHT       0.15          /* of a new sample; about seven samples to follow a step */
-#define GROW_BELOW       0.93          /* of the target; keeps room for prompt work */
-#define GROW_AFTER       4             /* samples between two increases */
-#define DECREASE_EVERY   (250 * FT_MS) /* one decrease must show before the next is decided */
-#define DECREASE_MOST    0.5           /* a stall of one sample must not empty a window at once */
-#define RATE_START       2.0           /* prompt tokens a ms of the slowest generation */
-#define RATE_WEIGHT      0.2
-#define BACKLOG_MS       700.0  /* prompt work ahead; a third of the 2 s first-token target */
-#define URGENT_MS        1500.0 /* for a request that cannot wait: what two seconds still bear */
-#define SILENCE_MS       2500   /* longest stall of a healthy engine is a prompt of about 2 s */
-#define PROBE_FIRST      (2 * FT_SECOND)
-#define PROBE_MOST       (30 * FT_SECOND)
-#define SERVERS_MOST     2048  /* 1,300 replicas in one pool, with room to replace each once */
-#define PREFIX_BLOCKS    4096  /* 256k tokens of cache, what an engine keeps for prefixes */
-#define REFERENCE_PROMPT 300.0 /* tokens; the median short question */
+/* Tuning constants. */
+
+/* streams; low enough for the slowest hardware to meet its target */
+#define WINDOW_INITIAL 8.0
+/* a slow server still makes progress */
+#define WINDOW_MIN 1.0
+/* of a new sample; follows a step in about seven samples */
+#define GAP_WEIGHT 0.15
+/* of the target; leaves a margin for prefill */
+#define GROW_BELOW_SHARE 0.93
+/* minimum of samples between two increases */
+#define GROW_AFTER_SAMPLES 4
+/* minimum time between two decreases, so that the effect of the first is seen */
+#define DECREASE_INTERVAL (250 * FT_MS)
+/* smallest factor of a decrease, so that one stalled sample does not empty the window */
+#define DECREASE_FACTOR_MIN 0.5
+/* prompt tokens per ms on the slowest hardware */
+#define RATE_INITIAL 2.0
+#define RATE_WEIGHT  0.2
+/* limit of queued prefill; a third of the 2 s target of the first token */
+#define BACKLOG_MAX_MS 700.0
+/* the same for a request that cannot wait; still meets the 2 s target */
+#define URGENT_BACKLOG_MAX_MS 1500.0
+/* a healthy engine stalls for at most about 2 s, during a long prefill */
+#define SILENCE_TIMEOUT_MS 2500
+#define PROBE_WAIT_INITIAL (2 * FT_SECOND)
+#define PROBE_WAIT_MAX     (30 * FT_SECOND)
+/* 1,300 replicas in one pool and room for replacements */
+#define SERVERS_MAX 2048
+/* 256k tokens, as much as an engine caches for prefixes */
+#define PREFIX_BLOCKS_MAX 4096
+/* tokens of prompt and answer; a median short question */
+#define REFERENCE_PROMPT 300.0
 #define REFERENCE_OUT    150.0
-#define CANDIDATES       8 /* holders of a prefix that are compared */
+/* servers caching a prefix that are compared */
+#define CANDIDATES_MAX 8
 
 void
 srv_set_init (SrvSet *set, const FtPoolConf *conf)
@@ -48,7 +66,7 @@
   set->all = g_ptr_array_new ();
   set->by_name = g_hash_table_new (g_str_hash, g_str_equal);
   set->room.root = NULL;
-  set->prefix = conf->service ? NULL : ft_prefix_new (SERVERS_MOST, PREFIX_BLOCKS);
+  set->prefix = conf->service ? NULL : ft_prefix_new (SERVERS_MAX, PREFIX_BLOCKS_MAX);
   set->slots = set->mean_gap = set->mean_rate = 0;
   set->usable = set->available_count = 0;
   set->target_ms = conf->inter_token_ms;
@@ -79,7 +97,7 @@
 bool
 srv_is_usable (const Srv *srv)
 {
-  return srv->state == FT_SERVER_LIVE && !srv->suspect;
+  return srv->state == FT_SERVER_LIVE && !srv->unresponsive;
 }
 
 static double
@@ -93,10 +111,11 @@
 {
   if (!srv_is_usable (srv) || srv->running + 1 > srv->window + 1e-9)
     return false;
-  return set->service || srv->running == 0 || backlog_ms (srv) <= BACKLOG_MS;
+  return set->service || srv->running == 0 || backlog_ms (srv) <= BACKLOG_MAX_MS;
 }
 
-/* One more stream slows all of them a little: about one part in 24 + n on the engines measured. */
+/* Expected gap with one more stream. On the engines measured, it grows by one part in 24 + n for n
+ * running streams. */
 static double
 gap_with_one_more (const SrvSet *set, const Srv *srv)
 {
@@ -113,8 +132,10 @@
   return backlog_ms (srv) + prefill / srv->prefill_rate + out * gap_with_one_more (set, srv);
 }
 
-/* Means for estimates, over all servers, taken with each tick: an estimate bears means that are
- * 50 ms old, a decision does not bear looking at 1,300 servers. */
+/* Computes the means over all servers. It runs with each tick and not for each decision: means that
+ * are 50 ms old are good enough for estimates, and a scan of 1,300 servers per decision is too
+ * slow.
+ */
 static void
 refresh_means (SrvSet *set)
 {
@@ -136,7 +157,7 @@
 }
 
 static void
-recount (SrvSet *set)
+recompute_sums (SrvSet *set)
 {
   set->slots = 0;
   set->usable = 0;
@@ -173,20 +194,20 @@
 {
   double before = floor (srv->window + 1e-9);
 
-  srv->window = CLAMP (window, WINDOW_LEAST, (double) set->window_max);
+  srv->window = CLAMP (window, WINDOW_MIN, (double) set->window_max);
   if (srv_is_usable (srv))
     set->slots += floor (srv->window + 1e-9) - before;
 }
 
 static void
-forget_speed (SrvSet *set, Srv *srv)
+reset_measurements (SrvSet *set, Srv *srv)
 {
   srv->window
-      = set->service ? (double) set->window_max : MIN (WINDOW_START, (double) set->window_max);
+      = set->service ? (double) set->window_max : MIN (WINDOW_INITIAL, (double) set->window_max);
   srv->gap_ms = 0;
-  srv->prefill_rate = RATE_START;
-  srv->suspect = false;
-  srv->probe_wait = PROBE_FIRST;
+  srv->prefill_rate = RATE_INITIAL;
+  srv->unresponsive = false;
+  srv->probe_wait = PROBE_WAIT_INITIAL;
   srv->last_event = 0;
   if (set->prefix)
     ft_prefix_clear (set->prefix, srv->index);
@@ -199,7 +220,7 @@
 
   if (srv == NULL)
     {
-      if (set->all->len == SERVERS_MOST)
+      if (set->all->len == SERVERS_MAX)
         return NULL;
       srv = g_new0 (Srv, 1);
       srv->name = g_strdup (name);
@@ -209,15 +230,15 @@
       CDS_INIT_LIST_HEAD (&srv->paused);
       g_ptr_array_add (set->all, srv);
       g_hash_table_insert (set->by_name, srv->name, srv);
-      forget_speed (set, srv);
+      reset_measurements (set, srv);
     }
   else if (srv->incarnation != incarnation)
     {
       srv->incarnation = incarnation;
-      forget_speed (set, srv);
+      reset_measurements (set, srv);
     }
   srv->state = state;
-  recount (set);
+  recompute_sums (set);
   srv_refresh (set, srv);
   return srv;
 }
@@ -227,14 +248,14 @@
             double *cached)
 {
   Srv *best = (Srv *) (void *) ft_heap_top (&set->room);
-  unsigned holders[CANDIDATES];
+  unsigned holders[CANDIDATES_MAX];
 
   *cached = 0;
   if (best == NULL || set->prefix == NULL || count == 0)
     return best;
   *cached = ft_prefix_match (set->prefix, best->index, blocks, count) * FT_BLOCK_TOKENS;
   double best_cost = srv_cost_ms (set, best, prompt - *cached, out);
-  unsigned found = ft_prefix_holders (set->prefix, blocks, count, holders, CANDIDATES);
+  unsigned found = ft_prefix_holders (set->prefix, blocks, count, holders, CANDIDATES_MAX);
   for (unsigned i = 0; i < found; i++)
     {
       Srv *srv = set->all->pdata[holders[i]];
@@ -262,7 +283,8 @@
       Srv *srv = set->all->pdata[i];
       double cost = srv_cost_ms (set, srv, prompt, out);
       if (!srv_is_usable (srv) || srv->running + 1 > srv->window + 1e-9
-          || (best && cost >= best_cost) || (!set->service && backlog_ms (srv) > URGENT_MS))
+          || (best && cost >= best_cost)
+          || (!set->service && backlog_ms (srv) > URGENT_BACKLOG_MAX_MS))
         continue;
       best = srv;
       best_cost = cost;
@@ -288,21 +310,21 @@
 }
 
 static void
-seen_alive (SrvSet *set, Srv *srv, int64_t now)
+note_progress (SrvSet *set, Srv *srv, int64_t now)
 {
   srv->last_progress = now;
-  if (!srv->suspect)
+  if (!srv->unresponsive)
     return;
-  srv->suspect = false;
-  srv->probe_wait = PROBE_FIRST;
-  srv->window = WINDOW_LEAST;
-  recount (set);
+  srv->unresponsive = false;
+  srv->probe_wait = PROBE_WAIT_INITIAL;
+  srv->window = WINDOW_MIN;
+  recompute_sums (set);
 }
 
 void
 srv_first_token (SrvSet *set, Srv *srv, double prefill, double work, double ms, int64_t now)
 {
-  seen_alive (set, srv, now);
+  note_progress (set, srv, now);
   srv->backlog = MAX (0, srv->backlog - prefill);
   if (!set->service && work > FT_BLOCK_TOKENS && ms > 1)
     srv->prefill_rate += (CLAMP (work / ms, 0.05, 100.0) - srv->prefill_rate) * RATE_WEIGHT;
@@ -314,20 +336,21 @@
 {
   double target = (double) set->target_ms, gap = ms / tokens;
 
-  seen_alive (set, srv, now);
+  note_progress (set, srv, now);
   if (set->service)
     return;
   srv->gap_ms = srv->gap_ms > 0 ? srv->gap_ms + (gap - srv->gap_ms) * GAP_WEIGHT : gap;
   srv->samples_since_change++;
-  if (srv->gap_ms > target && now - srv->last_decrease >= DECREASE_EVERY)
+  if (srv->gap_ms > target && now - srv->last_decrease >= DECREASE_INTERVAL)
     {
       double used = MIN (srv->window, srv->running + 1.0);
-      set_window (set, srv, used * MAX (DECREASE_MOST, target * GROW_BELOW / srv->gap_ms));
+      set_window (set, srv,
+                  used * MAX (DECREASE_FACTOR_MIN, target * GROW_BELOW_SHARE / srv->gap_ms));
       srv->last_decrease = now;
       srv->samples_since_change = 0;
     }
-  else if (srv->gap_ms < target * GROW_BELOW && srv->running + 1 >= srv->window
-           && srv->samples_since_change >= GROW_AFTER)
+  else if (srv->gap_ms < target * GROW_BELOW_SHARE && srv->running + 1 >= srv->window
+           && srv->samples_since_change >= GROW_AFTER_SAMPLES)
     {
       set_window (set, srv, srv->window + 1);
       srv->samples_since_change = 0;
@@ -344,22 +367,23 @@
       Srv *srv = set->all->pdata[i];
       if (srv->state != FT_SERVER_LIVE || set->service)
         continue;
-      /* Failure: a server accepts and never answers. Symptom: requests granted to it die at their
-       * deadlines, and it looks idle, so it attracts more. One silent stream may be a caller's
-       * doing; silence of all of them is the server's. */
-      if (!srv->suspect && srv->running > 0 && now - srv->last_progress > SILENCE_MS * FT_MS)
+      /* A server that accepts requests but never answers lets them miss their deadlines, and as it
+       * looks idle it attracts more. One silent stream may be due to its caller; if all streams
+       * are silent, the server is at fault. */
+      if (!srv->unresponsive && srv->running > 0
+          && now - srv->last_progress > SILENCE_TIMEOUT_MS * FT_MS)
         {
-          srv->suspect = true;
+          srv->unresponsive = true;
           srv->probe_at = now + srv->probe_wait;
-          recount (set);
+          recompute_sums (set);
           srv_refresh (set, srv);
         }
-      else if (srv->suspect && srv->running == 0 && now >= srv->probe_at)
+      else if (srv->unresponsive && srv->running == 0 && now >= srv->probe_at)
         {
-          srv->suspect = false;
-          srv->probe_wait = MIN (srv->probe_wait * 2, PROBE_MOST);
-          srv->window = WINDOW_LEAST;
-          recount (set);
+          srv->unresponsive = false;
+          srv->probe_wait = MIN (srv->probe_wait * 2, PROBE_WAIT_MAX);
+          srv->window = WINDOW_MIN;
+          recompute_sums (set);
           srv_refresh (set, srv);
         }
     }
@@ -374,5 +398,5 @@
 double
 srv_mean_rate (const SrvSet *set)
 {
-  return set->mean_rate > 0 ? set->mean_rate : RATE_START;
+  return set->mean_rate > 0 ? set->mean_rate : RATE_INITIAL;
 }
