--- a/daemon/edge.c
+++ b/daemon/edge.c
@@ -239,7 +239,7 @@
 {
   int64_t asked = core_now (edge->core);
 
-  ft_req_set_state (call->req, FT_REQ_ASKED);
+  ft_req_set_state (call->req, FT_REQ_SUBMITTED);
   stat_tier (STAT_OFFERED, call->tier);
   core_ask (edge->core, call);
   for (unsigned tries = 1;; tries++)
--- a/src/cat.c
+++ b/src/cat.c
@@ -1,8 +1,7 @@
-/* cat.c - the catalogue: organisations, classes and pools, checked as a whole, never changed.
+/* cat.c - the catalogue: organisations, classes and pools, validated as a whole and immutable.
  *
- * One text is one revision. Each entry names an owner, a class and limits. A reader takes a
- * reference and sees one revision throughout a request, so that a change never applies to half of
- * a decision.
+ * Each revision is one text. A reader takes a reference and uses the same revision for a whole
+ * request, so that a change never takes effect in the middle of a decision.
  */
 #include "foxtail.h"
 
@@ -18,24 +17,25 @@
   GHashTable *org_by_name, *class_by_name, *pool_by_name, *pool_by_model;
 };
 
-#define COUNT_MOST G_GINT64_CONSTANT (1000000000)
-#define DAY_MS     G_GINT64_CONSTANT (86400000)
+#define COUNT_MAX G_GINT64_CONSTANT (1000000000)
+#define DAY_MS    G_GINT64_CONSTANT (86400000)
 
 static const FtField limit_fields[] = {
-  { "concurrent", FT_FIELD_INTEGER, false, 0, COUNT_MOST, "0", offsetof (FtLimits, concurrent),
-    "requests at once; 0: no limit" },
-  { "requests_per_minute", FT_FIELD_INTEGER, false, 0, COUNT_MOST, "0",
-    offsetof (FtLimits, requests_per_minute), "requests a minute; 0: no limit" },
-  { "tokens_per_minute", FT_FIELD_INTEGER, false, 0, COUNT_MOST, "0",
-    offsetof (FtLimits, tokens_per_minute), "tokens of prompt and answer a minute; 0: no limit" },
-  { "queue", FT_FIELD_INTEGER, false, 0, COUNT_MOST, "0", offsetof (FtLimits, queue),
+  { "concurrent", FT_FIELD_INTEGER, false, 0, COUNT_MAX, "0", offsetof (FtLimits, concurrent),
+    "concurrent requests; 0: no limit" },
+  { "requests_per_minute", FT_FIELD_INTEGER, false, 0, COUNT_MAX, "0",
+    offsetof (FtLimits, requests_per_minute), "requests per minute; 0: no limit" },
+  { "tokens_per_minute", FT_FIELD_INTEGER, false, 0, COUNT_MAX, "0",
+    offsetof (FtLimits, tokens_per_minute), "tokens of prompt and answer per minute; 0: no limit" },
+  { "queue", FT_FIELD_INTEGER, false, 0, COUNT_MAX, "0", offsetof (FtLimits, queue),
     "waiting requests; 0: no limit" },
   { 0 },
 };
 
 static const FtField org_fields[] = {
   { "name", FT_FIELD_STRING, true, 1, 63, NULL, offsetof (FtOrg, name), "the organisation's name" },
-  { "owner", FT_FIELD_STRING, true, 1, 127, NULL, offsetof (FtOrg, owner), "who answers for it" },
+  { "owner", FT_FIELD_STRING, true, 1, 127, NULL, offsetof (FtOrg, owner),
+    "who is responsible for it" },
   { "class", FT_FIELD_STRING, true, 1, 63, NULL, offsetof (FtOrg, class_name),
     "class of requests that name none" },
   { "key_sha256", FT_FIELD_STRING, true, 64, 64, NULL, offsetof (FtOrg, key_sha256),
@@ -47,20 +47,21 @@
 
 static const FtField class_fields[] = {
   { "name", FT_FIELD_STRING, true, 1, 63, NULL, offsetof (FtClass, name), "the class's name" },
-  { "owner", FT_FIELD_STRING, true, 1, 127, NULL, offsetof (FtClass, owner), "who answers for it" },
+  { "owner", FT_FIELD_STRING, true, 1, 127, NULL, offsetof (FtClass, owner),
+    "who is responsible for it" },
   { "tier", FT_FIELD_INTEGER, true, 1, FT_TIERS, NULL, offsetof (FtClass, tier),
-    "1 (served first) to 5" },
+    "1 (highest) to 5" },
   { "first_token_ms", FT_FIELD_INTEGER, false, 1, DAY_MS, "2000",
     offsetof (FtClass, first_token_ms), "milliseconds to the first token" },
   { "deadline_ms", FT_FIELD_INTEGER, false, 1, DAY_MS, "60000", offsetof (FtClass, deadline_ms),
-    "milliseconds to the whole answer" },
+    "milliseconds to the complete answer" },
   { 0 },
 };
 
 static const FtField pool_fields[] = {
   { "name", FT_FIELD_STRING, true, 1, 63, NULL, offsetof (FtPoolEntry, name), "the pool's name" },
   { "owner", FT_FIELD_STRING, true, 1, 127, NULL, offsetof (FtPoolEntry, owner),
-    "who answers for it" },
+    "who is responsible for it" },
   { "class", FT_FIELD_STRING, true, 1, 63, NULL, offsetof (FtPoolEntry, class_name),
     "class of requests whose organisation names none" },
   { "kind", FT_FIELD_STRING, true, 5, 7, NULL, offsetof (FtPoolEntry, kind),
@@ -70,16 +71,16 @@
   { "version", FT_FIELD_STRING, false, 0, 63, "", offsetof (FtPoolEntry, version),
     "model pools: the version to be loaded" },
   { "path", FT_FIELD_STRING, false, 0, 127, "", offsetof (FtPoolEntry, path),
-    "service pools: the path's prefix" },
+    "service pools: the path prefix" },
   { "region", FT_FIELD_STRING, false, 0, 63, "", offsetof (FtPoolEntry, region), "its region" },
   { "inter_token_ms", FT_FIELD_INTEGER, false, 1, 10000, "27",
-    offsetof (FtPoolEntry, inter_token_ms), "target between two tokens, milliseconds" },
+    offsetof (FtPoolEntry, inter_token_ms), "target time between two tokens, milliseconds" },
   { "window", FT_FIELD_INTEGER, false, 1, 4096, "64", offsetof (FtPoolEntry, window),
-    "most requests at once on one backend server" },
+    "maximum of concurrent requests on one backend server" },
   { "idempotent", FT_FIELD_BOOL, false, 0, 0, "true", offsetof (FtPoolEntry, idempotent),
-    "false: no call of it may run twice" },
+    "false: no call may run twice" },
   { "fencing_check", FT_FIELD_BOOL, false, 0, 0, "false", offsetof (FtPoolEntry, fencing_check),
-    "its backend servers refuse orders with an old fencing number" },
+    "its backend servers reject orders with an outdated fencing number" },
   { 0 },
 };
 
@@ -105,7 +106,7 @@
 }
 
 static bool
-name_is_plain (const char *name)
+is_valid_name (const char *name)
 {
   for (; *name; name++)
     if (!g_ascii_isalnum (*name) && !strchr ("._-", *name))
@@ -113,7 +114,7 @@
   return true;
 }
 
-/* One section of the catalogue: what differs between organisations, classes and pools. */
+/* A section of the catalogue, with what differs between organisations, classes and pools. */
 typedef struct
 {
   const char *name;
@@ -147,7 +148,7 @@
                              (char *) record + section->limits_offset, error);
   else
     status = ft_error_set (error, FT_INVALID, ft_json_line (doc, path), limits_path,
-                           "is missing: every entry names its limits, {} for none");
+                           "is missing: every entry must have limits, {} for none");
   g_free (limits_path);
   return status;
 }
@@ -175,12 +176,12 @@
         {
           char *name = *(char **) ((char *) record + section->name_offset);
           char *field = g_strconcat (path, ".name", NULL);
-          if (!name_is_plain (name))
+          if (!is_valid_name (name))
             status = ft_error_set (error, FT_INVALID, ft_json_line (doc, field), field,
-                                   "may hold letters, digits, '.', '_' and '-' only");
+                                   "may contain only letters, digits, '.', '_' and '-'");
           else if (!g_hash_table_insert (by_name, name, record))
             status = ft_error_set (error, FT_INVALID, ft_json_line (doc, field), field,
-                                   "\"%s\" stands twice among %s", name, section->name);
+                                   "\"%s\" occurs twice in %s", name, section->name);
           g_free (field);
         }
       g_free (path);
@@ -216,7 +217,7 @@
                           "must be 64 lower-case hex digits");
       else if (!g_hash_table_add (keys, org->key_sha256))
         status = fail_at (doc, "organisations", i, "key_sha256", error,
-                          "is the key of another organisation too");
+                          "is also the key of another organisation");
       else if (!ft_cat_class (cat, org->class_name))
         status = fail_at (doc, "organisations", i, "class", error, "is not among classes");
     }
@@ -237,15 +238,16 @@
       if (!ft_cat_class (cat, pool->class_name))
         return fail_at (doc, "pools", i, "class", error, "is not among classes");
       if (model && !*pool->model)
-        return fail_at (doc, "pools", i, "model", error, "is missing: a model pool names it");
+        return fail_at (doc, "pools", i, "model", error,
+                        "is missing: a model pool must have a model");
       if (!model && (pool->path[0] != '/' || strlen (pool->path) < 2))
         return fail_at (doc, "pools", i, "path", error,
-                        "is missing: a service pool names its path, \"/...\"");
+                        "is missing: a service pool must have a path, \"/...\"");
       if (!model && g_str_has_prefix (pool->path, "/v1/"))
-        return fail_at (doc, "pools", i, "path", error, "/v1/ is taken by model requests");
+        return fail_at (doc, "pools", i, "path", error, "/v1/ is reserved for model requests");
       if (!g_hash_table_insert (cat->pool_by_model, model ? pool->model : pool->path, pool))
         return fail_at (doc, "pools", i, model ? "model" : "path", error,
-                        "is served by another pool too");
+                        "is also served by another pool");
     }
   return FT_OK;
 }
@@ -416,7 +418,7 @@
   return cat->pools->pdata[index];
 }
 
-/* The entry as compact text, so that two revisions of it can be compared. */
+/* Maps the name of each entry of a section to its compact text, to compare two revisions. */
 static GHashTable *
 entry_texts (const FtCat *cat, const char *section)
 {
--- a/src/foxtail.h
+++ b/src/foxtail.h
@@ -312,18 +312,18 @@
 void ft_prefix_clear (FtPrefix *index, unsigned server);
 /* Expected number of leading blocks that the server caches, 0 to count. */
 double ft_prefix_match (FtPrefix *index, unsigned server, const uint64_t *blocks, unsigned count);
-/* Finds up to most servers that cache some leading blocks, longest match first. Returns the number
+/* Finds up to max servers that cache some leading blocks, longest match first. Returns the number
  * found. */
 unsigned ft_prefix_holders (FtPrefix *index, const uint64_t *blocks, unsigned count,
-                            unsigned *servers, unsigned most);
+                            unsigned *servers, unsigned max);
 
-/* Computes the chained block hashes of a prompt, at most most: hash i covers the first
+/* Computes the chained block hashes of a prompt, at most max: hash i covers the first
  * (i + 1) * FT_BLOCK_BYTES bytes. Returns the number written. */
 #define FT_BLOCK_BYTES  256
 #define FT_BLOCK_TOKENS 64 /* estimated at four bytes of text per token */
 #define FT_BLOCKS_MAX   64
 unsigned ft_prefix_hash (const char *prompt, size_t length, uint64_t seed, uint64_t *blocks,
-                         unsigned most);
+                         unsigned max);
 
 /* ---- Pool scheduler (pool.c) ------------------------------------------------------------------
  */
@@ -406,10 +406,10 @@
 void ft_pool_cache_event (FtPool *pool, const char *name, uint64_t number, bool stored,
                           uint64_t block);
 /* Submits a request. The decision may be made at once or in a later call. */
-FtStatus ft_pool_submit (FtPool *pool, const FtPoolRequest *ask);
+FtStatus ft_pool_submit (FtPool *pool, const FtPoolRequest *req);
 /* Takes over a request that a previous scheduler granted: it runs on server and has produced tokens
  * so far. */
-FtStatus ft_pool_adopt (FtPool *pool, const FtPoolRequest *ask, const char *server, unsigned tokens,
+FtStatus ft_pool_adopt (FtPool *pool, const FtPoolRequest *req, const char *server, unsigned tokens,
                         bool paused);
 /* tokens: total produced so far. */
 void ft_pool_progress (FtPool *pool, uint32_t entry, uint64_t request, unsigned tokens);
@@ -426,11 +426,13 @@
                           unsigned tokens);
 /* Drops all requests of an entry that died. */
 void ft_pool_remove_entry (FtPool *pool, uint32_t entry);
-/* Applies a changed weight and changed limits of an organisation, also to its waiting requests. */
+/* Applies changed limits of an organisation, also to its waiting requests, and a changed weight
+ * unless it has active requests. */
 void ft_pool_update_org (FtPool *pool, const char *org, unsigned weight, const FtLimits *limits);
 /* Runs due timers: expiries, probes, grants. Call about every 50 ms. */
 void ft_pool_tick (FtPool *pool);
-/* While held, nothing is granted. Used while a new scheduler collects the running requests. */
+/* While held, nothing is granted, paused or expired. Used while a new scheduler collects the
+ * running requests. */
 void ft_pool_set_held (FtPool *pool, bool held);
 
 typedef struct
@@ -449,7 +451,7 @@
 typedef enum
 {
   FT_REQ_RECEIVED,
-  FT_REQ_ASKED,
+  FT_REQ_SUBMITTED,
   FT_REQ_GRANTED,
   FT_REQ_DISPATCHED,
   FT_REQ_STREAMING,
@@ -497,8 +499,8 @@
   FT_QUERY_HISTORY,   /* id: "" or a count; results of catalogue changes as JSON, newest first */
   FT_QUERY_IN_FORCE,  /* id: a revision; JSON with the instances that do not have it yet */
   FT_QUERY_CATALOGUE, /* text of the catalogue */
-  FT_QUERY_SUSPECTS   /* id: current Unix time, ms; JSON array of the contents that servers ran as
-                        they   crashed */
+  FT_QUERY_SUSPECTS   /* id: current Unix time, ms; JSON array of contents under which servers
+                         crashed */
 } FtQueryKind;
 
 /* Callbacks of a node. They run within the ft_node functions and must not call into the node. */
@@ -571,7 +573,7 @@
 
 /* Submits a request to the pool's scheduler on whichever instance; ops->grant or ops->refuse
  * follows. */
-FtStatus ft_node_submit (FtNode *node, const FtNodeRequest *ask);
+FtStatus ft_node_submit (FtNode *node, const FtNodeRequest *req);
 void ft_node_progress (FtNode *node, uint64_t request, unsigned tokens);
 void ft_node_end_request (FtNode *node, uint64_t request, FtOutcome how, unsigned tokens);
 /* The backend server's process crashed while it ran the request. Call before ft_node_end_request.
--- a/src/jsrc.c
+++ b/src/jsrc.c
@@ -1,9 +1,9 @@
-/* jsrc.c - JSON with comments, read into typed records with errors that name line and field.
+/* jsrc.c - reads JSON with comments into typed records; errors give line and field.
  *
- * json-c parses the text. What it does not tell is found by a second, small pass over the same
- * text: the line of each value and keys that stand twice in one object (json-c keeps the last one
- * silently, so that an operator's limit could be overruled unseen). The pass runs only over text
- * that json-c has accepted, so it needs no error handling of its own beyond duplicates.
+ * json-c parses the text. A second, small pass over the text finds what json-c does not report: the
+ * line of each value, and duplicate keys in an object. (json-c silently keeps the last one, so a
+ * limit set by an operator could be overridden unnoticed.) The second pass runs only on text that
+ * json-c has accepted, so duplicates are the only errors that it has to handle.
  */
 #include "foxtail.h"
 
@@ -22,7 +22,7 @@
   unsigned line;
   GHashTable *lines;
   FtError *error;
-} Scan;
+} Scan; /* position of the second pass */
 
 static void
 skip_space (Scan *scan)
@@ -76,8 +76,7 @@
 
   if (g_hash_table_contains (scan->lines, full))
     {
-      status = ft_error_set (scan->error, FT_INVALID, line, full,
-                             "the key stands twice, first on line %u; keep one",
+      status = ft_error_set (scan->error, FT_INVALID, line, full, "duplicate key, first on line %u",
                              GPOINTER_TO_UINT (g_hash_table_lookup (scan->lines, full)));
       goto out;
     }
@@ -257,7 +256,7 @@
 }
 
 static bool
-string_is_plain (const char *text)
+has_no_control_chars (const char *text)
 {
   for (; *text; text++)
     if ((unsigned char) *text < 0x20)
@@ -281,7 +280,7 @@
     {
       struct json_object *item = json_object_array_get_idx (value, i);
       if (!json_object_is_type (item, json_type_string)
-          || !string_is_plain (json_object_get_string (item)))
+          || !has_no_control_chars (json_object_get_string (item)))
         return ft_error_set (error, FT_INVALID, ft_json_line (doc, path), path,
                              "item %zu must be a string without control characters", i);
       g_ptr_array_add (*out, g_strdup (json_object_get_string (item)));
@@ -304,7 +303,7 @@
         int length = json_object_get_string_len (value);
         const char *text = json_object_get_string (value);
         if (length < field->low || length > field->high || strlen (text) != (size_t) length
-            || !string_is_plain (text))
+            || !has_no_control_chars (text))
           return ft_error_set (error, FT_INVALID, line, path,
                                "must be a string of %" G_GINT64_FORMAT " to %" G_GINT64_FORMAT
                                " bytes without control characters",
@@ -348,7 +347,7 @@
 }
 
 static void
-set_fallback (const FtField *field, void *slot)
+set_default (const FtField *field, void *slot)
 {
   switch (field->type)
     {
@@ -383,7 +382,7 @@
   FtStatus status = FT_OK;
 
   for (const FtField *field = table; field->name; field++)
-    set_fallback (field, (char *) record + field->offset);
+    set_default (field, (char *) record + field->offset);
   if (!json_object_is_type (object, json_type_object))
     return ft_error_set (error, FT_INVALID, ft_json_line (doc, path), path,
                          "must be an object {...}");
@@ -395,7 +394,7 @@
       status = read_field (doc, value, field, full, (char *) record + field->offset, error);
     else if (more == NULL || !g_strv_contains (more, key))
       status = ft_error_set (error, FT_INVALID, ft_json_line (doc, full), full,
-                             "unknown key; see the list of fields in the documentation");
+                             "unknown key; the documentation lists the allowed keys");
     g_free (full);
     if (status != FT_OK)
       return status;
--- a/src/pool.c
+++ b/src/pool.c
@@ -67,7 +67,7 @@
   double charged;    /* work charged to the organisation, ms */
   double prefill;    /* prompt tokens to compute; 0 after the first token */
   double work_ahead; /* prompt tokens to compute on the server at the grant, its own included */
-  int64_t arrived_at, first_token_due, due, granted_at, last_progress, latest_start;
+  int64_t arrived_at, first_token_due, deadline, granted_at, last_progress, latest_start;
   Srv *srv;
   unsigned block_count;
   uint64_t blocks[];
@@ -606,7 +606,7 @@
     job->expected = MIN (job->expected, req->most_tokens);
   job->arrived_at = now;
   job->first_token_due = now + req->first_token_in_us;
-  job->due = now + req->deadline_in_us;
+  job->deadline = now + req->deadline_in_us;
   job->block_count = blocks;
   if (blocks)
     memcpy (job->blocks, req->blocks, blocks * sizeof (uint64_t));
@@ -617,12 +617,12 @@
     prefill_ms = answer_ms = 0;
   int64_t to_first = (int64_t) (prefill_ms * FT_MS) + START_MARGIN;
   int64_t to_end = (int64_t) ((prefill_ms + answer_ms) * FT_MS) + START_MARGIN;
-  job->latest_start = MIN (job->first_token_due - to_first, job->due - to_end);
+  job->latest_start = MIN (job->first_token_due - to_first, job->deadline - to_end);
   /* The prefill of a long prompt may exceed the first-token target by itself, and the request would
    * be refused for shortage on an idle pool. Then only the deadline of the complete answer counts.
    */
   if (job->latest_start < now)
-    job->latest_start = MIN (now + START_MARGIN, job->due - to_end);
+    job->latest_start = MIN (now + START_MARGIN, job->deadline - to_end);
   return job;
 }
 
@@ -636,7 +636,7 @@
   double prefill_ms = job->prompt / srv_mean_rate (&pool->servers);
   double answer_ms = job->expected * srv_mean_gap_ms (&pool->servers) * WORK_SHARE_MIN;
 
-  return now + (int64_t) ((prefill_ms * WORK_SHARE_MIN + answer_ms) * FT_MS) > job->due;
+  return now + (int64_t) ((prefill_ms * WORK_SHARE_MIN + answer_ms) * FT_MS) > job->deadline;
 }
 
 static void
--- a/src/prefix.c
+++ b/src/prefix.c
@@ -188,14 +188,14 @@
 
 unsigned
 ft_prefix_holders (FtPrefix *index, const uint64_t *blocks, unsigned count, unsigned *servers,
-                   unsigned most)
+                   unsigned max)
 {
   unsigned found = 0;
 
-  for (unsigned i = count; i > 0 && found < most; i--)
+  for (unsigned i = count; i > 0 && found < max; i--)
     {
       Block *block = g_hash_table_lookup (index->blocks, &blocks[i - 1]);
-      for (unsigned j = 0; block && j < block->count && found < most; j++)
+      for (unsigned j = 0; block && j < block->count && found < max; j++)
         {
           bool known = false;
           for (unsigned k = 0; k < found; k++)
@@ -208,11 +208,11 @@
 }
 
 unsigned
-ft_prefix_hash (const char *prompt, size_t length, uint64_t seed, uint64_t *blocks, unsigned most)
+ft_prefix_hash (const char *prompt, size_t length, uint64_t seed, uint64_t *blocks, unsigned max)
 {
   unsigned count = 0;
 
-  while (count < most && (count + 1) * (size_t) FT_BLOCK_BYTES <= length)
+  while (count < max && (count + 1) * (size_t) FT_BLOCK_BYTES <= length)
     {
       seed = XXH3_64bits_withSeed (prompt + count * (size_t) FT_BLOCK_BYTES, FT_BLOCK_BYTES, seed);
       blocks[count++] = seed;
--- a/src/req.c
+++ b/src/req.c
@@ -41,8 +41,8 @@
 is_transition (FtReqState from, FtReqState to)
 {
   static const unsigned char transitions[][FT_REQ_UNKNOWN + 1] = {
-    [FT_REQ_RECEIVED] = { [FT_REQ_ASKED] = 1, [FT_REQ_REFUSED] = 1 },
-    [FT_REQ_ASKED] = { [FT_REQ_GRANTED] = 1, [FT_REQ_REFUSED] = 1 },
+    [FT_REQ_RECEIVED] = { [FT_REQ_SUBMITTED] = 1, [FT_REQ_REFUSED] = 1 },
+    [FT_REQ_SUBMITTED] = { [FT_REQ_GRANTED] = 1, [FT_REQ_REFUSED] = 1 },
     [FT_REQ_GRANTED] = { [FT_REQ_DISPATCHED] = 1, [FT_REQ_REFUSED] = 1 },
     [FT_REQ_DISPATCHED] = { [FT_REQ_STREAMING] = 1, [FT_REQ_ANSWERED] = 1, [FT_REQ_UNKNOWN] = 1 },
     [FT_REQ_STREAMING] = { [FT_REQ_ANSWERED] = 1, [FT_REQ_UNKNOWN] = 1 },
@@ -129,7 +129,7 @@
 {
   if (req->state != FT_REQ_GRANTED)
     return FT_INVALID;
-  change_state (req, FT_REQ_ASKED);
+  change_state (req, FT_REQ_SUBMITTED);
   return FT_OK;
 }
 
--- a/src/route.c
+++ b/src/route.c
@@ -1,4 +1,4 @@
-/* route.c - routes by host, each host's sorted by falling length of prefix. */
+/* route.c - look-up of routes by host; the routes of a host are sorted by falling prefix length. */
 #include "route.h"
 
 #include <string.h>
@@ -9,9 +9,9 @@
   uint64_t version;
   RtLimits limits;
   GPtrArray *services, *routes, *orgs;
-  GHashTable *by_service; /* name: RtService */
-  GHashTable *by_host;    /* lower-case host: GPtrArray of RtRoute */
-  GHashTable *by_key;     /* key: RtOrg */
+  GHashTable *by_service; /* name -> RtService */
+  GHashTable *by_host;    /* lower-case host -> GPtrArray of RtRoute */
+  GHashTable *by_key;     /* key -> RtOrg */
 };
 
 static void
@@ -53,7 +53,7 @@
 }
 
 static void
-list_free (void *data)
+route_list_free (void *data)
 {
   g_ptr_array_unref (data);
 }
@@ -70,7 +70,7 @@
   cat->routes = g_ptr_array_new_with_free_func (route_free);
   cat->orgs = g_ptr_array_new_with_free_func (org_free);
   cat->by_service = g_hash_table_new (g_str_hash, g_str_equal);
-  cat->by_host = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, list_free);
+  cat->by_host = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, route_list_free);
   cat->by_key = g_hash_table_new (g_str_hash, g_str_equal);
   return cat;
 }
@@ -165,7 +165,7 @@
 }
 
 static gint
-longer_first (gconstpointer a, gconstpointer b)
+compare_prefix_length (gconstpointer a, gconstpointer b)
 {
   const RtRoute *x = *(const RtRoute *const *) a, *y = *(const RtRoute *const *) b;
   size_t m = strlen (x->prefix), n = strlen (y->prefix);
@@ -208,7 +208,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       GPtrArray *list = value;
-      g_ptr_array_sort (list, longer_first);
+      g_ptr_array_sort (list, compare_prefix_length);
       for (unsigned i = 1; i < list->len; i++)
         {
           const RtRoute *a = list->pdata[i - 1], *b = list->pdata[i];
@@ -311,7 +311,7 @@
   for (unsigned i = 0; i < route->targets->len; i++)
     sum += g_array_index (route->targets, RtTarget, i).weight;
   if (sum == 0)
-    return NULL; /* rt_cat_add_route lets none such in */
+    return NULL; /* rt_cat_add_route rejects such routes */
   draw %= sum;
   for (unsigned i = 0;; i++)
     {
@@ -322,20 +322,20 @@
     }
 }
 
-#define RANKS 16 /* tiers of routes that are told apart within one organisation's tier */
+#define ROUTE_TIERS 16 /* tiers of routes that are told apart; larger numbers count as the last */
 
 unsigned
 rt_priority (const RtRoute *route, const RtOrg *org)
 {
   unsigned first = org && org->has_tier ? org->tier : 0;
 
-  return first * RANKS + MIN (route->tier, RANKS - 1);
+  return first * ROUTE_TIERS + MIN (route->tier, ROUTE_TIERS - 1);
 }
 
 unsigned
-rt_priority_route_tier (unsigned order)
+rt_priority_route_tier (unsigned priority)
 {
-  return order % RANKS;
+  return priority % ROUTE_TIERS;
 }
 
 bool
--- a/src/susp.c
+++ b/src/susp.c
@@ -1,20 +1,20 @@
-/* susp.c - a node's part in finding contents that end servers (blame.c, quarantine.c).
+/* susp.c - a node's part in the quarantine of contents that crash servers (blame.c, quarantine.c).
  *
- * What its shell saw is proposed to the log like any operation. What the log says comes with the
- * answers that prove freshness, so an instance that has not heard of an end for FRESH_LIMIT takes
- * no requests at all.
+ * Crashes that the shell observed are proposed to the log like any other operation. The voters'
+ * table of crashes arrives with the replies that prove freshness, so an instance whose table may
+ * be older than FRESH_LIMIT accepts no requests at all.
  */
 #include "node.h"
 
 #include <string.h>
 
-#define PROOFS_MOST 16 /* told at once; the others with the next account */
+#define CLEARED_MAX 16 /* contents in one proposal; the others follow with the next table */
 
 uint64_t
 susp_propose_clear (FtNode *node, const uint64_t *contents, unsigned count, bool silent)
 {
   MsgOp op = { .kind = MSG_OP_CLEARED };
-  u_quad_t list[PROOFS_MOST];
+  u_quad_t list[CLEARED_MAX];
 
   for (unsigned i = 0; i < count; i++)
     list[i] = contents[i];
@@ -24,10 +24,10 @@
 }
 
 static void
-propose_proofs (FtNode *node)
+propose_recently_answered (FtNode *node)
 {
-  uint64_t contents[PROOFS_MOST];
-  unsigned count = quar_proofs (node->quar, contents, PROOFS_MOST);
+  uint64_t contents[CLEARED_MAX];
+  unsigned count = quar_proofs (node->quar, contents, CLEARED_MAX);
 
   if (count > 0)
     susp_propose_clear (node, contents, count, true);
@@ -43,15 +43,15 @@
   for (unsigned i = 0; i < count; i++)
     {
       const MsgSuspect *from = &blame->suspects.suspects_val[i];
-      uint32_t *of_this = servers + (size_t) i * FT_SUSPECT_SERVERS;
+      uint32_t *digests = servers + (size_t) i * FT_SUSPECT_SERVERS;
       for (unsigned j = 0; j < from->latest.latest_len; j++)
-        of_this[j] = quar_server_digest (from->latest.latest_val[j].server);
-      records[i] = (QuarRecord){ from->content, from->ends, of_this, from->latest.latest_len };
+        digests[j] = quar_server_digest (from->latest.latest_val[j].server);
+      records[i] = (QuarRecord){ from->content, from->ends, digests, from->latest.latest_len };
     }
   if (quar_account (node->quar, blame->index, records, count))
     {
       node->blame_index = blame->index;
-      propose_proofs (node);
+      propose_recently_answered (node);
     }
   g_free (servers);
   g_free (records);
@@ -75,7 +75,7 @@
 susp_on_answer (FtNode *node, uint64_t content)
 {
   if (quar_answered (node->quar, content))
-    propose_proofs (node);
+    propose_recently_answered (node);
 }
 
 uint64_t
--- a/test/text.c
+++ b/test/text.c
@@ -57,7 +57,7 @@
   expect_error ("\"class\": \"c\", \"kind\"", "\"class\": \"d\", \"kind\"", 7, "pools[0].class",
                 "not among classes");
   expect_error ("\"owner\": \"w\", \"class\"", "\"owner\": \"w\", \"owner\": \"v\", \"class\"", 4,
-                "organisations[0].owner", "stands twice");
+                "organisations[0].owner", "duplicate key");
   expect_error ("\"model\": \"m\"", "\"modell\": \"m\"", 7, "pools[0].modell", "unknown key");
   expect_error (", \"limits\": {} }\n  ]", " }\n  ]", 4, "organisations[0].limits", "is missing");
   expect_error ("\"pools\": [", "\"pools\": [ 3, ", 7, "pools[0]", "must be an object");
@@ -107,7 +107,7 @@
   FtReq *req = ft_req_new ("id", NULL, NULL);
 
   g_assert_cmpint (ft_req_set_state (req, FT_REQ_DISPATCHED), ==, FT_INVALID);
-  g_assert_cmpint (ft_req_set_state (req, FT_REQ_ASKED), ==, FT_OK);
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_SUBMITTED), ==, FT_OK);
   g_assert_cmpint (ft_req_set_state (req, FT_REQ_GRANTED), ==, FT_OK);
   g_assert_cmpint (ft_req_undo_grant (req), ==, FT_OK); /* the connect was refused */
   g_assert_cmpint (ft_req_set_state (req, FT_REQ_GRANTED), ==, FT_OK);
