--- a/daemon/back.c
+++ b/daemon/back.c
@@ -254,9 +254,9 @@
   if ((status != 503 && status != 429) || text == NULL
       || !plat_lifetime (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
     return;
-  bool readable = notice_read_backoff (text, &notice.backoff_us);
+  bool readable = notice_parse_backoff (text, &notice.backoff_us);
   pthread_mutex_lock (&back->notices_lock);
-  bool news = notices_take (back->notices, lifetime, &notice) == NOTICES_NEW;
+  bool news = notices_record (back->notices, lifetime, &notice) == NOTICES_CHANGED;
   pthread_mutex_unlock (&back->notices_lock);
   if (news)
     dlog (DLOG_INFO, call->id, "server-notice", "server %s of %s wants nothing for %d ms%s",
@@ -273,7 +273,7 @@
   if (!plat_lifetime (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
     return false;
   pthread_mutex_lock (&back->notices_lock);
-  bool forbidden = notices_forbid (back->notices, lifetime, &notice) != NULL;
+  bool forbidden = notices_block_reason (back->notices, lifetime, &notice) != NULL;
   pthread_mutex_unlock (&back->notices_lock);
   if (forbidden)
     dlog (DLOG_INFO, call->id, "grant-returned", "server %s of %s wants nothing for %d ms",
--- a/src/admit.c
+++ b/src/admit.c
@@ -28,19 +28,19 @@
 #define RESERVED_SHARE_MAX 0.9
 
 static void
-refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t reserved_at, RetWord word,
+refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t reserved_at, RetAdvice word,
         int64_t now)
 {
   SchedRefusal refusal = { .reason = reason };
   int64_t left = MAX (0, job->ask.end_at - now);
   SchedKey key = job->key;
 
-  refusal.retry_after_us = MIN ((int64_t) MIN (wait, 1e9), left / ADVICE_PART);
+  refusal.retry_after_us = MIN ((int64_t) MIN (wait, 1e9), left / RET_WAIT_DIVISOR);
   refusal.retry_after_us = MAX (refusal.retry_after_us, RETRY_AFTER_MIN);
-  if (word == RET_PROMISED)
+  if (word == RET_RESERVED)
     refusal.retry_after_us = reserved_at - now;
   if (job->reserved)
-    ret_note (sched->returns, false);
+    ret_count_outcome (sched->returns, false);
   snprintf (refusal.rule, sizeof refusal.rule,
             "tier %u: %u waiting, start in %.0f ms, useful for %.0f ms", job->ask.tier,
             wait_tier (job->service, job->ask.tier)->count, MIN (wait, 1e9) / 1e3,
@@ -53,7 +53,7 @@
 void
 admit_refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t now)
 {
-  refuse (sched, job, reason, wait, 0, RET_PLAIN, now);
+  refuse (sched, job, reason, wait, 0, RET_NO_RESERVATION, now);
 }
 
 /* ---- Reservations ---- */
@@ -61,17 +61,17 @@
 static uint64_t
 resource_of (const Job *job)
 {
-  return ret_line (job->service->name, job->ask.tier);
+  return ret_resource_id (job->service->name, job->ask.tier);
 }
 
 /* Reserves nothing where higher tiers take all places: the caller would come back in vain. */
 static bool
-reserve (Sched *sched, const Job *job, RetOffer *offer, int64_t now, int64_t *at)
+reserve (Sched *sched, const Job *job, RetDemand *offer, int64_t now, int64_t *at)
 {
   offer->rate = est_places_left (sched, job->service, job->ask.tier, false, now);
   *at = INT64_MAX;
   return est_share_above (sched, job->service, job->ask.tier, now) < 1
-         && ret_promise (sched->returns, offer, at);
+         && ret_reserve (sched->returns, offer, at);
 }
 
 /* Refuses a job for lack of places, with a reservation if one can be made. No time is reserved that
@@ -81,25 +81,25 @@
 static void
 refuse_for_shortage (Sched *sched, Job *job, double wait, int64_t now)
 {
-  RetOffer offer = { .line = resource_of (job),
-                     .content = job->ask.content,
-                     .cost = job->work_us,
-                     .tell_from = now + RETRY_AFTER_MIN,
-                     .use_until = job->ask.aim_at
-                                  - (int64_t) (FIRST_EVENT_FACTOR
-                                               * est_first_us (sched, job->service, &job->ask)),
-                     .end_at = job->ask.end_at };
-  RetWord word = RET_PLAIN;
+  RetDemand offer = { .line = resource_of (job),
+                      .content = job->ask.content,
+                      .cost = job->work_us,
+                      .not_before = now + RETRY_AFTER_MIN,
+                      .useful_until = job->ask.aim_at
+                                      - (int64_t) (FIRST_EVENT_FACTOR
+                                                   * est_first_us (sched, job->service, &job->ask)),
+                      .end_at = job->ask.end_at };
+  RetAdvice word = RET_NO_RESERVATION;
   int64_t at = INT64_MAX;
 
-  if (sched->returns && ret_part_of (sched->returns) > 0 && offer.content)
+  if (sched->returns && ret_share (sched->returns) > 0 && offer.content)
     {
-      word = reserve (sched, job, &offer, now, &at) ? RET_PROMISED : RET_BEYOND;
+      word = reserve (sched, job, &offer, now, &at) ? RET_RESERVED : RET_TOO_LATE;
       if (at < INT64_MAX)
         wait = MAX (wait, (double) (at - now));
     }
-  if (word == RET_BEYOND)
-    ret_tell (sched->returns, &offer, (int64_t) CLAMP (wait, RETRY_AFTER_MIN, 1e9));
+  if (word == RET_TOO_LATE)
+    ret_record_wait (sched->returns, &offer, (int64_t) CLAMP (wait, RETRY_AFTER_MIN, 1e9));
   refuse (sched, job, FT_REASON_SHORTAGE, wait, at, word, now);
 }
 
@@ -108,9 +108,9 @@
 {
   *at = 0;
   *reserved = false;
-  return sched->returns ? ret_state (sched->returns, resource_of (job), job->ask.content,
-                                     job->ask.end_at, at, reserved)
-                        : RET_NONE;
+  return sched->returns ? ret_lookup (sched->returns, resource_of (job), job->ask.content,
+                                      job->ask.end_at, at, reserved)
+                        : RET_UNKNOWN;
 }
 
 void
@@ -121,7 +121,7 @@
 
   job->reserved = return_state (sched, job, &at, &reserved) == RET_DUE;
   if (job->reserved)
-    ret_redeem (sched->returns, resource_of (job), job->ask.content);
+    ret_consume (sched->returns, resource_of (job), job->ask.content);
 }
 
 void
@@ -132,8 +132,8 @@
 
   if (job->reserved
       || (return_state (sched, job, &at, &reserved) == RET_EARLY
-          && ret_redeem (sched->returns, resource_of (job), job->ask.content)))
-    ret_note (sched->returns, true);
+          && ret_consume (sched->returns, resource_of (job), job->ask.content)))
+    ret_count_outcome (sched->returns, true);
 }
 
 /* Refuses a caller that comes back before the time it was told. It may take a free place, but may
@@ -147,7 +147,7 @@
   if (return_state (sched, job, &at, &reserved) != RET_EARLY || boff_any_place (sched, job, now))
     return false;
   refuse (sched, job, FT_REASON_SHORTAGE, (double) (at - now), at,
-          reserved ? RET_PROMISED : RET_BEYOND, now);
+          reserved ? RET_RESERVED : RET_TOO_LATE, now);
   return true;
 }
 
@@ -160,8 +160,8 @@
 
   if (sched->returns == NULL)
     return wait;
-  double part = MIN (ret_part_of (sched->returns), RESERVED_SHARE_MAX);
-  double reserved = (double) (ret_until (sched->returns, resource_of (job)) - now);
+  double part = MIN (ret_share (sched->returns), RESERVED_SHARE_MAX);
+  double reserved = (double) (ret_reserved_until (sched->returns, resource_of (job)) - now);
   return wait + part * CLAMP (reserved, 0, wait / (1 - part));
 }
 
--- a/src/ent.c
+++ b/src/ent.c
@@ -137,7 +137,7 @@
 static bool
 is_stopped (const Ent *ent, const EntReq *req)
 {
-  return req->content && quar_judge (ent->node->quar, req->content).state >= QUAR_SETTLES;
+  return req->content && quar_check (ent->node->quar, req->content).state >= QUAR_RECHECK;
 }
 
 /* Failure: a request ends each server that runs it, and its caller sends it again. Symptom: server
@@ -399,10 +399,10 @@
 static void
 review (Ent *ent, EntReq *req)
 {
-  QuarVerdict verdict = quar_judge (ent->node->quar, req->content);
+  QuarVerdict verdict = quar_check (ent->node->quar, req->content);
   char rule[128];
 
-  if (verdict.state == QUAR_HELD)
+  if (verdict.state == QUAR_BLOCKED)
     {
       g_snprintf (rule, sizeof rule, "%u servers ended under content %016" G_GINT64_MODIFIER "x",
                   verdict.ends, req->content);
@@ -410,7 +410,7 @@
         tell_done (ent->node, req, FT_OUTCOME_CANCELLED, 0);
       refuse (ent, req, FT_REASON_QUARANTINED, 0, 0, rule);
     }
-  else if (req->stopped && verdict.state != QUAR_SETTLES)
+  else if (req->stopped && verdict.state != QUAR_RECHECK)
     {
       req->stopped = false;
       if (req->pool->holder)
--- a/src/lead.c
+++ b/src/lead.c
@@ -215,7 +215,7 @@
   MsgBlame blame = { 0 };
   if (hello->blame_index != blame_index (state_blame (node->state)))
     {
-      blame_capture (state_blame (node->state), BLAME_TOLD, &blame);
+      crashes_capture (state_blame (node->state), CRASHES_PUBLISH_MIN, &blame);
       out->blame.blame_len = 1;
       out->blame.blame_val = &blame;
     }
@@ -519,7 +519,7 @@
 static FtStatus
 tell_suspects (Lead *lead, const char *id, GString *out)
 {
-  blame_list (state_blame (lead->node->state), g_ascii_strtoll (id, NULL, 10), out);
+  crashes_append_json (state_blame (lead->node->state), g_ascii_strtoll (id, NULL, 10), out);
   return FT_OK;
 }
 
--- a/src/prop.c
+++ b/src/prop.c
@@ -68,7 +68,7 @@
 
   /* Given up counts as told too: evidence that nobody else has would hold a content for good. */
   if (proposal->ended)
-    quar_acknowledged (node->quar, proposal->ended);
+    quar_crash_recorded (node->quar, proposal->ended);
   g_hash_table_remove (node->proposals, &number);
   if (!silent)
     node->ops->verdict (node->host, number, status, revision, text);
--- a/src/scheduler.c
+++ b/src/scheduler.c
@@ -179,9 +179,9 @@
 sched_set_return_share (Sched *sched, double part)
 {
   if (sched->returns == NULL && part > 0)
-    sched->returns = ret_new (sched->clock, RET_MOST / 2);
+    sched->returns = ret_new (sched->clock, RET_MAX_RESERVATIONS / 2);
   if (sched->returns)
-    ret_part (sched->returns, part);
+    ret_set_share (sched->returns, part);
 }
 
 RetCounts
@@ -745,5 +745,5 @@
       admit_review (sched, service, now);
     }
   if (sched->returns)
-    ret_tick (sched->returns);
+    ret_expire (sched->returns);
 }
--- a/src/susp.c
+++ b/src/susp.c
@@ -1,4 +1,5 @@
-/* susp.c - a node's part in the quarantine of contents that crash servers (blame.c, quarantine.c).
+/* susp.c - a node's part in the quarantine of contents that crash servers (crashes.c,
+ * quarantine.c).
  *
  * Crashes that the shell observed are proposed to the log like any other operation. The voters'
  * table of crashes arrives with the replies that prove freshness, so an instance whose table may
@@ -27,7 +28,7 @@
 propose_recently_answered (FtNode *node)
 {
   uint64_t contents[CLEARED_MAX];
-  unsigned count = quar_proofs (node->quar, contents, CLEARED_MAX);
+  unsigned count = quar_recently_answered (node->quar, contents, CLEARED_MAX);
 
   if (count > 0)
     susp_propose_clear (node, contents, count, true);
@@ -48,7 +49,7 @@
         digests[j] = quar_server_digest (from->latest.latest_val[j].server);
       records[i] = (QuarRecord){ from->content, from->ends, digests, from->latest.latest_len };
     }
-  if (quar_account (node->quar, blame->index, records, count))
+  if (quar_update_table (node->quar, blame->index, records, count))
     {
       node->blame_index = blame->index;
       propose_recently_answered (node);
@@ -67,7 +68,7 @@
 
   g_snprintf (name, sizeof name, "%s/%s", pool, server);
   op.MsgOp_u.ended = (MsgEnded){ name, wall_ms, { 1, contents } };
-  quar_ended (node->quar, content, name, true);
+  quar_add_crash (node->quar, content, name, true);
   prop_propose (node, &op, true);
 }
 
--- a/src/waiting.c
+++ b/src/waiting.c
@@ -224,7 +224,7 @@
   unsigned seen = 0;
 
   if (tier->shares)
-    shr_settle (tier->shares);
+    shr_reorder (tier->shares);
   cds_list_for_each_entry_safe (job, next, &tier->timely, link)
   {
     if (seen++ >= most)
@@ -236,7 +236,7 @@
     wait_add (job, now);
   }
   if (tier->shares)
-    shr_settle (tier->shares);
+    shr_reorder (tier->shares);
 }
 
 void
@@ -254,7 +254,7 @@
   for (unsigned i = 0; i < service->tiers->len; i++)
     {
       Tier *tier = service->tiers->pdata[i];
-      if (tier->shares && shr_waiting (tier->shares) > 1)
+      if (tier->shares && shr_waiting_orgs (tier->shares) > 1)
         move_late (sched, service, tier, UINT_MAX, now);
     }
 }
@@ -283,12 +283,12 @@
   const Tier *tier = wait_tier (service, number);
   WaitAhead ahead
       = { wait_ahead_us (service, number, false), wait_ahead_us (service, number, true) };
-  ShrTurn turn;
+  ShrOvertaking turn;
 
   if (tier->shares == NULL)
     return ahead;
-  shr_turn (tier->shares, job->org, job->work_us, ahead.timely_us,
-            est_places_left (sched, service, number, false, now), now, &turn);
-  ahead.timely_us += turn.before_us - turn.behind_us;
+  shr_overtaking (tier->shares, job->org, job->work_us, ahead.timely_us,
+                  est_places_left (sched, service, number, false, now), now, &turn);
+  ahead.timely_us += turn.overtaken_by_us - turn.overtakes_us;
   return ahead;
 }
--- a/test/pace.c
+++ b/test/pace.c
@@ -73,7 +73,7 @@
   begin (SERVERS, 6, false);
   load (2, 60, usual);
   world->servers[0].rate = 0.1;
-  world->servers[1].rate = NOTICE_RATE_LEAST;
+  world->servers[1].rate = NOTICE_RATE_MIN;
   world->servers[2].rate = 1000;
   load (2, 60, usual);
   int64_t from = world->clock.now;
--- a/test/rollout.c
+++ b/test/rollout.c
@@ -11,15 +11,15 @@
 /* ---- The account ---- */
 
 static bool
-order (RollAccount *account, uint64_t index, const char *target, uint64_t after)
+order (RolloutTable *account, uint64_t index, const char *target, uint64_t after)
 {
   MsgRolloutStart start = { (char *) "s", (char *) target, (char *) "v1", 12000, after };
 
-  return roll_start (account, index, &start);
+  return roll_apply_start (account, index, &start);
 }
 
 static bool
-step_to (RollAccount *account, uint64_t index, uint64_t number, MsgRolloutPhase phase)
+step_to (RolloutTable *account, uint64_t index, uint64_t number, MsgRolloutPhase phase)
 {
   MsgRolloutStep step = { .service = (char *) "s",
                           .number = number,
@@ -27,7 +27,7 @@
                           .trial = { .elapsed_ms = (int64_t) index, .reserved = 7 },
                           .why = (char *) "why" };
 
-  return roll_step (account, index, &step);
+  return roll_apply_step (account, index, &step);
 }
 
 /* The answer to an order is lost, and its operator sends it again, to another voter, after a change
@@ -35,7 +35,7 @@
 static void
 order_again_begins_nothing (void)
 {
-  RollAccount *account = roll_new ();
+  RolloutTable *account = roll_new ();
 
   g_assert_cmpint (roll_check (account, "s", "v2", false), ==, ROLL_NEW);
   g_assert_true (order (account, 5, "v2", 0));
@@ -60,7 +60,7 @@
 static void
 ends_are_for_good (void)
 {
-  RollAccount *account = roll_new ();
+  RolloutTable *account = roll_new ();
 
   order (account, 1, "v2", 0);
   g_assert_true (step_to (account, 2, 1, MSG_ROLLOUT_MOVING));
@@ -124,7 +124,7 @@
   GByteArray *bytes = state_capture (state);
   g_byte_array_set_size (bytes, bytes->len - 12); /* what the older program did not write */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_OK);
-  g_assert_nonnull (blame_find (state_blame (later), content));
+  g_assert_nonnull (crashes_find (state_blame (later), content));
   g_assert_cmpuint (roll_index (state_rollouts (later)), ==, 0);
   g_byte_array_set_size (bytes, bytes->len - 4); /* cut in the middle of what it did write */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_CORRUPT);
@@ -137,12 +137,12 @@
 
 static const PlanLimits limits = { 0.1, 50 };
 
-static PlanFacts
+static PlanInput
 facts_at (int64_t elapsed_us)
 {
   unsigned placed = (unsigned) (300 * elapsed_us / FT_SECOND);
 
-  return (PlanFacts){ .phase = MSG_ROLLOUT_TRYING,
+  return (PlanInput){ .phase = MSG_ROLLOUT_TRYING,
                       .elapsed_us = elapsed_us,
                       .limit_us = 12 * FT_SECOND,
                       .placed = placed,
@@ -165,7 +165,7 @@
 
   for (int64_t at = 0; moved_ms == 0; at += 20 * FT_MS)
     {
-      PlanFacts facts = facts_at (at);
+      PlanInput facts = facts_at (at);
       facts.granted = granted;
       facts.answers = granted;
       plan_next (&limits, &facts, &step);
@@ -185,7 +185,7 @@
 static void
 completes_when_nothing_runs (void)
 {
-  PlanFacts facts = facts_at (13 * FT_SECOND);
+  PlanInput facts = facts_at (13 * FT_SECOND);
   PlanStep step;
 
   facts.phase = MSG_ROLLOUT_MOVING;
@@ -222,7 +222,7 @@
 static void
 rolls_back_what_cannot_move (void)
 {
-  PlanFacts facts = facts_at (8 * FT_SECOND);
+  PlanInput facts = facts_at (8 * FT_SECOND);
   PlanStep step;
 
   facts.places = 100;
@@ -249,7 +249,7 @@
 static void
 idle_service_moves (void)
 {
-  PlanFacts facts = facts_at (11 * FT_SECOND);
+  PlanInput facts = facts_at (11 * FT_SECOND);
   PlanStep step;
 
   facts.placed = facts.granted = facts.answers = 0;
@@ -272,8 +272,8 @@
   Court *court = g_new0 (Court, 1);
 
   court->clock = test_clock ();
-  court->judge = judge_new (&court->clock.base, JUDGE_SEQUENTIAL);
-  judge_servers (court->judge, 4);
+  court->judge = judge_new (&court->clock.base, JUDGE_CUSUM);
+  judge_set_servers (court->judge, 4);
   court->rand = g_rand_new_with_seed (seed);
   return court;
 }
@@ -302,7 +302,7 @@
 
   for (unsigned i = 0; i < 300 * seconds; i++)
     {
-      JudgeFacts facts;
+      JudgeResult facts;
       JudgeAnswer answer = { .route = 1 + i % 5, .ordered = i % 16 == 0 };
       answer.server = (answer.ordered ? 1 : 100) + (guint32) g_rand_int_range (court->rand, 0, 4);
       double share = answer.ordered ? bad.after : bad.before;
@@ -312,9 +312,9 @@
         share = MAX (share, bad.one_route);
       answer.bad = g_rand_double (court->rand) < share;
       court->clock.now += FT_SECOND / 300;
-      judge_answer (court->judge, &answer);
+      judge_add_answer (court->judge, &answer);
       answers += answer.ordered;
-      judge_facts (court->judge, &facts);
+      judge_get_result (court->judge, &facts);
       if (facts.suspicion >= 1)
         return answers;
     }
@@ -380,10 +380,10 @@
 evidence_is_taken_over (void)
 {
   Court *court = court_new (1);
-  JudgeFacts facts;
+  JudgeResult facts;
 
   judge_resume (court->judge, 12, 5, 0.8);
-  judge_facts (court->judge, &facts);
+  judge_get_result (court->judge, &facts);
   g_assert_cmpuint (facts.answers, ==, 12);
   g_assert_cmpuint (facts.bad, ==, 5);
   g_assert_cmpfloat (facts.suspicion, >, 0.79);
@@ -453,8 +453,9 @@
   pool->judged++;
   pool->judged_bad += judged->bad;
   if (pool->judge)
-    judge_answer (pool->judge, &(JudgeAnswer){ judged->route, sched_server_digest (judged->server),
-                                               judged->ordered, judged->bad });
+    judge_add_answer (pool->judge,
+                      &(JudgeAnswer){ judged->route, sched_server_digest (judged->server),
+                                      judged->ordered, judged->bad });
   g_assert_cmpint (judged->ordered, ==, judged->server[1] >= '2');
 }
 
@@ -823,7 +824,7 @@
   Pool *pool = pool_new (0);
   Sent sent[UNDER_WAY] = { { 0 } };
   GRand *rand = g_rand_new_with_seed (seed);
-  JudgeFacts facts = { 0 };
+  JudgeResult facts = { 0 };
 
   pool->slots = UNDER_WAY / 4;
   pool->prompt_tokens = play->engine ? PROMPT : 0;
@@ -831,8 +832,8 @@
   list_servers (pool, 15);
   SchedVersions trial = { "v1", "v2", "v2", 0, 10000, false, true };
   sched_set_versions (pool->sched, "s", &trial);
-  pool->judge = judge_new (&pool->clock.base, JUDGE_SEQUENTIAL);
-  judge_servers (pool->judge, 2);
+  pool->judge = judge_new (&pool->clock.base, JUDGE_CUSUM);
+  judge_set_servers (pool->judge, 2);
   for (int64_t at = 0, asked = 0; at < PLAYED && facts.suspicion < 1; at += FT_MS)
     {
       pool->clock.now += FT_MS;
@@ -848,7 +849,7 @@
         send_one (pool, play, rand, sent, at);
       if (at % (20 * FT_MS) == 0)
         sched_tick (pool->sched);
-      judge_facts (pool->judge, &facts);
+      judge_get_result (pool->judge, &facts);
     }
   unsigned took = facts.suspicion >= 1 ? facts.answers : 0;
   judge_free (pool->judge);
--- a/test/shares.c
+++ b/test/shares.c
@@ -390,7 +390,7 @@
       ShrItem *item = cds_list_first_entry (&queue, ShrItem, link);
       among += item >= first && item < first + count;
       shr_serve (shares, item, item < first || item >= first + count ? "a" : "b", item->work_us, 1);
-      shr_settle (shares);
+      shr_reorder (shares);
     }
   return among;
 }
@@ -436,7 +436,7 @@
   enqueue ("a", 10, 10);
   for (unsigned i = 0; i < 8; i++)
     shr_remove (shares, &left[i]);
-  shr_settle (shares);
+  shr_reorder (shares);
   g_assert_cmpuint (serve (4, left, 10), ==, 2);
   end_queue ();
 }
@@ -463,7 +463,7 @@
         shr_serve (shares, &items[which], orgs[of[which]], items[which].work_us, i);
       else if (draw () < 0.2)
         shr_serve (shares, NULL, orgs[of[which]], 5, i);
-      shr_settle (shares);
+      shr_reorder (shares);
       double tag = 0;
       memset (last, 0, sizeof last);
       cds_list_for_each_entry (item, &queue, link)
@@ -496,11 +496,11 @@
       snprintf (name, sizeof name, "org%u", i);
       shr_note_arrival (shares, name, 10, 1 + i);
     }
-  g_assert_cmpuint (shr_known (shares), <=, 520);
+  g_assert_cmpuint (shr_known_orgs (shares), <=, 520);
   for (unsigned i = 0; i < 300; i++)
     shr_note_arrival (shares, "org1", 10, 6 * FT_SECOND + i);
-  g_assert_cmpuint (shr_known (shares), ==, 2);
-  g_assert_cmpuint (shr_waiting (shares), ==, 1);
+  g_assert_cmpuint (shr_known_orgs (shares), ==, 2);
+  g_assert_cmpuint (shr_waiting_orgs (shares), ==, 1);
   end_queue ();
 }
 
@@ -509,28 +509,28 @@
 static void
 turn_of_a_newcomer (void)
 {
-  ShrTurn turn;
+  ShrOvertaking turn;
 
   begin_queue ();
   enqueue ("a", 10, 10);
   enqueue ("b", 10, 3);
-  shr_turn (shares, "c", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.behind_us, ==, 90 + 20);
-  g_assert_cmpfloat (turn.before_us, ==, 0);
-  shr_turn (shares, "b", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.behind_us, ==, 60);
-  shr_turn (shares, "a", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.behind_us, ==, 0);
+  shr_overtaking (shares, "c", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (turn.overtakes_us, ==, 90 + 20);
+  g_assert_cmpfloat (turn.overtaken_by_us, ==, 0);
+  shr_overtaking (shares, "b", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (turn.overtakes_us, ==, 60);
+  shr_overtaking (shares, "a", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (turn.overtakes_us, ==, 0);
   /* b sends half of what the place can do, so behind 130 of it a newcomer waits twice as long, but
    * for no more than 110 of b's. */
   shr_note_arrival (shares, "b", 1e6, 1);
-  shr_turn (shares, "a", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.before_us, ==, 80);
+  shr_overtaking (shares, "a", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (turn.overtaken_by_us, ==, 80);
   enqueue ("a", 10, 20);
-  shr_turn (shares, "a", 10, 330, 1, 1, &turn);
-  g_assert_cmpfloat (fabs (turn.before_us - 280), <, 1e-6);
-  shr_turn (shares, "a", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (fabs (turn.before_us - 130), <, 1e-6);
+  shr_overtaking (shares, "a", 10, 330, 1, 1, &turn);
+  g_assert_cmpfloat (fabs (turn.overtaken_by_us - 280), <, 1e-6);
+  shr_overtaking (shares, "a", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (fabs (turn.overtaken_by_us - 130), <, 1e-6);
   end_queue ();
 }
 
@@ -609,9 +609,9 @@
 
   g_array_append_val (list, server);
   broker_configure (broker, &conf);
-  broker_catalogue (broker, cat);
-  g_assert_true (servers_take_read (servers, list, loop_now (loop)));
-  broker_servers (broker, servers);
+  broker_set_catalogue (broker, cat);
+  g_assert_true (servers_apply_read (servers, list, loop_now (loop)));
+  broker_set_servers (broker, servers);
   for (unsigned i = 0; i < 30; i++)
     ask_broker (broker, loop, i, "hot");
   for (unsigned i = 0; i < G_N_ELEMENTS (orgs); i++)
@@ -620,8 +620,8 @@
   g_assert_nonnull (strstr (text, "# shares service=s tier=0 organisations=3 hot=29/1.00"));
   g_free (text);
   broker_tick (broker);
-  g_assert_cmpuint (count_of (COUNT_FAIR_QUEUED), ==, 2);
-  char *page = count_text (NULL);
+  g_assert_cmpuint (count_get (COUNT_FAIR_QUEUED), ==, 2);
+  char *page = count_format (NULL);
   g_assert_nonnull (strstr (page, "\nfoxtail_fair_queued_total 2\n"));
   g_assert_nonnull (strstr (page, "\nfoxtail_fair_refused_total 0\n"));
   g_free (page);
