--- a/node/broker.c
+++ b/node/broker.c
@@ -194,7 +194,7 @@
 charge_limit (Broker *broker, const SchedAsk *ask, bool may_hold)
 {
   SchedRefusal refusal = { .reason = FT_REASON_LIMIT_TOKENS };
-  unsigned rank = rt_order_rank (ask->tier);
+  unsigned rank = rt_priority_route_tier (ask->tier);
   double cost = ask->cost;
   RetRequest request
       = { ask->org, ask->content, cost, rank, ask->end_at, latest_useful_retry (broker, ask) };
--- a/node/place.c
+++ b/node/place.c
@@ -448,7 +448,7 @@
 {
   PlaceReq *req = place_find (place, from->request);
   SchedRefusal refusal
-      = { .reason = from->reason < FT_REASONS ? from->reason : FT_REASON_SHORTAGE };
+      = { .reason = from->reason < FT_REASON_COUNT ? from->reason : FT_REASON_SHORTAGE };
 
   if (req == NULL || req->running || req->scheduler != peer)
     return;
--- a/node/requests.c
+++ b/node/requests.c
@@ -208,10 +208,9 @@
         = patience_record (requests->patience, req->route->name, req->facts.patience_us);
   req->first_deadline = req->deadline;
   if (req->route->kind == RT_STREAM)
-    req->first_deadline
-        = MIN (req->deadline,
-               req->arrived
-                   + requests->conf.seam->first_patience (req->route->aim_us, req->route->gap_us));
+    req->first_deadline = MIN (req->deadline, req->arrived
+                                                  + requests->conf.seam->first_patience (
+                                                      req->route->target_us, req->route->gap_us));
   req->service = rt_route_target (req->route, g_random_int ());
   budget_count_request (requests->conf.budget, req->service);
   loop_timer_set (requests->conf.loop, &req->deadline_timer, req->deadline);
--- a/node/try.c
+++ b/node/try.c
@@ -319,7 +319,7 @@
 static int64_t
 silence_timeout (const Req *req)
 {
-  double aim = (double) req->route->aim_us;
+  double aim = (double) req->route->target_us;
 
   if (req->route->kind != RT_STREAM)
     return MAX (STREAM_TIMEOUT_MIN / 2, (int64_t) (aim * PLAIN_TIMEOUT_FACTOR));
@@ -334,7 +334,7 @@
   const SeamServer *server = &grant->server;
   Requests *requests = req->requests;
   const GByteArray *body = hcall_body (req->call);
-  bool once = !rt_route_repeatable (req->route);
+  bool once = !rt_route_is_repeatable (req->route);
   HCliTarget target = { server->addr, server->id, CONNECT_TIMEOUT,
                         once ? grant->max_idle_us : MAX (REUSE_IDLE_MIN, grant->max_idle_us),
                         strcmp (hmsg_method (hcall_msg (req->call)), "HEAD") == 0 };
--- a/src/susp.c
+++ b/src/susp.c
@@ -1,20 +1,21 @@
-/* susp.c - a node's part in finding contents that end servers (crashes.c, quarantine.c).
+/* susp.c - a node's part in the quarantine of contents that crash servers (crashes.c,
+ * quarantine.c).
  *
- * What its shell saw is proposed to the log like any operation. What the log says comes with the
- * answers that prove freshness, so an instance that has not heard of an end for FRESH_LIMIT takes
- * no requests at all.
+ * Crashes that the shell observed are proposed to the log like any other operation. The voters'
+ * table of crashes arrives with the replies that prove freshness, so an instance whose table may
+ * be older than FRESH_LIMIT accepts no requests at all.
  */
 #include "node.h"
 
 #include <string.h>
 
-#define PROOFS_MOST 16 /* told at once; the others with the next account */
+#define CLEARED_MAX 16 /* contents in one proposal; the others follow with the next table */
 
 uint64_t
-susp_propose_cleared (FtNode *node, const uint64_t *contents, unsigned count, bool silent)
+susp_propose_clear (FtNode *node, const uint64_t *contents, unsigned count, bool silent)
 {
   MsgOp op = { .kind = MSG_OP_CLEARED };
-  u_quad_t list[PROOFS_MOST];
+  u_quad_t list[CLEARED_MAX];
 
   for (unsigned i = 0; i < count; i++)
     list[i] = contents[i];
@@ -24,17 +25,17 @@
 }
 
 static void
-propose_proofs (FtNode *node)
+propose_recently_answered (FtNode *node)
 {
-  uint64_t contents[PROOFS_MOST];
-  unsigned count = quar_recently_answered (node->quar, contents, PROOFS_MOST);
+  uint64_t contents[CLEARED_MAX];
+  unsigned count = quar_recently_answered (node->quar, contents, CLEARED_MAX);
 
   if (count > 0)
-    susp_propose_cleared (node, contents, count, true);
+    susp_propose_clear (node, contents, count, true);
 }
 
 void
-susp_account (FtNode *node, const MsgBlame *blame)
+susp_update_table (FtNode *node, const MsgBlame *blame)
 {
   unsigned count = blame->suspects.suspects_len;
   QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
@@ -43,22 +44,23 @@
   for (unsigned i = 0; i < count; i++)
     {
       const MsgSuspect *from = &blame->suspects.suspects_val[i];
-      uint32_t *of_this = servers + (size_t) i * FT_SUSPECT_SERVERS;
+      uint32_t *digests = servers + (size_t) i * FT_SUSPECT_SERVERS;
       for (unsigned j = 0; j < from->latest.latest_len; j++)
-        of_this[j] = quar_server_digest (from->latest.latest_val[j].server);
-      records[i] = (QuarRecord){ from->content, from->ends, of_this, from->latest.latest_len };
+        digests[j] = quar_server_digest (from->latest.latest_val[j].server);
+      records[i] = (QuarRecord){ from->content, from->ends, digests, from->latest.latest_len };
     }
   if (quar_update_table (node->quar, blame->index, records, count))
     {
       node->blame_index = blame->index;
-      propose_proofs (node);
+      propose_recently_answered (node);
     }
   g_free (servers);
   g_free (records);
 }
 
 void
-susp_ended (FtNode *node, const char *pool, const char *server, uint64_t content, int64_t wall_ms)
+susp_propose_crash (FtNode *node, const char *pool, const char *server, uint64_t content,
+                    int64_t wall_ms)
 {
   MsgOp op = { .kind = MSG_OP_ENDED };
   u_quad_t contents[] = { content };
@@ -71,14 +73,14 @@
 }
 
 void
-susp_answered (FtNode *node, uint64_t content)
+susp_on_answer (FtNode *node, uint64_t content)
 {
   if (quar_answered (node->quar, content))
-    propose_proofs (node);
+    propose_recently_answered (node);
 }
 
 uint64_t
-ft_node_release (FtNode *node, uint64_t content)
+ft_node_release_content (FtNode *node, uint64_t content)
 {
-  return susp_propose_cleared (node, &content, 1, false);
+  return susp_propose_clear (node, &content, 1, false);
 }
