--- a/src/ent.c
+++ b/src/ent.c
@@ -1,8 +1,10 @@
-/* ent.c - the requests that an instance owns, as their pools' schedulers need to know them.
+/* ent.c - requests that this instance owns as their entry, and messages about them to the pools'
+ * schedulers.
  *
- * The entry alone dispatches a request, so no failure of a scheduler can dispatch it twice. The
- * scheduler's memory is only a copy of what the entries have: when the lease moves, the new holder
- * asks (MSG_TELL) and each entry sends all again. Decisions of an older epoch are dropped.
+ * Only the entry that owns a request dispatches it, so a failed scheduler cannot cause a second
+ * dispatch. A scheduler's state is a copy of what the entries know: when a pool's lease moves, the
+ * new holder sends MSG_TELL and each entry sends all its requests in the pool again. Decisions of
+ * an older epoch are ignored.
  */
 #include "node.h"
 
@@ -23,15 +25,15 @@
   EntPool *pool;
   char *org, *class_name, *server;
   unsigned prompt_tokens, most_tokens, tokens;
-  int64_t first_by, due;
+  int64_t first_token_due, answer_due; /* monotonic time */
   MsgAskState state;
   uint64_t content; /* 0: not known */
-  bool stopped;     /* not asked for while it is not known whether its content may be sent */
+  bool withheld;    /* not sent to the scheduler until the content is found safe or quarantined */
   unsigned block_count;
   uint64_t blocks[];
 } EntReq;
 
-struct Ent
+struct EntTable
 {
   FtNode *node;
   GHashTable *pools;    /* name -> EntPool */
@@ -56,10 +58,10 @@
   g_free (req);
 }
 
-Ent *
+EntTable *
 ent_new (FtNode *node)
 {
-  Ent *ent = g_new0 (Ent, 1);
+  EntTable *ent = g_new0 (EntTable, 1);
 
   ent->node = node;
   ent->pools = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, pool_free);
@@ -68,7 +70,7 @@
 }
 
 void
-ent_free (Ent *ent)
+ent_free (EntTable *ent)
 {
   GHashTableIter iter;
   void *req;
@@ -82,13 +84,13 @@
 }
 
 unsigned
-ent_count (const Ent *ent)
+ent_count (const EntTable *ent)
 {
   return g_hash_table_size (ent->requests);
 }
 
 static EntPool *
-find_pool (Ent *ent, const char *name)
+find_pool (EntTable *ent, const char *name)
 {
   EntPool *pool = g_hash_table_lookup (ent->pools, name);
 
@@ -103,13 +105,13 @@
 }
 
 static EntReq *
-find_request (Ent *ent, uint64_t request)
+find_request (EntTable *ent, uint64_t request)
 {
   return g_hash_table_lookup (ent->requests, &request);
 }
 
 static void
-tell_ask (Ent *ent, EntReq *req, uint32_t to)
+send_request (EntTable *ent, EntReq *req, uint32_t to)
 {
   int64_t now = ft_clock_now (ent->node->clock);
   Msg msg = { .kind = MSG_ASK };
@@ -121,39 +123,40 @@
   ask->class_name = req->class_name;
   ask->prompt_tokens = req->prompt_tokens;
   ask->most_tokens = req->most_tokens;
-  ask->first_in_us = req->first_by - now;
-  ask->due_in_us = req->due - now;
+  ask->first_in_us = req->first_token_due - now;
+  ask->due_in_us = req->answer_due - now;
   ask->blocks.blocks_len = req->block_count;
   ask->blocks.blocks_val = (void *) req->blocks;
   ask->state = req->state;
   ask->server = req->server ? req->server : (char *) "";
   ask->tokens = req->tokens;
   if (to == ent->node->conf.id)
-    hold_ask (ent->node->hold, to, ask);
+    hold_on_ask (ent->node->hold, to, ask);
   else
     node_send (ent->node, to, &msg);
 }
 
 static bool
-is_stopped (const Ent *ent, const EntReq *req)
+must_withhold (const EntTable *ent, const EntReq *req)
 {
   return req->content && quar_judge (ent->node->quar, req->content).state >= QUAR_SETTLES;
 }
 
-/* Failure: a request ends each server that runs it, and its caller sends it again. Symptom: server
- * after server ends, with the streams of others. A content under which enough have ended is not
- * asked for; ent_tick decides what becomes of it. */
+/* Sends a request to the scheduler unless too many servers have crashed while running its content.
+ * A request that crashes its server is sent again by its caller and would crash one server after
+ * another, with the streams of others on them. ent_tick decides what happens to a withheld request.
+ */
 static void
-send_ask (Ent *ent, EntReq *req, uint32_t to)
+submit_request (EntTable *ent, EntReq *req, uint32_t to)
 {
-  if (req->state == MSG_ASK_WAITING && is_stopped (ent, req))
-    req->stopped = true;
-  if (!req->stopped)
-    tell_ask (ent, req, to);
+  if (req->state == MSG_ASK_WAITING && must_withhold (ent, req))
+    req->withheld = true;
+  if (!req->withheld)
+    send_request (ent, req, to);
 }
 
 bool
-ent_holder (Ent *ent, const char *name, uint32_t holder, uint64_t epoch)
+ent_set_holder (EntTable *ent, const char *name, uint32_t holder, uint64_t epoch)
 {
   EntPool *pool = find_pool (ent, name);
 
@@ -165,7 +168,7 @@
 }
 
 void
-ent_tell (Ent *ent, const char *name, uint32_t to, uint64_t epoch)
+ent_report_requests (EntTable *ent, const char *name, uint32_t to, uint64_t epoch)
 {
   EntPool *pool = find_pool (ent, name);
   Msg msg = { .kind = MSG_TOLD };
@@ -174,13 +177,13 @@
   EntReq *req;
 
   cds_list_for_each_entry (req, &pool->requests, link) g_ptr_array_add (all, req);
-  for (unsigned i = 0; i < all->len; i++) /* an ask may be decided at once and change the list */
-    send_ask (ent, all->pdata[i], to);
+  for (unsigned i = 0; i < all->len; i++) /* a decision may come at once and change the list */
+    submit_request (ent, all->pdata[i], to);
   g_ptr_array_unref (all);
   told->pool = pool->name;
   told->epoch = epoch;
   if (to == ent->node->conf.id)
-    hold_told (ent->node->hold, to, told);
+    hold_on_report_end (ent->node->hold, to, told);
   else
     node_send (ent->node, to, &msg);
 }
@@ -188,7 +191,7 @@
 FtStatus
 ft_node_ask (FtNode *node, const FtNodeAsk *ask)
 {
-  Ent *ent = node->ent;
+  EntTable *ent = node->ent;
   int64_t now = ft_clock_now (node->clock);
   unsigned blocks = MIN (ask->block_count, FT_BLOCKS_MOST);
 
@@ -202,20 +205,20 @@
   req->prompt_tokens = ask->prompt_tokens;
   req->most_tokens = ask->most_tokens;
   req->content = ask->content;
-  req->first_by = now + ask->first_in;
-  req->due = now + ask->due_in;
+  req->first_token_due = now + ask->first_in;
+  req->answer_due = now + ask->due_in;
   req->block_count = blocks;
   if (blocks)
     memcpy (req->blocks, ask->blocks, blocks * sizeof (uint64_t));
   g_hash_table_insert (ent->requests, &req->request, req);
   cds_list_add_tail (&req->link, &req->pool->requests);
   if (req->pool->holder)
-    send_ask (ent, req, req->pool->holder);
+    submit_request (ent, req, req->pool->holder);
   return FT_OK;
 }
 
 static void
-forget (Ent *ent, EntReq *req)
+remove_request (EntTable *ent, EntReq *req)
 {
   g_hash_table_remove (ent->requests, &req->request);
   cds_list_del (&req->link);
@@ -236,13 +239,13 @@
   out->request = request;
   out->tokens = tokens;
   if (req->pool->holder == node->conf.id)
-    hold_progress (node->hold, node->conf.id, out);
+    hold_on_progress (node->hold, node->conf.id, out);
   else if (req->pool->holder)
     node_send (node, req->pool->holder, &msg);
 }
 
 static void
-tell_done (FtNode *node, const EntReq *req, FtDone how, unsigned tokens)
+send_done (FtNode *node, const EntReq *req, FtDone how, unsigned tokens)
 {
   Msg msg = { .kind = MSG_DONE };
   MsgDone *out = &msg.Msg_u.done;
@@ -252,7 +255,7 @@
   out->how = how;
   out->tokens = tokens;
   if (req->pool->holder == node->conf.id)
-    hold_done (node->hold, node->conf.id, out);
+    hold_on_done (node->hold, node->conf.id, out);
   else if (req->pool->holder)
     node_send (node, req->pool->holder, &msg);
 }
@@ -264,12 +267,12 @@
 
   if (req == NULL)
     return;
-  /* Out of the list first: telling may bring other requests' decisions at once. */
+  /* Removed first: sending the message may bring decisions on other requests at once. */
   g_hash_table_remove (node->ent->requests, &req->request);
   cds_list_del (&req->link);
   if (how == FT_DONE_WHOLE && req->content)
     susp_answered (node, req->content);
-  tell_done (node, req, how, tokens);
+  send_done (node, req, how, tokens);
   request_free (req);
 }
 
@@ -283,13 +286,13 @@
 }
 
 static void
-ask_once_more (FtNode *node, EntReq *req, FtDone how)
+resubmit (FtNode *node, EntReq *req, FtDone how)
 {
-  tell_done (node, req, how, 0);
+  send_done (node, req, how, 0);
   g_clear_pointer (&req->server, g_free);
   req->state = MSG_ASK_WAITING;
   if (req->pool->holder)
-    send_ask (node->ent, req, req->pool->holder);
+    submit_request (node->ent, req, req->pool->holder);
 }
 
 void
@@ -298,12 +301,13 @@
   EntReq *req = find_request (node->ent, request);
 
   if (req && req->state == MSG_ASK_RUNNING && req->tokens == 0)
-    ask_once_more (node, req, FT_DONE_REFUSED);
+    resubmit (node, req, FT_DONE_REFUSED);
 }
 
-/* The request that a decision is about; NULL when the decision comes from an ended epoch. */
+/* The request that a decision is about; NULL if the decision is not of the pool's current holder
+ * and epoch. */
 static EntReq *
-decided (Ent *ent, uint32_t from, uint64_t request, uint64_t epoch)
+find_decided (EntTable *ent, uint32_t from, uint64_t request, uint64_t epoch)
 {
   EntReq *req = find_request (ent, request);
 
@@ -313,47 +317,48 @@
 }
 
 void
-ent_granted (Ent *ent, uint32_t from, const MsgGrant *grant)
+ent_on_grant (EntTable *ent, uint32_t from, const MsgGrant *grant)
 {
   FtNode *node = ent->node;
-  EntReq *req = decided (ent, from, grant->request, grant->epoch);
+  EntReq *req = find_decided (ent, from, grant->request, grant->epoch);
 
   if (req == NULL || req->state != MSG_ASK_WAITING)
     return;
   req->state = MSG_ASK_RUNNING;
   req->server = g_strdup (grant->server);
-  const NodeServer *server = node_server (node, grant->pool, grant->server);
-  /* Failure: the scheduler's copy of the platform's list is older than ours. Symptom: new work
-   * goes to a server that is leaving. The entry has the last look before the dispatch. */
-  if ((server && server->state != FT_SERVER_LIVE) || is_stopped (ent, req))
-    ask_once_more (node, req, FT_DONE_CANCELLED);
+  const NodeServer *server = node_find_server (node, grant->pool, grant->server);
+  /* The scheduler's list of servers may be older than ours and grant a server that is leaving, so
+   * the entry checks the server's state once more before the dispatch. */
+  if ((server && server->state != FT_SERVER_LIVE) || must_withhold (ent, req))
+    resubmit (node, req, FT_DONE_CANCELLED);
   else
     node->ops->grant (node->host, req->request, req->server);
 }
 
 static void
-refuse (Ent *ent, EntReq *req, FtReason reason, unsigned tier, int64_t retry_ms, const char *rule)
+refuse (EntTable *ent, EntReq *req, FtReason reason, unsigned tier, int64_t retry_ms,
+        const char *rule)
 {
   FtRefusal out = { ent->node->conf.id, req->request, reason, tier, retry_ms, "" };
 
   g_strlcpy (out.rule, rule, sizeof out.rule);
-  forget (ent, req);
+  remove_request (ent, req);
   ent->node->ops->refuse (ent->node->host, &out);
 }
 
 void
-ent_refused (Ent *ent, uint32_t from, const MsgRefuse *refusal)
+ent_on_refusal (EntTable *ent, uint32_t from, const MsgRefuse *refusal)
 {
-  EntReq *req = decided (ent, from, refusal->request, refusal->epoch);
+  EntReq *req = find_decided (ent, from, refusal->request, refusal->epoch);
 
   if (req && req->state == MSG_ASK_WAITING)
     refuse (ent, req, refusal->reason, refusal->tier, refusal->retry_after_ms, refusal->rule);
 }
 
 void
-ent_paused (Ent *ent, uint32_t from, const MsgGrant *stream, bool paused)
+ent_on_pause (EntTable *ent, uint32_t from, const MsgGrant *stream, bool paused)
 {
-  EntReq *req = decided (ent, from, stream->request, stream->epoch);
+  EntReq *req = find_decided (ent, from, stream->request, stream->epoch);
 
   if (req == NULL || req->state != (paused ? MSG_ASK_RUNNING : MSG_ASK_PAUSED))
     return;
@@ -365,7 +370,7 @@
 }
 
 void
-ent_peer_reset (Ent *ent, uint32_t peer)
+ent_peer_reset (EntTable *ent, uint32_t peer)
 {
   GHashTableIter iter;
   void *data;
@@ -379,50 +384,51 @@
       EntReq *req;
       if (pool->holder != peer)
         continue;
-      cds_list_for_each_entry (req, &pool->requests, link) send_ask (ent, req, peer);
+      cds_list_for_each_entry (req, &pool->requests, link) submit_request (ent, req, peer);
     }
 }
 
-/* Requests that no scheduler decided in time: the caller gets its answer at once. */
+/* Refuses a request that is past its deadline without a decision of any scheduler. */
 static void
-refuse_overdue (Ent *ent, EntReq *req, int64_t now)
+refuse_overdue (EntTable *ent, EntReq *req, int64_t now)
 {
-  if (now <= MIN (req->first_by, req->due) + FT_SECOND)
+  if (now <= MIN (req->first_token_due, req->answer_due) + FT_SECOND)
     return;
-  tell_done (ent->node, req, FT_DONE_CANCELLED, 0);
+  send_done (ent->node, req, FT_DONE_CANCELLED, 0);
   refuse (ent, req, FT_REASON_NO_SCHEDULER, 0, 2000,
           "no decision came before the first token was due");
 }
 
-/* A stopped request is asked for once its content is cleared, and refused once it is held. One that
- * waits already is withdrawn when its content is held. */
+/* Submits a withheld request once its content is cleared, and refuses any waiting request whose
+ * content is quarantined; if the scheduler already has it, it is cancelled there. */
 static void
-review (Ent *ent, EntReq *req)
+check_quarantine (EntTable *ent, EntReq *req)
 {
   QuarVerdict verdict = quar_judge (ent->node->quar, req->content);
   char rule[128];
 
   if (verdict.state == QUAR_HELD)
     {
-      g_snprintf (rule, sizeof rule, "%u servers ended under content %016" G_GINT64_MODIFIER "x",
+      g_snprintf (rule, sizeof rule,
+                  "%u servers crashed while running content %016" G_GINT64_MODIFIER "x",
                   verdict.ends, req->content);
-      if (!req->stopped)
-        tell_done (ent->node, req, FT_DONE_CANCELLED, 0);
+      if (!req->withheld)
+        send_done (ent->node, req, FT_DONE_CANCELLED, 0);
       refuse (ent, req, FT_REASON_QUARANTINED, 0, 0, rule);
     }
-  else if (req->stopped && verdict.state != QUAR_SETTLES)
+  else if (req->withheld && verdict.state != QUAR_SETTLES)
     {
-      req->stopped = false;
+      req->withheld = false;
       if (req->pool->holder)
-        send_ask (ent, req, req->pool->holder);
+        submit_request (ent, req, req->pool->holder);
     }
 }
 
-/* Failure: telling of one request's end brings others' decisions at once, here too if the scheduler
- * is this instance. Symptom: the next one in the list is gone. So each is looked up by its number
- * when its turn comes. */
+/* Numbers of the pool's waiting requests. The list itself must not be walked while messages are
+ * sent: if the scheduler is on this instance, ending one request may bring decisions that remove
+ * others. */
 static GArray *
-numbers_waiting (const EntPool *pool)
+list_waiting (const EntPool *pool)
 {
   GArray *numbers = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   const EntReq *req;
@@ -436,7 +442,7 @@
 }
 
 static EntReq *
-find_waiting (Ent *ent, uint64_t number)
+find_waiting (EntTable *ent, uint64_t number)
 {
   EntReq *req = find_request (ent, number);
 
@@ -444,16 +450,16 @@
 }
 
 static void
-tick_pool (Ent *ent, EntPool *pool, int64_t now)
+tick_pool (EntTable *ent, EntPool *pool, int64_t now)
 {
-  GArray *numbers = numbers_waiting (pool);
+  GArray *numbers = list_waiting (pool);
 
   for (unsigned i = 0; i < numbers->len; i++)
     {
       uint64_t number = g_array_index (numbers, uint64_t, i);
       EntReq *req = find_waiting (ent, number);
       if (req && req->content)
-        review (ent, req);
+        check_quarantine (ent, req);
       req = find_waiting (ent, number);
       if (req)
         refuse_overdue (ent, req, now);
@@ -462,7 +468,7 @@
 }
 
 void
-ent_tick (Ent *ent, int64_t now)
+ent_tick (EntTable *ent, int64_t now)
 {
   GHashTableIter iter;
   void *pool;
@@ -473,7 +479,7 @@
 }
 
 void
-ent_catalogue (Ent *ent)
+ent_on_catalogue (EntTable *ent)
 {
   GHashTableIter iter;
   void *data;
@@ -487,6 +493,7 @@
         continue;
       cds_list_for_each_entry_safe (req, next, &pool->requests,
                                     link) if (req->state == MSG_ASK_WAITING)
-          refuse (ent, req, FT_REASON_NO_SUCH_POOL, 0, 0, "the pool left the catalogue");
+          refuse (ent, req, FT_REASON_NO_SUCH_POOL, 0, 0,
+                  "the pool was removed from the catalogue");
     }
 }
--- a/src/find.c
+++ b/src/find.c
@@ -1,6 +1,6 @@
-/* find.c - questions of auditors, operators and callers that another instance can answer.
+/* find.c - queries to other instances, on behalf of operators, auditors and callers.
  *
- * Kept answers are asked of every instance, all else of the voter in charge.
+ * A query for a stored answer goes to every instance, any other to the leader.
  */
 #include "node.h"
 
@@ -11,40 +11,40 @@
   uint64_t number;
   FtFindKind kind;
   char *id;
-  int64_t send_at, until;
-  unsigned unanswered; /* FT_FIND_ANSWER: instances that have not replied */
-} Find;
+  int64_t send_at, deadline;
+  unsigned pending; /* FT_FIND_ANSWER: instances that have not replied */
+} Query;
 
 void
 find_free (void *data)
 {
-  Find *find = data;
+  Query *query = data;
 
-  g_free (find->id);
-  g_free (find);
+  g_free (query->id);
+  g_free (query);
 }
 
 static void
-send_find (FtNode *node, Find *find, int64_t now)
+send_query (FtNode *node, Query *query, int64_t now)
 {
   Msg msg = { .kind = MSG_FIND };
 
-  msg.Msg_u.find.number = find->number;
-  msg.Msg_u.find.kind = (MsgFindKind) find->kind;
-  msg.Msg_u.find.id = find->id;
-  if (find->kind != FT_FIND_ANSWER)
+  msg.Msg_u.find.number = query->number;
+  msg.Msg_u.find.kind = (MsgFindKind) query->kind;
+  msg.Msg_u.find.id = query->id;
+  if (query->kind != FT_FIND_ANSWER)
     {
-      find->send_at = now + PROPOSE_EVERY;
-      node_send (node, node->guess, &msg);
+      query->send_at = now + RESEND_INTERVAL;
+      node_send (node, node->assumed_leader, &msg);
       return;
     }
-  find->send_at = find->until;
+  query->send_at = query->deadline;
   for (unsigned i = 0; i < node->instances->len; i++)
     {
       uint32_t id = g_array_index (node->instances, uint32_t, i);
       if (id == node->conf.id)
         continue;
-      find->unanswered++;
+      query->pending++;
       node_send (node, id, &msg);
     }
 }
@@ -52,14 +52,14 @@
 uint64_t
 ft_node_find (FtNode *node, FtFindKind kind, const char *id)
 {
-  Find *find = g_new0 (Find, 1);
-
-  find->number = node->next_number++;
-  find->kind = kind;
-  find->id = g_strdup (id);
-  find->until = ft_clock_now (node->clock) + FIND_MOST;
-  uint64_t number = find->number;
-  g_hash_table_insert (node->finds, &find->number, find);
+  Query *query = g_new0 (Query, 1);
+
+  query->number = node->next_number++;
+  query->kind = kind;
+  query->id = g_strdup (id);
+  query->deadline = ft_clock_now (node->clock) + QUERY_TIMEOUT;
+  uint64_t number = query->number;
+  g_hash_table_insert (node->queries, &query->number, query);
   return number;
 }
 
@@ -77,34 +77,34 @@
 }
 
 void
-find_asked (FtNode *node, uint32_t from, const MsgFind *find)
+find_on_query (FtNode *node, uint32_t from, const MsgFind *query)
 {
-  if (find->kind == MSG_FIND_ANSWER)
-    node->ops->question (node->host, from, find->number, find->id);
+  if (query->kind == MSG_FIND_ANSWER)
+    node->ops->question (node->host, from, query->number, query->id);
   else if (node->lead)
-    lead_find (node->lead, from, find);
+    lead_on_query (node->lead, from, query);
 }
 
 static void
-end_find (FtNode *node, Find *find, FtStatus status, const void *body, size_t size)
+end_query (FtNode *node, Query *query, FtStatus status, const void *body, size_t size)
 {
-  uint64_t number = find->number;
+  uint64_t number = query->number;
 
-  g_hash_table_remove (node->finds, &number);
+  g_hash_table_remove (node->queries, &number);
   node->ops->found (node->host, number, status, body, size);
 }
 
 void
-find_found (FtNode *node, const MsgFound *found)
+find_on_reply (FtNode *node, const MsgFound *reply)
 {
-  uint64_t number = found->number;
-  Find *find = g_hash_table_lookup (node->finds, &number);
+  uint64_t number = reply->number;
+  Query *query = g_hash_table_lookup (node->queries, &number);
 
-  if (find == NULL || found->status == FT_NOT_LEADER)
+  if (query == NULL || reply->status == FT_NOT_LEADER)
     return;
-  if (find->kind == FT_FIND_ANSWER && found->status != FT_OK && --find->unanswered > 0)
+  if (query->kind == FT_FIND_ANSWER && reply->status != FT_OK && --query->pending > 0)
     return;
-  end_find (node, find, found->status, found->body.body_val, found->body.body_len);
+  end_query (node, query, reply->status, reply->body.body_val, reply->body.body_len);
 }
 
 void
@@ -114,17 +114,17 @@
   void *data;
   GPtrArray *due = g_ptr_array_new ();
 
-  g_hash_table_iter_init (&iter, node->finds);
+  g_hash_table_iter_init (&iter, node->queries);
   while (g_hash_table_iter_next (&iter, NULL, &data))
-    if (now >= ((Find *) data)->send_at)
+    if (now >= ((Query *) data)->send_at)
       g_ptr_array_add (due, data);
   for (unsigned i = 0; i < due->len; i++)
     {
-      Find *find = due->pdata[i];
-      if (now >= find->until)
-        end_find (node, find, FT_NOT_FOUND, "", 0);
+      Query *query = due->pdata[i];
+      if (now >= query->deadline)
+        end_query (node, query, FT_NOT_FOUND, "", 0);
       else
-        send_find (node, find, now);
+        send_query (node, query, now);
     }
   g_ptr_array_unref (due);
 }
--- a/src/hold.c
+++ b/src/hold.c
@@ -1,9 +1,10 @@
-/* hold.c - the pools whose lease this instance holds.
+/* hold.c - schedulers of the pools whose lease this instance holds.
  *
- * A new holder grants nothing until every live entry has told what it runs and what waits, or
- * TELL_WAIT is over: granting earlier would fill places that are taken. It also stops when its
- * last proof of the lease is older than HOLD_LIMIT by its own clock; the leader gives the lease to
- * another one only after TAKEOVER, which is longer by more than the clocks' difference in rate.
+ * A new holder grants nothing until every live entry has reported its running and waiting requests,
+ * or REPORT_TIMEOUT has passed; otherwise it would grant slots that are already taken. A holder
+ * also stops when its last proof of the lease is older than LEASE_PROOF_MAX_AGE by its own clock.
+ * The leader moves the lease only after LEASE_TAKEOVER_DELAY, which is longer by more than the
+ * clocks can differ in rate, so two instances never schedule one pool.
  */
 #include "node.h"
 
@@ -11,16 +12,16 @@
 
 typedef struct
 {
-  Hold *hold;
+  HoldTable *hold;
   char *name;
   uint64_t epoch;
   FtPool *pool;
-  GHashTable *untold; /* instances that have not told yet */
-  int64_t tell_until;
+  GHashTable *unreported;  /* ids of instances that have not yet reported all their requests */
+  int64_t report_deadline; /* 0: reports are complete or no longer awaited */
   bool suspended;
 } HoldPool;
 
-struct Hold
+struct HoldTable
 {
   FtNode *node;
   GHashTable *pools; /* name -> HoldPool */
@@ -32,15 +33,15 @@
   HoldPool *held = data;
 
   ft_pool_free (held->pool);
-  g_hash_table_unref (held->untold);
+  g_hash_table_unref (held->unreported);
   g_free (held->name);
   g_free (held);
 }
 
-Hold *
+HoldTable *
 hold_new (FtNode *node)
 {
-  Hold *hold = g_new0 (Hold, 1);
+  HoldTable *hold = g_new0 (HoldTable, 1);
 
   hold->node = node;
   hold->pools = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, pool_free);
@@ -48,40 +49,40 @@
 }
 
 void
-hold_free (Hold *hold)
+hold_free (HoldTable *hold)
 {
   g_hash_table_unref (hold->pools);
   g_free (hold);
 }
 
 unsigned
-hold_count (const Hold *hold)
+hold_count (const HoldTable *hold)
 {
   return g_hash_table_size (hold->pools);
 }
 
 static HoldPool *
-find (Hold *hold, const char *name)
+find_pool (HoldTable *hold, const char *name)
 {
   return g_hash_table_lookup (hold->pools, name);
 }
 
 FtPool *
-hold_pool (Hold *hold, const char *name)
+hold_get_pool (HoldTable *hold, const char *name)
 {
-  HoldPool *held = find (hold, name);
+  HoldPool *held = find_pool (hold, name);
 
   return held ? held->pool : NULL;
 }
 
-/* ---- Decisions on their way to the entries ---- */
+/* ---- Decisions sent to the entries ---- */
 
 static void
-send_stream (HoldPool *held, MsgKind kind, const FtGrant *stream)
+send_decision (HoldPool *held, MsgKind kind, const FtGrant *stream)
 {
   FtNode *node = held->hold->node;
   Msg msg = { .kind = kind };
-  MsgGrant *out = &msg.Msg_u.grant; /* grant, pause and resume have one type */
+  MsgGrant *out = &msg.Msg_u.grant; /* grant, pause and resume have the same type */
 
   out->pool = held->name;
   out->epoch = held->epoch;
@@ -90,27 +91,27 @@
   if (stream->entry != node->conf.id)
     node_send (node, stream->entry, &msg);
   else if (kind == MSG_GRANT)
-    ent_granted (node->ent, stream->entry, out);
+    ent_on_grant (node->ent, stream->entry, out);
   else
-    ent_paused (node->ent, stream->entry, out, kind == MSG_PAUSE);
+    ent_on_pause (node->ent, stream->entry, out, kind == MSG_PAUSE);
 }
 
 static void
 on_grant (void *host, const FtGrant *grant)
 {
-  send_stream (host, MSG_GRANT, grant);
+  send_decision (host, MSG_GRANT, grant);
 }
 
 static void
 on_pause (void *host, const FtGrant *stream)
 {
-  send_stream (host, MSG_PAUSE, stream);
+  send_decision (host, MSG_PAUSE, stream);
 }
 
 static void
 on_resume (void *host, const FtGrant *stream)
 {
-  send_stream (host, MSG_RESUME, stream);
+  send_decision (host, MSG_RESUME, stream);
 }
 
 static void
@@ -129,14 +130,14 @@
   out->retry_after_ms = refusal->retry_after_ms;
   out->rule = (char *) refusal->rule;
   if (refusal->entry == node->conf.id)
-    ent_refused (node->ent, refusal->entry, out);
+    ent_on_refusal (node->ent, refusal->entry, out);
   else
     node_send (node, refusal->entry, &msg);
 }
 
 static const FtPoolOps pool_ops = { on_grant, on_refuse, on_pause, on_resume };
 
-/* ---- Taking and dropping ---- */
+/* ---- Start and stop of schedulers ---- */
 
 static FtPoolConf
 pool_conf (const FtPoolEntry *entry)
@@ -148,38 +149,40 @@
 }
 
 static void
-ask_entries (HoldPool *held, int64_t now)
+request_reports (HoldPool *held, int64_t now)
 {
   FtNode *node = held->hold->node;
   Msg msg = { .kind = MSG_TELL };
 
   msg.Msg_u.tell.pool = held->name;
   msg.Msg_u.tell.epoch = held->epoch;
-  held->tell_until = now + TELL_WAIT;
-  /* A process that has just started, or a leader, may not know yet who lives: then all count. */
+  held->report_deadline = now + REPORT_TIMEOUT;
+  /* Just after its own start or the leader's, an instance may have no list of live ones yet: then
+   * it awaits the reports of all. */
   const GArray *expected = node->live->len ? node->live : node->instances;
   for (unsigned i = 0; i < expected->len; i++)
     {
       uint32_t id = g_array_index (expected, uint32_t, i);
-      g_hash_table_add (held->untold, GUINT_TO_POINTER (id));
+      g_hash_table_add (held->unreported, GUINT_TO_POINTER (id));
     }
-  g_hash_table_add (held->untold, GUINT_TO_POINTER (node->conf.id));
+  g_hash_table_add (held->unreported, GUINT_TO_POINTER (node->conf.id));
   for (unsigned i = 0; i < node->instances->len; i++)
     {
       uint32_t id = g_array_index (node->instances, uint32_t, i);
+      /* Also to those not in the list of live instances: the list may be out of date. */
       if (id != node->conf.id)
-        node_send (node, id, &msg); /* to those thought dead too: they may be back */
+        node_send (node, id, &msg);
     }
-  if (ent_holder (node->ent, held->name, node->conf.id, held->epoch))
-    ent_tell (node->ent, held->name, node->conf.id, held->epoch);
+  if (ent_set_holder (node->ent, held->name, node->conf.id, held->epoch))
+    ent_report_requests (node->ent, held->name, node->conf.id, held->epoch);
 }
 
 void
-hold_take (Hold *hold, const char *name, uint64_t epoch)
+hold_start_pool (HoldTable *hold, const char *name, uint64_t epoch)
 {
   FtNode *node = hold->node;
   const FtPoolEntry *entry = node->cat ? ft_cat_pool (node->cat, name) : NULL;
-  HoldPool *held = find (hold, name);
+  HoldPool *held = find_pool (hold, name);
 
   if (entry == NULL || (held && held->epoch >= epoch))
     return;
@@ -188,7 +191,7 @@
   held->hold = hold;
   held->name = g_strdup (name);
   held->epoch = epoch;
-  held->untold = g_hash_table_new (g_direct_hash, g_direct_equal);
+  held->unreported = g_hash_table_new (g_direct_hash, g_direct_equal);
   held->pool = ft_pool_new (&conf, node->clock, &pool_ops, held);
   g_hash_table_replace (hold->pools, held->name, held);
   ft_pool_hold (held->pool, true);
@@ -196,18 +199,18 @@
   void *server;
   g_hash_table_iter_init (&iter, node->servers);
   while (g_hash_table_iter_next (&iter, NULL, &server))
-    hold_server (hold, server);
-  ask_entries (held, ft_clock_now (node->clock));
+    hold_update_server (hold, server);
+  request_reports (held, ft_clock_now (node->clock));
 }
 
 void
-hold_drop (Hold *hold, const char *name)
+hold_stop_pool (HoldTable *hold, const char *name)
 {
   g_hash_table_remove (hold->pools, name);
 }
 
 void
-hold_catalogue (Hold *hold)
+hold_on_catalogue (HoldTable *hold)
 {
   FtCat *cat = hold->node->cat;
   GHashTableIter iter;
@@ -233,22 +236,22 @@
     }
 }
 
-/* ---- Messages of entries ---- */
+/* ---- Messages from entries ---- */
 
 void
-hold_ask (Hold *hold, uint32_t from, const MsgAsk *in)
+hold_on_ask (HoldTable *hold, uint32_t from, const MsgAsk *in)
 {
-  HoldPool *held = find (hold, in->pool);
+  HoldPool *held = find_pool (hold, in->pool);
   FtCat *cat = hold->node->cat;
   const FtOrg *org = held ? ft_cat_org (cat, in->org) : NULL;
   const FtClass *class = held ? ft_cat_class (cat, in->class_name) : NULL;
 
   if (held == NULL)
-    return; /* the entry will be told who holds it */
+    return; /* the entry will learn the new holder and send it again */
   if (in->state == MSG_ASK_WAITING && (org == NULL || class == NULL))
     {
       FtRefusal out = { from, in->request, FT_REASON_NO_SUCH_CLASS, 0, 0, "" };
-      g_strlcpy (out.rule, "organisation or class left the catalogue", sizeof out.rule);
+      g_strlcpy (out.rule, "organisation or class was removed from the catalogue", sizeof out.rule);
       on_refuse (held, &out);
       return;
     }
@@ -273,27 +276,27 @@
 }
 
 void
-hold_told (Hold *hold, uint32_t from, const MsgTold *told)
+hold_on_report_end (HoldTable *hold, uint32_t from, const MsgTold *report)
 {
-  HoldPool *held = find (hold, told->pool);
+  HoldPool *held = find_pool (hold, report->pool);
 
-  if (held && held->epoch == told->epoch)
-    g_hash_table_remove (held->untold, GUINT_TO_POINTER (from));
+  if (held && held->epoch == report->epoch)
+    g_hash_table_remove (held->unreported, GUINT_TO_POINTER (from));
 }
 
 void
-hold_progress (Hold *hold, uint32_t from, const MsgProgress *progress)
+hold_on_progress (HoldTable *hold, uint32_t from, const MsgProgress *progress)
 {
-  HoldPool *held = find (hold, progress->pool);
+  HoldPool *held = find_pool (hold, progress->pool);
 
   if (held)
     ft_pool_progress (held->pool, from, progress->request, progress->tokens);
 }
 
 void
-hold_done (Hold *hold, uint32_t from, const MsgDone *done)
+hold_on_done (HoldTable *hold, uint32_t from, const MsgDone *done)
 {
-  HoldPool *held = find (hold, done->pool);
+  HoldPool *held = find_pool (hold, done->pool);
 
   if (held)
     ft_pool_done (held->pool, from, done->request, MIN (done->how, FT_DONE_CANCELLED),
@@ -301,7 +304,7 @@
 }
 
 void
-hold_entry_gone (Hold *hold, uint32_t entry)
+hold_remove_entry (HoldTable *hold, uint32_t entry)
 {
   GHashTableIter iter;
   void *data;
@@ -311,12 +314,12 @@
     {
       HoldPool *held = data;
       ft_pool_entry_gone (held->pool, entry);
-      g_hash_table_remove (held->untold, GUINT_TO_POINTER (entry));
+      g_hash_table_remove (held->unreported, GUINT_TO_POINTER (entry));
     }
 }
 
 void
-hold_entry_back (Hold *hold, uint32_t entry)
+hold_request_report (HoldTable *hold, uint32_t entry)
 {
   GHashTableIter iter;
   void *data;
@@ -333,16 +336,16 @@
 }
 
 void
-hold_server (Hold *hold, const NodeServer *server)
+hold_update_server (HoldTable *hold, const NodeServer *server)
 {
-  HoldPool *held = find (hold, server->pool);
+  HoldPool *held = find_pool (hold, server->pool);
 
   if (held)
     ft_pool_server (held->pool, server->name, server->incarnation, server->state);
 }
 
 void
-hold_tick (Hold *hold, int64_t now)
+hold_tick (HoldTable *hold, int64_t now)
 {
   bool valid = node_lease_valid (hold->node, now);
   GHashTableIter iter;
@@ -352,13 +355,13 @@
   while (g_hash_table_iter_next (&iter, NULL, &data))
     {
       HoldPool *held = data;
-      bool told = g_hash_table_size (held->untold) == 0 || now >= held->tell_until;
-      bool suspend = !valid || !told;
-      if (suspend != held->suspended || held->tell_until)
+      bool reported = g_hash_table_size (held->unreported) == 0 || now >= held->report_deadline;
+      bool suspend = !valid || !reported;
+      if (suspend != held->suspended || held->report_deadline)
         ft_pool_hold (held->pool, suspend);
       held->suspended = suspend;
-      if (told)
-        held->tell_until = 0;
+      if (reported)
+        held->report_deadline = 0;
       ft_pool_tick (held->pool);
     }
 }
--- a/src/lead.c
+++ b/src/lead.c
@@ -1,9 +1,10 @@
-/* lead.c - duties of the voter in charge: freshness, leases, verdicts, questions.
+/* lead.c - duties of the voter that leads: freshness, leases, verdicts on proposals, queries.
  *
- * Instances say hello twice a second; the answer proves that the catalogue they have is in force
- * at the time they asked. A lease is renewed by the same answer. Nothing of this is in the log, so
- * a new leader first waits as long as any proof of its predecessor may last (TAKEOVER, OUT_AFTER)
- * before it moves a lease or calls a change in force without having heard an instance.
+ * Each instance sends a hello twice a second. The answer proves that the instance's catalogue was
+ * in force, and its leases valid, when the hello was sent. None of this is in the replicated log,
+ * so a new leader first waits as long as a proof given by its predecessor may last:
+ * LEASE_TAKEOVER_DELAY before it moves a lease, INSTANCE_TIMEOUT before it calls a change in force
+ * without having heard from an instance.
  */
 #include "node.h"
 
@@ -22,59 +23,59 @@
 
 typedef struct
 {
-  uint32_t from;
-  uint64_t number, term;
-} Waiting;
+  uint32_t from;         /* instance that proposed it */
+  uint64_t number, term; /* number: the proposer's own */
+} PendingProposal;
 
-struct Lead
+struct Leader
 {
   FtNode *node;
   GHashTable *instances; /* id -> Instance */
-  GHashTable *waiting;   /* &index -> Waiting */
-  uint64_t term;         /* that the soft state above belongs to */
-  GArray *live;          /* uint32_t, sorted, as of the last look */
-  uint64_t live_version; /* unlike any other leader's */
-  int64_t live_at;
-  uint64_t placing;     /* index of the last lease proposed */
-  uint32_t moving_from; /* its holder until then, 0: none */
-  int64_t claims_at;
+  GHashTable *pending;   /* &log index -> PendingProposal */
+  uint64_t term;         /* to which the tables above belong */
+  GArray *live;          /* ids of live instances, uint32_t, sorted, as of live_updated_at */
+  uint64_t live_version; /* unique across leaders: starts at the term times 2^32 */
+  int64_t live_updated_at;
+  uint64_t lease_index;   /* log index of the lease proposed last */
+  uint32_t former_holder; /* holder before that lease, 0: none */
+  int64_t next_claims_check;
 };
 
 static void
 instance_free (void *data)
 {
-  Instance *one = data;
+  Instance *instance = data;
 
-  g_free (one->region);
-  g_free (one);
+  g_free (instance->region);
+  g_free (instance);
 }
 
-Lead *
+Leader *
 lead_new (FtNode *node)
 {
-  Lead *lead = g_new0 (Lead, 1);
+  Leader *lead = g_new0 (Leader, 1);
 
   lead->node = node;
   lead->live = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   lead->instances = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, instance_free);
-  lead->waiting = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  lead->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   return lead;
 }
 
 void
-lead_free (Lead *lead)
+lead_free (Leader *lead)
 {
   if (lead == NULL)
     return;
   g_array_unref (lead->live);
   g_hash_table_unref (lead->instances);
-  g_hash_table_unref (lead->waiting);
+  g_hash_table_unref (lead->pending);
   g_free (lead);
 }
 
-/* Forgets what belongs to an earlier time in charge. False when this voter is not in charge. */
+/* Returns whether this voter leads. Clears the tables if they are of an earlier term. */
 static bool
-in_charge (Lead *lead)
+check_leading (Leader *lead)
 {
   FtNode *node = lead->node;
 
@@ -83,23 +84,23 @@
   if (lead->term != raft_term (node->raft))
     {
       lead->term = raft_term (node->raft);
-      lead->placing = 0;
+      lead->lease_index = 0;
       lead->live_version = lead->term << 32;
-      lead->live_at = 0;
+      lead->live_updated_at = 0;
       g_hash_table_remove_all (lead->instances);
-      g_hash_table_remove_all (lead->waiting);
+      g_hash_table_remove_all (lead->pending);
     }
   return true;
 }
 
 static bool
-is_live (const Instance *one, int64_t now)
+is_live (const Instance *instance, int64_t now)
 {
-  return now - one->heard_at < TAKEOVER;
+  return now - instance->heard_at < LEASE_TAKEOVER_DELAY;
 }
 
 static void
-send_verdict (Lead *lead, uint32_t to, uint64_t number, FtStatus status, uint64_t revision,
+send_verdict (Leader *lead, uint32_t to, uint64_t number, FtStatus status, uint64_t revision,
               const char *text)
 {
   FtNode *node = lead->node;
@@ -117,23 +118,23 @@
 /* ---- Hello ---- */
 
 static Instance *
-note_instance (Lead *lead, uint32_t from, const MsgHello *hello, int64_t now)
+update_instance (Leader *lead, uint32_t from, const MsgHello *hello, int64_t now)
 {
-  Instance *one = g_hash_table_lookup (lead->instances, GUINT_TO_POINTER (from));
+  Instance *instance = g_hash_table_lookup (lead->instances, GUINT_TO_POINTER (from));
 
-  if (one == NULL)
+  if (instance == NULL)
     {
-      one = g_new0 (Instance, 1);
-      one->id = from;
-      g_hash_table_insert (lead->instances, GUINT_TO_POINTER (from), one);
+      instance = g_new0 (Instance, 1);
+      instance->id = from;
+      g_hash_table_insert (lead->instances, GUINT_TO_POINTER (from), instance);
     }
-  one->incarnation = hello->incarnation;
-  one->revision = hello->revision;
-  one->heard_at = now;
-  one->leaving = hello->leaving;
-  g_free (one->region);
-  one->region = g_strdup (hello->region);
-  return one;
+  instance->incarnation = hello->incarnation;
+  instance->revision = hello->revision;
+  instance->heard_at = now;
+  instance->leaving = hello->leaving;
+  g_free (instance->region);
+  instance->region = g_strdup (hello->region);
+  return instance;
 }
 
 static gint
@@ -144,21 +145,21 @@
   return (x > y) - (x < y);
 }
 
-/* The set of live instances changes a few hundred times a day and is asked for twice a second by
- * each of them, so it is sent only to those that have another version of it. */
+/* Updates the list of live instances. It changes a few hundred times a day, while each instance
+ * says hello twice a second, so an answer has the list only if the asker knows another version. */
 static void
-refresh_live (Lead *lead, int64_t now)
+update_live (Leader *lead, int64_t now)
 {
   GArray *live = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   GHashTableIter iter;
   void *data;
 
-  if (lead->live_at && now - lead->live_at < LIVE_EVERY)
+  if (lead->live_updated_at && now - lead->live_updated_at < LIVE_REFRESH_INTERVAL)
     {
       g_array_unref (live);
       return;
     }
-  lead->live_at = now;
+  lead->live_updated_at = now;
   g_hash_table_iter_init (&iter, lead->instances);
   while (g_hash_table_iter_next (&iter, NULL, &data))
     if (is_live (data, now))
@@ -172,23 +173,24 @@
 }
 
 void
-lead_hello (Lead *lead, uint32_t from, const MsgHello *hello)
+lead_on_hello (Leader *lead, uint32_t from, const MsgHello *hello)
 {
   FtNode *node = lead->node;
   int64_t now = ft_clock_now (node->clock);
   Msg msg = { .kind = MSG_FRESH };
   MsgFresh *out = &msg.Msg_u.fresh;
 
-  if (!in_charge (lead))
+  if (!check_leading (lead))
     {
       send_verdict (lead, from, 0, FT_NOT_LEADER, 0, "");
       return;
     }
-  note_instance (lead, from, hello, now);
-  /* Failure: a holder thought dead says hello while the entry that moves its lease is not yet
-   * committed. Symptom: the answer proves the old lease for two more seconds and two instances
-   * schedule one pool. No answer until the move is committed; the next hello then tells it. */
-  if (from == lead->moving_from && raft_commit (node->raft) < lead->placing)
+  update_instance (lead, from, hello, now);
+  /* A holder that was taken for dead may say hello while the log entry that moves its lease is not
+   * yet committed. An answer would prove the old lease for two more seconds, and two instances
+   * would schedule one pool. So it gets none until the move is committed; the next answer reports
+   * it. */
+  if (from == lead->former_holder && raft_commit (node->raft) < lead->lease_index)
     return;
   GPtrArray *leases = state_leases (node->state);
   GArray *packed = g_array_new (FALSE, FALSE, sizeof (MsgLease));
@@ -203,13 +205,12 @@
     g_array_append_vals (packed, leases->pdata[i], 1);
   out->leases.leases_len = packed->len;
   out->leases.leases_val = (MsgLease *) (void *) packed->data;
-  refresh_live (lead, now);
+  update_live (lead, now);
   out->live_version = lead->live_version;
-  /* Failure: a new leader has heard only some instances and calls the rest dead. Symptom:
-   * schedulers forget what waits and runs at them. Until every live one must have said hello, it
-   * calls none. */
+  /* A new leader has heard from some instances only. If it sent their list, schedulers would drop
+   * the requests of all others, so it sends none until every live instance must have said hello. */
   out->has_live = hello->live_version != lead->live_version
-                  && now - raft_leading_since (node->raft) > TAKEOVER;
+                  && now - raft_leading_since (node->raft) > LEASE_TAKEOVER_DELAY;
   out->live.live_len = out->has_live ? lead->live->len : 0;
   out->live.live_val = (u_int *) (void *) lead->live->data;
   MsgBlame blame = { 0 };
@@ -228,22 +229,22 @@
 /* ---- Proposals ---- */
 
 void
-lead_propose (Lead *lead, uint32_t from, const MsgPropose *propose)
+lead_on_proposal (Leader *lead, uint32_t from, const MsgPropose *propose)
 {
   FtNode *node = lead->node;
   MsgOp op = { 0 };
   uint64_t index = 0;
 
-  if (!in_charge (lead))
+  if (!check_leading (lead))
     {
       send_verdict (lead, from, propose->number, FT_NOT_LEADER, 0, "");
       return;
     }
   FtStatus status = codec_unpack (CODEC (MsgOp), propose->op.op_val, propose->op.op_len, &op, NULL);
-  bool allowed = op.kind == MSG_OP_CHANGE || op.kind == MSG_OP_CLAIM || op.kind == MSG_OP_CLAIM_END
-                 || op.kind == MSG_OP_REFUSALS || op.kind == MSG_OP_ENDED
-                 || op.kind == MSG_OP_CLEARED;
-  if (status == FT_OK && allowed)
+  bool is_allowed = op.kind == MSG_OP_CHANGE || op.kind == MSG_OP_CLAIM
+                    || op.kind == MSG_OP_CLAIM_END || op.kind == MSG_OP_REFUSALS
+                    || op.kind == MSG_OP_ENDED || op.kind == MSG_OP_CLEARED;
+  if (status == FT_OK && is_allowed)
     status = raft_propose (node->raft, &op, &index);
   else
     status = FT_INVALID;
@@ -253,38 +254,38 @@
       send_verdict (lead, from, propose->number, status, 0, ft_strerror (status));
       return;
     }
-  Waiting *waiting = g_new (Waiting, 1);
-  *waiting = (Waiting){ from, propose->number, lead->term };
-  g_hash_table_replace (lead->waiting, g_memdup2 (&index, sizeof index), waiting);
+  PendingProposal *pending = g_new (PendingProposal, 1);
+  *pending = (PendingProposal){ from, propose->number, lead->term };
+  g_hash_table_replace (lead->pending, g_memdup2 (&index, sizeof index), pending);
 }
 
 void
-lead_applied (Lead *lead, uint64_t index, const StateResult *verdict)
+lead_on_applied (Leader *lead, uint64_t index, const StateResult *verdict)
 {
-  Waiting *waiting = g_hash_table_lookup (lead->waiting, &index);
+  PendingProposal *pending = g_hash_table_lookup (lead->pending, &index);
 
-  if (waiting == NULL)
+  if (pending == NULL)
     return;
-  /* Entries of a leader's own term are never replaced in its log, so within one term the index
-   * names the proposal. */
-  if (waiting->term == raft_term (lead->node->raft))
-    send_verdict (lead, waiting->from, waiting->number, verdict->status, verdict->revision,
+  /* Within one term a leader never replaces entries of its own log, so the index identifies the
+   * proposal. */
+  if (pending->term == raft_term (lead->node->raft))
+    send_verdict (lead, pending->from, pending->number, verdict->status, verdict->revision,
                   verdict->text);
-  g_hash_table_remove (lead->waiting, &index);
+  g_hash_table_remove (lead->pending, &index);
 }
 
 /* ---- Leases ---- */
 
 static bool
-may_hold (const Instance *one, const FtPoolEntry *pool, int64_t now)
+can_hold (const Instance *instance, const FtPoolEntry *pool, int64_t now)
 {
-  return is_live (one, now) && !one->leaving
-         && (*pool->region == '\0' || *one->region == '\0'
-             || strcmp (pool->region, one->region) == 0);
+  return is_live (instance, now) && !instance->leaving
+         && (*pool->region == '\0' || *instance->region == '\0'
+             || strcmp (pool->region, instance->region) == 0);
 }
 
 static unsigned
-leases_of (Lead *lead, uint32_t id)
+count_leases (Leader *lead, uint32_t id)
 {
   GPtrArray *leases = state_leases (lead->node->state);
   unsigned count = 0;
@@ -295,10 +296,10 @@
   return count;
 }
 
-/* The instance with the fewest leases; among equals the one whose hash with the pool is highest,
- * so that placements move little when instances come and go. */
+/* Returns the instance with the fewest leases. Ties are broken by the highest hash of pool and
+ * instance, so that few leases move when instances come and go. Returns 0 if there is none. */
 static uint32_t
-choose_holder (Lead *lead, const FtPoolEntry *pool, int64_t now)
+choose_holder (Leader *lead, const FtPoolEntry *pool, int64_t now)
 {
   uint32_t best = 0;
   unsigned best_count = G_MAXUINT;
@@ -309,14 +310,14 @@
   g_hash_table_iter_init (&iter, lead->instances);
   while (g_hash_table_iter_next (&iter, NULL, &data))
     {
-      const Instance *one = data;
-      if (!may_hold (one, pool, now))
+      const Instance *instance = data;
+      if (!can_hold (instance, pool, now))
         continue;
-      unsigned count = leases_of (lead, one->id);
-      uint64_t hash = XXH3_64bits_withSeed (pool->name, strlen (pool->name), one->id);
+      unsigned count = count_leases (lead, instance->id);
+      uint64_t hash = XXH3_64bits_withSeed (pool->name, strlen (pool->name), instance->id);
       if (count > best_count || (count == best_count && hash < best_hash))
         continue;
-      best = one->id;
+      best = instance->id;
       best_count = count;
       best_hash = hash;
     }
@@ -324,27 +325,27 @@
 }
 
 static bool
-needs_holder (Lead *lead, const FtPoolEntry *pool, int64_t now)
+needs_holder (Leader *lead, const FtPoolEntry *pool, int64_t now)
 {
   const MsgLease *lease = state_lease (lead->node->state, pool->name);
-  bool waited = now - raft_leading_since (lead->node->raft) > TAKEOVER;
+  bool grace_over = now - raft_leading_since (lead->node->raft) > LEASE_TAKEOVER_DELAY;
 
   if (lease == NULL || lease->holder == 0)
     return true;
   const Instance *holder = g_hash_table_lookup (lead->instances, GUINT_TO_POINTER (lease->holder));
   if (holder == NULL)
-    return waited;
+    return grace_over;
   return holder->leaving || !is_live (holder, now);
 }
 
 static void
-place_leases (Lead *lead, int64_t now)
+assign_lease (Leader *lead, int64_t now)
 {
   FtNode *node = lead->node;
   FtCat *cat = state_parsed_catalogue (node->state);
 
-  if (cat == NULL || raft_commit (node->raft) < lead->placing)
-    return; /* one batch at a time: counts of leases are then true */
+  if (cat == NULL || raft_commit (node->raft) < lead->lease_index)
+    return; /* one lease at a time, so that the counts of leases are up to date */
   for (unsigned i = 0; i < ft_cat_pool_count (cat); i++)
     {
       const FtPoolEntry *pool = ft_cat_pool_at (cat, i);
@@ -357,34 +358,35 @@
       op.MsgOp_u.lease.pool = pool->name;
       op.MsgOp_u.lease.holder = holder;
       const MsgLease *old = state_lease (node->state, pool->name);
-      lead->moving_from = old ? old->holder : 0;
-      raft_propose (node->raft, &op, &lead->placing);
+      lead->former_holder = old ? old->holder : 0;
+      raft_propose (node->raft, &op, &lead->lease_index);
       return;
     }
 }
 
-/* Claims of an incarnation that is dead are of unknown outcome; until then "still running". */
+/* Ends the claims of an earlier process of an instance with an unknown outcome: it cannot end them
+ * itself, and until then they are reported as running. */
 static void
-end_dead_claims (Lead *lead, int64_t now)
+end_dead_claims (Leader *lead, int64_t now)
 {
   FtNode *node = lead->node;
   GHashTableIter iter;
   void *data;
 
-  if (now < lead->claims_at || state_claim_count (node->state) == 0)
+  if (now < lead->next_claims_check || state_claim_count (node->state) == 0)
     return;
-  lead->claims_at = now + FT_SECOND;
+  lead->next_claims_check = now + FT_SECOND;
   g_hash_table_iter_init (&iter, lead->instances);
   while (g_hash_table_iter_next (&iter, NULL, &data))
     {
-      const Instance *one = data;
+      const Instance *instance = data;
       uint64_t older, index;
-      if (!state_claim_of_other (node->state, one->id, one->incarnation, &older))
+      if (!state_claim_of_other (node->state, instance->id, instance->incarnation, &older))
         continue;
       MsgOp op = { .kind = MSG_OP_CLAIM_END };
       MsgClaimDone *done = &op.MsgOp_u.claim_done;
       done->key = done->request_id = (char *) "";
-      done->entry = one->id;
+      done->entry = instance->id;
       done->incarnation = older;
       done->end = MSG_CLAIM_UNKNOWN;
       raft_propose (node->raft, &op, &index);
@@ -393,15 +395,15 @@
 }
 
 void
-lead_tick (Lead *lead, int64_t now)
+lead_tick (Leader *lead, int64_t now)
 {
-  if (!in_charge (lead))
+  if (!check_leading (lead))
     return;
-  place_leases (lead, now);
+  assign_lease (lead, now);
   end_dead_claims (lead, now);
 }
 
-/* ---- Questions ---- */
+/* ---- Queries ---- */
 
 static void
 json_string (GString *out, const char *text)
@@ -420,23 +422,24 @@
 }
 
 static FtStatus
-tell_in_force (Lead *lead, const char *id, GString *out)
+answer_in_force (Leader *lead, const char *id, GString *out)
 {
   FtNode *node = lead->node;
   int64_t now = ft_clock_now (node->clock);
   uint64_t revision = g_ascii_strtoull (id, NULL, 10);
-  bool waited = now - raft_leading_since (node->raft) > OUT_AFTER;
+  bool grace_over = now - raft_leading_since (node->raft) > INSTANCE_TIMEOUT;
   unsigned missing = 0;
 
   g_string_append_printf (out, "{\"revision\":%" G_GUINT64_FORMAT ",\"missing\":[", revision);
   for (unsigned i = 0; i < node->instances->len; i++)
     {
-      uint32_t at = g_array_index (node->instances, uint32_t, i);
-      const Instance *one = g_hash_table_lookup (lead->instances, GUINT_TO_POINTER (at));
-      bool out_of_service = one ? now - one->heard_at > OUT_AFTER : waited;
-      if (out_of_service || (one && one->revision >= revision))
+      uint32_t instance_id = g_array_index (node->instances, uint32_t, i);
+      const Instance *instance
+          = g_hash_table_lookup (lead->instances, GUINT_TO_POINTER (instance_id));
+      bool timed_out = instance ? now - instance->heard_at > INSTANCE_TIMEOUT : grace_over;
+      if (timed_out || (instance && instance->revision >= revision))
         continue;
-      g_string_append_printf (out, "%s%u", missing++ ? "," : "", at);
+      g_string_append_printf (out, "%s%u", missing++ ? "," : "", instance_id);
     }
   bool known = state_revision (node->state) >= revision;
   g_string_append_printf (out, "],\"in_force\":%s}", known && missing == 0 ? "true" : "false");
@@ -444,7 +447,7 @@
 }
 
 static FtStatus
-tell_refusal (Lead *lead, const char *id, GString *out)
+answer_refusal (Leader *lead, const char *id, GString *out)
 {
   const MsgRecord *record = state_refusal (lead->node->state, id);
 
@@ -468,7 +471,7 @@
 }
 
 static FtStatus
-tell_claim (Lead *lead, const char *key, GString *out)
+answer_claim (Leader *lead, const char *key, GString *out)
 {
   static const char *const ends[] = { "released", "answered", "unknown" };
   const MsgClaimState *claim = state_claim (lead->node->state, key);
@@ -483,26 +486,26 @@
 }
 
 static FtStatus
-tell_history (Lead *lead, const char *id, GString *out)
+answer_history (Leader *lead, const char *id, GString *out)
 {
   const GPtrArray *history = state_history (lead->node->state);
-  uint64_t most = *id ? g_ascii_strtoull (id, NULL, 10) : 100;
+  uint64_t limit = *id ? g_ascii_strtoull (id, NULL, 10) : 100;
 
   g_string_append_c (out, '[');
-  for (unsigned i = history->len; i > 0 && most > 0; i--, most--)
+  for (unsigned i = history->len; i > 0 && limit > 0; i--, limit--)
     {
-      const MsgRevision *one = history->pdata[i - 1];
+      const MsgRevision *change = history->pdata[i - 1];
       g_string_append_printf (
           out,
           "%s{\"revision\":%" G_GUINT64_FORMAT ",\"accepted\":%s,\"at_unix_ms\":%" G_GINT64_FORMAT
           ",\"digest\":\"%s\",\"change_id\":",
-          i == history->len ? "" : ",", (uint64_t) one->revision,
-          one->status == FT_OK ? "true" : "false", (int64_t) one->wall_ms, one->digest);
-      json_string (out, one->change_id);
+          i == history->len ? "" : ",", (uint64_t) change->revision,
+          change->status == FT_OK ? "true" : "false", (int64_t) change->wall_ms, change->digest);
+      json_string (out, change->change_id);
       g_string_append (out, ",\"author\":");
-      json_string (out, one->author);
+      json_string (out, change->author);
       g_string_append (out, ",\"text\":");
-      json_string (out, one->text);
+      json_string (out, change->text);
       g_string_append_c (out, '}');
     }
   g_string_append_c (out, ']');
@@ -510,51 +513,51 @@
 }
 
 static FtStatus
-tell_catalogue (Lead *lead, GString *out)
+answer_catalogue (Leader *lead, GString *out)
 {
   g_string_append (out, state_catalogue (lead->node->state));
   return state_revision (lead->node->state) ? FT_OK : FT_NOT_FOUND;
 }
 
 static FtStatus
-tell_suspects (Lead *lead, const char *id, GString *out)
+answer_suspects (Leader *lead, const char *id, GString *out)
 {
   blame_list (state_blame (lead->node->state), g_ascii_strtoll (id, NULL, 10), out);
   return FT_OK;
 }
 
 void
-lead_find (Lead *lead, uint32_t from, const MsgFind *find)
+lead_on_query (Leader *lead, uint32_t from, const MsgFind *query)
 {
   GString *out = g_string_new (NULL);
   FtStatus status = FT_NOT_LEADER;
   Msg msg = { .kind = MSG_FOUND };
 
-  if (in_charge (lead))
-    switch (find->kind)
+  if (check_leading (lead))
+    switch (query->kind)
       {
       case MSG_FIND_IN_FORCE:
-        status = tell_in_force (lead, find->id, out);
+        status = answer_in_force (lead, query->id, out);
         break;
       case MSG_FIND_REFUSAL:
-        status = tell_refusal (lead, find->id, out);
+        status = answer_refusal (lead, query->id, out);
         break;
       case MSG_FIND_CLAIM:
-        status = tell_claim (lead, find->id, out);
+        status = answer_claim (lead, query->id, out);
         break;
       case MSG_FIND_HISTORY:
-        status = tell_history (lead, find->id, out);
+        status = answer_history (lead, query->id, out);
         break;
       case MSG_FIND_CATALOGUE:
-        status = tell_catalogue (lead, out);
+        status = answer_catalogue (lead, out);
         break;
       case MSG_FIND_SUSPECTS:
-        status = tell_suspects (lead, find->id, out);
+        status = answer_suspects (lead, query->id, out);
         break;
       default:
         status = FT_INVALID;
       }
-  msg.Msg_u.found.number = find->number;
+  msg.Msg_u.found.number = query->number;
   msg.Msg_u.found.status = status;
   msg.Msg_u.found.body.body_len = (u_int) out->len;
   msg.Msg_u.found.body.body_val = out->str;
--- a/src/node.c
+++ b/src/node.c
@@ -1,8 +1,8 @@
-/* node.c - one instance's part in everything: messages, freshness and servers.
+/* node.c - one instance of the cluster: dispatch of messages, proof of freshness, list of servers.
  *
- * Freshness is proved by asking, not by being told: a hello carries a number, the answer repeats
- * it, and what is proved is the time at which the hello was sent. An answer that was delayed on
- * the way therefore proves nothing about now.
+ * An instance proves that its catalogue is in force by asking a voter: each hello carries a number,
+ * and the answer repeats it. What the answer proves held when the hello was sent, so an answer that
+ * was delayed on the way does not extend the proof.
  */
 #include "node.h"
 
@@ -20,14 +20,14 @@
 
 /* ---- Messages ---- */
 
-static void receive (FtNode *node, uint32_t from, const Msg *msg);
+static void dispatch (FtNode *node, uint32_t from, const Msg *msg);
 
 void
 node_send (FtNode *node, uint32_t to, const Msg *msg)
 {
   if (to == node->conf.id)
     {
-      receive (node, to, msg);
+      dispatch (node, to, msg);
       return;
     }
   GByteArray *bytes = codec_pack (CODEC (Msg), msg);
@@ -49,12 +49,12 @@
   FtNode *node = host;
 
   (void) op;
-  lead_applied (node->lead, index, verdict);
+  lead_on_applied (node->lead, index, verdict);
 }
 
 static const RaftOps raft_ops = { raft_send, raft_applied };
 
-/* ---- Life ---- */
+/* ---- Creation and release ---- */
 
 static GArray *
 copy_ids (const uint32_t *ids, unsigned count)
@@ -109,10 +109,10 @@
   node->servers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, server_free);
   node->peer_incarnations = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
   node->proposals = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, prop_free);
-  node->finds = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, find_free);
-  node->records = g_array_new (FALSE, FALSE, sizeof (MsgRecord));
-  node->guess = conf->voters[0];
-  node->fresh_at = ft_clock_now (clock) - FRESH_LIMIT;
+  node->queries = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, find_free);
+  node->refusals = g_array_new (FALSE, FALSE, sizeof (MsgRecord));
+  node->assumed_leader = conf->voters[0];
+  node->fresh_at = ft_clock_now (clock) - FRESH_PROOF_MAX_AGE;
   node->next_number = 1;
   node->quar = quar_new (clock);
   node->ent = ent_new (node);
@@ -138,11 +138,11 @@
   state_free (node->state);
   hold_free (node->hold);
   ent_free (node->ent);
-  for (unsigned i = 0; i < node->records->len; i++)
-    codec_clear (CODEC (MsgRecord), &g_array_index (node->records, MsgRecord, i));
-  g_array_unref (node->records);
+  for (unsigned i = 0; i < node->refusals->len; i++)
+    codec_clear (CODEC (MsgRecord), &g_array_index (node->refusals, MsgRecord, i));
+  g_array_unref (node->refusals);
   quar_free (node->quar);
-  g_hash_table_unref (node->finds);
+  g_hash_table_unref (node->queries);
   g_hash_table_unref (node->proposals);
   g_hash_table_unref (node->peer_incarnations);
   g_hash_table_unref (node->servers);
@@ -160,19 +160,20 @@
 bool
 node_lease_valid (FtNode *node, int64_t now)
 {
-  return now - node->fresh_at < HOLD_LIMIT;
+  return now - node->fresh_at < LEASE_PROOF_MAX_AGE;
 }
 
 bool
 ft_node_fresh (FtNode *node)
 {
-  return node->cat && !node->leaving && ft_clock_now (node->clock) - node->fresh_at < FRESH_LIMIT;
+  return node->cat && !node->leaving
+         && ft_clock_now (node->clock) - node->fresh_at < FRESH_PROOF_MAX_AGE;
 }
 
 int64_t
 ft_node_fresh_until (FtNode *node)
 {
-  return node->cat && !node->leaving ? node->fresh_at + FRESH_LIMIT : 0;
+  return node->cat && !node->leaving ? node->fresh_at + FRESH_PROOF_MAX_AGE : 0;
 }
 
 FtCat *
@@ -182,93 +183,93 @@
 }
 
 static void
-next_guess (FtNode *node)
+choose_next_voter (FtNode *node)
 {
   unsigned at = 0;
 
   for (unsigned i = 0; i < node->voters->len; i++)
-    if (g_array_index (node->voters, uint32_t, i) == node->guess)
+    if (g_array_index (node->voters, uint32_t, i) == node->assumed_leader)
       at = (i + 1) % node->voters->len;
-  node->guess = g_array_index (node->voters, uint32_t, at);
+  node->assumed_leader = g_array_index (node->voters, uint32_t, at);
 }
 
 static void
-say_hello (FtNode *node, int64_t now)
+send_hello (FtNode *node, int64_t now)
 {
   Msg msg = { .kind = MSG_HELLO };
-  MsgHello *out = &msg.Msg_u.hello;
+  MsgHello *hello = &msg.Msg_u.hello;
 
   if (node->raft && raft_leading (node->raft))
-    node->guess = node->conf.id;
-  else if (now - node->heard_at > HELLO_LOST)
-    next_guess (node);
-  node->hello_at = now + HELLO_EVERY;
-  out->number = ++node->hello_number;
-  node->hello_sent[node->hello_number % G_N_ELEMENTS (node->hello_sent)] = now;
-  out->revision = node->cat ? ft_cat_revision (node->cat) : 0;
-  out->lease_epoch = node->lease_epoch;
-  out->incarnation = node->conf.incarnation;
-  out->live_version = node->live_version;
-  out->blame_index = node->blame_index;
-  out->leaving = node->leaving;
-  out->region = (char *) node->conf.region;
-  out->failure_domain = (char *) node->conf.failure_domain;
-  node_send (node, node->guess, &msg);
+    node->assumed_leader = node->conf.id;
+  else if (now - node->answered_at > HELLO_TIMEOUT)
+    choose_next_voter (node);
+  node->next_hello_at = now + HELLO_INTERVAL;
+  hello->number = ++node->hello_number;
+  node->hello_sent_at[node->hello_number % G_N_ELEMENTS (node->hello_sent_at)] = now;
+  hello->revision = node->cat ? ft_cat_revision (node->cat) : 0;
+  hello->lease_epoch = node->lease_epoch;
+  hello->incarnation = node->conf.incarnation;
+  hello->live_version = node->live_version;
+  hello->blame_index = node->blame_index;
+  hello->leaving = node->leaving;
+  hello->region = (char *) node->conf.region;
+  hello->failure_domain = (char *) node->conf.failure_domain;
+  node_send (node, node->assumed_leader, &msg);
 }
 
 void
-node_take_catalogue (FtNode *node, const char *text, uint64_t revision)
+node_apply_catalogue (FtNode *node, const char *text, uint64_t revision)
 {
   FtCat *cat = NULL;
 
   if (node->cat && ft_cat_revision (node->cat) >= revision)
-    return; /* nothing ever reverts */
+    return; /* an older revision never replaces a newer one */
   if (ft_cat_new (text, revision, &cat, NULL) != FT_OK)
-    return; /* the leader checked it: an older release runs here, and it stays unfresh */
+    return; /* the leader accepted it, so this release is too old for it; we stay not fresh */
   ft_cat_unref (node->cat);
   node->cat = cat;
   node->ops->catalogue (node->host, cat);
-  ent_catalogue (node->ent);
-  hold_catalogue (node->hold);
+  ent_on_catalogue (node->ent);
+  hold_on_catalogue (node->hold);
 }
 
 void
-node_leases (FtNode *node, const MsgLease *leases, unsigned count)
+node_apply_leases (FtNode *node, const MsgLease *leases, unsigned count)
 {
   for (unsigned i = 0; i < count; i++)
     {
       const MsgLease *lease = &leases[i];
-      if (!ent_holder (node->ent, lease->pool, lease->holder, lease->epoch))
+      if (!ent_set_holder (node->ent, lease->pool, lease->holder, lease->epoch))
         continue;
       if (lease->holder == node->conf.id)
-        hold_take (node->hold, lease->pool, lease->epoch);
+        hold_start_pool (node->hold, lease->pool, lease->epoch);
       else
-        hold_drop (node->hold, lease->pool);
+        hold_stop_pool (node->hold, lease->pool);
     }
 }
 
 static void
-note_live (FtNode *node, const MsgFresh *fresh)
+update_live (FtNode *node, const MsgFresh *fresh)
 {
   GArray *live = copy_ids (fresh->live.live_val, fresh->live.live_len);
 
   for (unsigned i = 0; i < node->live->len; i++)
     {
       uint32_t id = g_array_index (node->live, uint32_t, i);
-      bool still = id == node->conf.id;
+      bool found = id == node->conf.id;
       for (unsigned j = 0; j < live->len; j++)
-        still |= g_array_index (live, uint32_t, j) == id;
-      if (!still)
-        hold_entry_gone (node->hold, id);
+        found |= g_array_index (live, uint32_t, j) == id;
+      if (!found)
+        hold_remove_entry (node->hold, id);
     }
   for (unsigned i = 0; i < live->len; i++)
     {
       uint32_t id = g_array_index (live, uint32_t, i);
-      bool new = id != node->conf.id;
+      bool is_new = id != node->conf.id;
       for (unsigned j = 0; j < node->live->len; j++)
-        new &= g_array_index (node->live, uint32_t, j) != id;
-      if (new)
-        hold_entry_back (node->hold, id);
+        is_new &= g_array_index (node->live, uint32_t, j) != id;
+      if (is_new)
+        hold_request_report (node->hold, id);
     }
   g_array_unref (node->live);
   node->live = live;
@@ -278,32 +279,33 @@
 static void
 on_fresh (FtNode *node, uint32_t from, const MsgFresh *fresh)
 {
-  unsigned slots = G_N_ELEMENTS (node->hello_sent);
+  unsigned kept = G_N_ELEMENTS (node->hello_sent_at);
 
-  if (fresh->number + slots <= node->hello_number || fresh->number > node->hello_number)
-    return;
-  node->guess = from;
-  node->heard_at = ft_clock_now (node->clock);
+  if (fresh->number + kept <= node->hello_number || fresh->number > node->hello_number)
+    return; /* the time at which that hello was sent is no longer known */
+  node->assumed_leader = from;
+  node->answered_at = ft_clock_now (node->clock);
   if (fresh->blame.blame_len > 0)
     susp_account (node, &fresh->blame.blame_val[0]);
   if (fresh->has_catalogue)
-    node_take_catalogue (node, fresh->catalogue, fresh->revision);
+    node_apply_catalogue (node, fresh->catalogue, fresh->revision);
   if (!node->cat || ft_cat_revision (node->cat) < fresh->revision)
-    return; /* nothing is proved without the catalogue itself */
+    return; /* freshness needs the newest catalogue itself */
   if (fresh->has_live)
-    note_live (node, fresh);
+    update_live (node, fresh);
   if (fresh->has_leases)
-    node_leases (node, fresh->leases.leases_val, fresh->leases.leases_len);
+    node_apply_leases (node, fresh->leases.leases_val, fresh->leases.leases_len);
   node->lease_epoch = MAX (node->lease_epoch, fresh->lease_epoch);
-  node->fresh_at = MAX (node->fresh_at, node->hello_sent[fresh->number % slots]);
+  node->fresh_at = MAX (node->fresh_at, node->hello_sent_at[fresh->number % kept]);
   if (fresh->has_catalogue)
-    say_hello (node, node->heard_at); /* the change is in force once the leader knows */
+    /* The change is in force only when the leader knows that every instance has it. */
+    send_hello (node, node->answered_at);
 }
 
 /* ---- Servers ---- */
 
 NodeServer *
-node_server (FtNode *node, const char *pool, const char *name)
+node_find_server (FtNode *node, const char *pool, const char *name)
 {
   char *key = g_strdup_printf ("%s/%s", pool, name);
   NodeServer *server = g_hash_table_lookup (node->servers, key);
@@ -316,7 +318,7 @@
 ft_node_server (FtNode *node, const char *pool, const char *name, uint64_t incarnation,
                 FtServerState state)
 {
-  NodeServer *server = node_server (node, pool, name);
+  NodeServer *server = node_find_server (node, pool, name);
 
   if (server == NULL)
     {
@@ -329,14 +331,14 @@
     return;
   server->incarnation = incarnation;
   server->state = state;
-  hold_server (node->hold, server);
+  hold_update_server (node->hold, server);
 }
 
 void
 ft_node_report (FtNode *node, const char *pool, const char *name, unsigned running,
                 unsigned waiting, int64_t age)
 {
-  FtPool *held = hold_pool (node->hold, pool);
+  FtPool *held = hold_get_pool (node->hold, pool);
 
   if (held)
     ft_pool_report (held, name, running, waiting, age);
@@ -346,7 +348,7 @@
 ft_node_cache_event (FtNode *node, const char *pool, const char *name, uint64_t number, bool stored,
                      uint64_t block)
 {
-  FtPool *held = hold_pool (node->hold, pool);
+  FtPool *held = hold_get_pool (node->hold, pool);
 
   if (held)
     ft_pool_cache_event (held, name, number, stored, block);
@@ -354,12 +356,12 @@
 
 /* ---- Receiving ---- */
 
-/* Messages to or from the peer were lost, or its process is another one. What it had in our pools
- * is forgotten, and what we have in its pools it is told again. */
+/* Called when messages to or from the peer were lost or its process has restarted. Its requests are
+ * dropped from the pools scheduled here, and ours are sent again to the pools scheduled there. */
 static void
 peer_reset (FtNode *node, uint32_t peer)
 {
-  hold_entry_gone (node->hold, peer);
+  hold_remove_entry (node->hold, peer);
   ent_peer_reset (node->ent, peer);
 }
 
@@ -370,7 +372,7 @@
 }
 
 static void
-note_incarnation (FtNode *node, uint32_t from, uint64_t incarnation)
+check_incarnation (FtNode *node, uint32_t from, uint64_t incarnation)
 {
   uint64_t *known = g_hash_table_lookup (node->peer_incarnations, GUINT_TO_POINTER (from));
 
@@ -383,39 +385,39 @@
 }
 
 static void
-on_tell (FtNode *node, uint32_t from, const MsgTell *tell)
+on_report_request (FtNode *node, uint32_t from, const MsgTell *tell)
 {
-  if (!ent_holder (node->ent, tell->pool, from, tell->epoch))
+  if (!ent_set_holder (node->ent, tell->pool, from, tell->epoch))
     return;
   if (from != node->conf.id)
-    hold_drop (node->hold, tell->pool);
-  ent_tell (node->ent, tell->pool, from, tell->epoch);
+    hold_stop_pool (node->hold, tell->pool);
+  ent_report_requests (node->ent, tell->pool, from, tell->epoch);
 }
 
 static void
-receive_control (FtNode *node, uint32_t from, const Msg *msg)
+dispatch_control (FtNode *node, uint32_t from, const Msg *msg)
 {
   switch (msg->kind)
     {
     case MSG_HELLO:
       if (node->lead)
-        lead_hello (node->lead, from, &msg->Msg_u.hello);
+        lead_on_hello (node->lead, from, &msg->Msg_u.hello);
       break;
     case MSG_FRESH:
       on_fresh (node, from, &msg->Msg_u.fresh);
       break;
     case MSG_PROPOSE:
       if (node->lead)
-        lead_propose (node->lead, from, &msg->Msg_u.propose);
+        lead_on_proposal (node->lead, from, &msg->Msg_u.propose);
       break;
     case MSG_VERDICT:
-      prop_verdict (node, from, &msg->Msg_u.verdict);
+      prop_on_verdict (node, from, &msg->Msg_u.verdict);
       break;
     case MSG_FIND:
-      find_asked (node, from, &msg->Msg_u.find);
+      find_on_query (node, from, &msg->Msg_u.find);
       break;
     case MSG_FOUND:
-      find_found (node, &msg->Msg_u.found);
+      find_on_reply (node, &msg->Msg_u.found);
       break;
     default:
       if (node->raft)
@@ -424,39 +426,39 @@
 }
 
 static void
-receive (FtNode *node, uint32_t from, const Msg *msg)
+dispatch (FtNode *node, uint32_t from, const Msg *msg)
 {
   switch (msg->kind)
     {
     case MSG_ASK:
-      hold_ask (node->hold, from, &msg->Msg_u.ask);
+      hold_on_ask (node->hold, from, &msg->Msg_u.ask);
       break;
     case MSG_GRANT:
-      ent_granted (node->ent, from, &msg->Msg_u.grant);
+      ent_on_grant (node->ent, from, &msg->Msg_u.grant);
       break;
     case MSG_REFUSE:
-      ent_refused (node->ent, from, &msg->Msg_u.refuse);
+      ent_on_refusal (node->ent, from, &msg->Msg_u.refuse);
       break;
     case MSG_PROGRESS:
-      hold_progress (node->hold, from, &msg->Msg_u.progress);
+      hold_on_progress (node->hold, from, &msg->Msg_u.progress);
       break;
     case MSG_DONE:
-      hold_done (node->hold, from, &msg->Msg_u.done);
+      hold_on_done (node->hold, from, &msg->Msg_u.done);
       break;
     case MSG_PAUSE:
-      ent_paused (node->ent, from, &msg->Msg_u.pause, true);
+      ent_on_pause (node->ent, from, &msg->Msg_u.pause, true);
       break;
     case MSG_RESUME:
-      ent_paused (node->ent, from, &msg->Msg_u.resume, false);
+      ent_on_pause (node->ent, from, &msg->Msg_u.resume, false);
       break;
     case MSG_TELL:
-      on_tell (node, from, &msg->Msg_u.tell);
+      on_report_request (node, from, &msg->Msg_u.tell);
       break;
     case MSG_TOLD:
-      hold_told (node->hold, from, &msg->Msg_u.told);
+      hold_on_report_end (node->hold, from, &msg->Msg_u.told);
       break;
     default:
-      receive_control (node, from, msg);
+      dispatch_control (node, from, msg);
     }
 }
 
@@ -469,8 +471,8 @@
   FtStatus status = codec_unpack (CODEC (Msg), data, size, &msg, NULL);
   if (status == FT_OK)
     {
-      note_incarnation (node, from, incarnation);
-      receive (node, from, &msg);
+      check_incarnation (node, from, incarnation);
+      dispatch (node, from, &msg);
     }
   codec_clear (CODEC (Msg), &msg);
   return status;
@@ -487,11 +489,11 @@
     raft_tick (node->raft);
   if (node->lead)
     lead_tick (node->lead, now);
-  if (now >= node->hello_at)
-    say_hello (node, now);
-  prop_tick_records (node, now);
+  if (now >= node->next_hello_at)
+    send_hello (node, now);
+  prop_submit_refusals (node, now);
   hold_tick (node->hold, now);
-  quar_tick (node->quar, node->fresh_at + FRESH_LIMIT > now);
+  quar_tick (node->quar, node->fresh_at + FRESH_PROOF_MAX_AGE > now);
   ent_tick (node->ent, now);
 }
 
@@ -512,7 +514,7 @@
   if (!node->leaving)
     {
       node->leaving = true;
-      say_hello (node, ft_clock_now (node->clock));
+      send_hello (node, ft_clock_now (node->clock));
     }
   return hold_count (node->hold) == 0;
 }
@@ -522,7 +524,7 @@
 {
   memset (status, 0, sizeof *status);
   status->voter = node->raft != NULL;
-  status->leader = node->guess;
+  status->leader = node->assumed_leader;
   status->revision = node->cat ? ft_cat_revision (node->cat) : 0;
   status->fresh = ft_node_fresh (node);
   status->pools_held = hold_count (node->hold);
@@ -540,11 +542,11 @@
 bool
 ft_node_holds (FtNode *node, const char *pool)
 {
-  return hold_pool (node->hold, pool) && node_lease_valid (node, ft_clock_now (node->clock));
+  return hold_get_pool (node->hold, pool) && node_lease_valid (node, ft_clock_now (node->clock));
 }
 
 FtPool *
 ft_node_pool (FtNode *node, const char *pool)
 {
-  return hold_pool (node->hold, pool);
+  return hold_get_pool (node->hold, pool);
 }
--- a/src/prop.c
+++ b/src/prop.c
@@ -1,8 +1,9 @@
-/* prop.c - operations that this instance wants in the replicated log.
+/* prop.c - operations that this instance proposes to the replicated log.
  *
- * A proposal is sent to the voter that is believed to lead, again and again until there is a
- * verdict or PROPOSE_MOST is over. Sending it twice does no harm: changes are known by their id,
- * claims by key and request, refusal records by request, ends of servers by server and time.
+ * A proposal is sent to the voter that is assumed to lead, and again every RESEND_INTERVAL until
+ * there is a verdict or PROPOSAL_TIMEOUT has passed. A proposal that reaches the log twice has no
+ * further effect: changes are identified by their id, claims by key and request, refusals by
+ * request, crashes by server and time.
  */
 #include "node.h"
 
@@ -12,9 +13,9 @@
 {
   uint64_t number;
   GByteArray *op;
-  int64_t send_at, until;
-  bool silent; /* of the node itself: no verdict is reported */
-  char *ended; /* it tells that this server has ended; NULL: something else */
+  int64_t send_at, deadline;
+  bool silent;          /* proposed by the node itself: ops->verdict is not called */
+  char *crashed_server; /* the server whose crash it reports; NULL: another operation */
 } Proposal;
 
 void
@@ -23,7 +24,7 @@
   Proposal *proposal = data;
 
   g_byte_array_unref (proposal->op);
-  g_free (proposal->ended);
+  g_free (proposal->crashed_server);
   g_free (proposal);
 }
 
@@ -32,29 +33,30 @@
 {
   Msg msg = { .kind = MSG_PROPOSE };
 
-  proposal->send_at = now + PROPOSE_EVERY;
+  proposal->send_at = now + RESEND_INTERVAL;
   msg.Msg_u.propose.number = proposal->number;
   msg.Msg_u.propose.op.op_len = proposal->op->len;
   msg.Msg_u.propose.op.op_val = (char *) proposal->op->data;
-  node_send (node, node->guess, &msg);
+  node_send (node, node->assumed_leader, &msg);
 }
 
 uint64_t
-prop_propose (FtNode *node, const MsgOp *op, bool silent)
+prop_submit (FtNode *node, const MsgOp *op, bool silent)
 {
   int64_t now = ft_clock_now (node->clock);
   Proposal *proposal = g_new0 (Proposal, 1);
   GByteArray *bytes = codec_pack (CODEC (MsgOp), op);
 
   proposal->number = node->next_number++;
-  proposal->op = bytes ? bytes : g_byte_array_new (); /* too long: the leader says invalid */
-  proposal->until = now + PROPOSE_MOST;
+  /* An operation too long to encode is sent empty, and the leader answers FT_INVALID. */
+  proposal->op = bytes ? bytes : g_byte_array_new ();
+  proposal->deadline = now + PROPOSAL_TIMEOUT;
   proposal->silent = silent;
   if (op->kind == MSG_OP_ENDED)
-    proposal->ended = g_strdup (op->MsgOp_u.ended.server);
+    proposal->crashed_server = g_strdup (op->MsgOp_u.ended.server);
   uint64_t number = proposal->number;
   g_hash_table_insert (node->proposals, &proposal->number, proposal);
-  /* Sent by the next flush: the caller must have the number before a verdict can come. */
+  /* Sent by the next flush, so that the caller has the number before the verdict can come. */
   proposal->send_at = 0;
   return number;
 }
@@ -66,36 +68,36 @@
   bool silent = proposal->silent;
   uint64_t number = proposal->number;
 
-  /* Given up counts as told too: evidence that nobody else has would hold a content for good. */
-  if (proposal->ended)
-    quar_acknowledged (node->quar, proposal->ended);
+  /* Also after a timeout: evidence that only this instance has would block the content for ever. */
+  if (proposal->crashed_server)
+    quar_acknowledged (node->quar, proposal->crashed_server);
   g_hash_table_remove (node->proposals, &number);
   if (!silent)
     node->ops->verdict (node->host, number, status, revision, text);
 }
 
 void
-prop_verdict (FtNode *node, uint32_t from, const MsgVerdict *verdict)
+prop_on_verdict (FtNode *node, uint32_t from, const MsgVerdict *verdict)
 {
   uint64_t number = verdict->number;
   Proposal *proposal = g_hash_table_lookup (node->proposals, &number);
 
   if (verdict->status == FT_NOT_LEADER)
     {
-      /* Failure: the voter asked names the leader, and the next hello, unanswered so far, moves on
-       * to another voter. Symptom: with three voters the leader is never asked. A hint counts as
-       * an answer, so that the one it names is asked next. */
-      if (verdict->leader && from == node->guess && verdict->leader != from)
+      /* Ask the named leader next, and count the hint as an answer. Otherwise the next hello, still
+       * without an answer, would move on to another voter, and with three voters the leader might
+       * never be asked. */
+      if (verdict->leader && from == node->assumed_leader && verdict->leader != from)
         {
-          node->guess = verdict->leader;
-          node->heard_at = ft_clock_now (node->clock);
-          node->hello_at = 0;
+          node->assumed_leader = verdict->leader;
+          node->answered_at = ft_clock_now (node->clock);
+          node->next_hello_at = 0;
         }
-      return; /* sent again by the tick */
+      return; /* prop_tick sends the proposal again */
     }
-  node->guess = from;
+  node->assumed_leader = from;
   if (proposal == NULL || verdict->status == FT_FULL || verdict->status == FT_IO)
-    return; /* a leader that is full or loses its disk is asked again */
+    return; /* may be temporary: prop_tick sends the proposal again */
   end_proposal (node, proposal, verdict->status, verdict->revision, verdict->text);
 }
 
@@ -113,7 +115,7 @@
   for (unsigned i = 0; i < due->len; i++)
     {
       Proposal *proposal = due->pdata[i];
-      if (now >= proposal->until)
+      if (now >= proposal->deadline)
         end_proposal (
             node, proposal, FT_NOT_LEADER, 0,
             "no majority of voters answered; the outcome is unknown, send the same again");
@@ -135,7 +137,7 @@
   change->base = base;
   change->wall_ms = wall_ms;
   change->catalogue = (char *) text;
-  return prop_propose (node, &op, false);
+  return prop_submit (node, &op, false);
 }
 
 uint64_t
@@ -151,7 +153,7 @@
   claim->incarnation = node->conf.incarnation;
   claim->request_id = (char *) request_id;
   claim->wall_ms = wall_ms;
-  return prop_propose (node, &op, false);
+  return prop_submit (node, &op, false);
 }
 
 uint64_t
@@ -167,7 +169,7 @@
   done->request_id = (char *) request_id;
   done->end = (MsgClaimEnd) end;
   done->wall_ms = wall_ms;
-  return prop_propose (node, &op, false);
+  return prop_submit (node, &op, false);
 }
 
 void
@@ -184,22 +186,22 @@
   record.retry_after_ms = retry_after_ms;
   record.wall_ms = wall_ms;
   record.rule = strdup (rule);
-  g_array_append_val (node->records, record);
+  g_array_append_val (node->refusals, record);
 }
 
 void
-prop_tick_records (FtNode *node, int64_t now)
+prop_submit_refusals (FtNode *node, int64_t now)
 {
   MsgOp op = { .kind = MSG_OP_REFUSALS };
-  unsigned count = MIN (node->records->len, RECORDS_MOST);
+  unsigned count = MIN (node->refusals->len, REFUSALS_BATCH_MAX);
 
-  if (count == 0 || (now < node->records_at && count < RECORDS_MOST))
+  if (count == 0 || (now < node->refusals_due_at && count < REFUSALS_BATCH_MAX))
     return;
-  node->records_at = now + RECORDS_EVERY;
+  node->refusals_due_at = now + REFUSALS_INTERVAL;
   op.MsgOp_u.refusals.records.records_len = count;
-  op.MsgOp_u.refusals.records.records_val = (MsgRecord *) (void *) node->records->data;
-  prop_propose (node, &op, true);
+  op.MsgOp_u.refusals.records.records_val = (MsgRecord *) (void *) node->refusals->data;
+  prop_submit (node, &op, true);
   for (unsigned i = 0; i < count; i++)
-    codec_clear (CODEC (MsgRecord), &g_array_index (node->records, MsgRecord, i));
-  g_array_remove_range (node->records, 0, count);
+    codec_clear (CODEC (MsgRecord), &g_array_index (node->refusals, MsgRecord, i));
+  g_array_remove_range (node->refusals, 0, count);
 }
--- a/src/susp.c
+++ b/src/susp.c
@@ -1,8 +1,8 @@
 /* susp.c - a node's part in finding contents that end servers (blame.c, quarantine.c).
  *
  * What its shell saw is proposed to the log like any operation. What the log says comes with the
- * answers that prove freshness, so an instance that has not heard of an end for FRESH_LIMIT takes
- * no requests at all.
+ * answers that prove freshness, so an instance that has not heard of an end for FRESH_PROOF_MAX_AGE
+ * takes no requests at all.
  */
 #include "node.h"
 
@@ -20,7 +20,7 @@
     list[i] = contents[i];
   op.MsgOp_u.cleared.contents.contents_len = count;
   op.MsgOp_u.cleared.contents.contents_val = list;
-  return prop_propose (node, &op, silent);
+  return prop_submit (node, &op, silent);
 }
 
 static void
@@ -67,7 +67,7 @@
   g_snprintf (name, sizeof name, "%s/%s", pool, server);
   op.MsgOp_u.ended = (MsgEnded){ name, wall_ms, { 1, contents } };
   quar_ended (node->quar, content, name, true);
-  prop_propose (node, &op, true);
+  prop_submit (node, &op, true);
 }
 
 void
