--- a/node/broker.c
+++ b/node/broker.c
@@ -107,7 +107,7 @@
     return;
   asker->waiting -= asker->waiting > 0;
   put_grant (broker, request, server, &msg.MeshMsg_u.grant);
-  msg.MeshMsg_u.grant.rest_most_ms = (u_int) (rest_most / FT_MS);
+  msg.MeshMsg_u.grant.max_idle_ms = (u_int) (rest_most / FT_MS);
   msg.MeshMsg_u.grant.org_fill = fill_of (broker, org);
   msg.MeshMsg_u.grant.paced = sched_is_paced (broker->sched, server);
   mesh_send (asker->peer, &msg);
--- a/node/brokerlink.c
+++ b/node/brokerlink.c
@@ -69,7 +69,7 @@
 
 /* An entry that reports and has nothing to ask is no asker: a deputy reads the list for those. */
 static void
-take_report (Broker *broker, Asker *asker, const MeshReported *from)
+take_report (Broker *broker, Asker *asker, const MeshReportEnd *from)
 {
   comes_back (broker, asker);
   for (unsigned i = 0; i < from->accounts.accounts_len; i++)
@@ -193,29 +193,30 @@
       if (asker)
         take_ask (broker, asker, &msg->MeshMsg_u.ask);
       return true;
-    case MESH_REPORTED:
+    case MESH_REPORT_END:
       if (asker && broker_hands_over (broker))
         take_report (broker, asker, &msg->MeshMsg_u.reported);
       return true;
-    case MESH_FIRST:
+    case MESH_FIRST_EVENT:
       sched_first (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
                    msg->MeshMsg_u.first.after_us);
       return true;
     case MESH_NOTICE:
       take_notice (broker, peer, &msg->MeshMsg_u.notice);
       return true;
-    case MESH_SILENT:
+    case MESH_SILENCE:
       sched_silent (broker->sched, peer->lifetime, msg->MeshMsg_u.silent.request);
       return true;
     case MESH_DONE:
-      if (done->request == MESH_TURNED_AWAY)
+      if (done->request == MESH_SCHEDULER_CHANGED)
         {
           turn_away (broker, asker);
           return true;
         }
       result
           = (SchedResult){ done->outcome <= SCHED_LEFT ? (SchedOutcome) done->outcome : SCHED_LEFT,
-                           done->event_us, done->answer_us, done->broke, done->rested_ms * FT_MS };
+                           done->event_us, done->answer_us, done->broke,
+                           done->conn_idle_ms * FT_MS };
       hand_drop (broker->hand, peer->lifetime, done->request);
       sched_done (broker->sched, peer->lifetime, done->request, &result);
       return true;
--- a/node/control.c
+++ b/node/control.c
@@ -139,7 +139,7 @@
 static void
 took_list (Control *control, MeshPeer *peer, ServersTaken taken)
 {
-  MeshMsg want = { .kind = MESH_WANT_LIST };
+  MeshMsg want = { .kind = MESH_LIST_REQUEST };
 
   if (taken == SERVERS_TAKEN && servers_changed (control->servers))
     broker_servers (control->broker, control->servers);
@@ -183,7 +183,7 @@
     case MESH_LIST:
       took_list (control, peer, servers_take_message (control->servers, &msg->MeshMsg_u.list, now));
       break;
-    case MESH_WANT_LIST:
+    case MESH_LIST_REQUEST:
       publish_wants_list (peer);
       break;
     case MESH_PACKED_LIST:
@@ -508,14 +508,14 @@
 open_voter (Control *control, FtError *error)
 {
   const Settings *s = control->settings;
-  uint32_t seeds[FT_VOTERS_MOST];
+  uint32_t seeds[FT_VOTERS_MAX];
   VoterConf conf = { .self = s->ip,
                      .seeds = seeds,
                      .may_bootstrap = s->first_start,
                      .losses = (unsigned) s->losses,
                      .folder = s->data_folder };
 
-  for (; conf.seed_count < s->seeds->len && conf.seed_count < FT_VOTERS_MOST; conf.seed_count++)
+  for (; conf.seed_count < s->seeds->len && conf.seed_count < FT_VOTERS_MAX; conf.seed_count++)
     seeds[conf.seed_count] = g_array_index (s->seeds, SockAddr, conf.seed_count).ip;
   return voter_new (&conf, control->loop, &voter_ops, control, &control->voter, error);
 }
--- a/node/entry.c
+++ b/node/entry.c
@@ -259,7 +259,7 @@
 took_list (Entry *entry, MeshPeer *peer, ServersTaken taken)
 {
   bool from_voter = peer->role == MESH_VOTER;
-  MeshMsg want = { .kind = MESH_WANT_LIST };
+  MeshMsg want = { .kind = MESH_LIST_REQUEST };
 
   if (taken == SERVERS_TAKEN)
     list_changed (entry, from_voter ? "voter" : "deputy", from_voter);
@@ -289,7 +289,7 @@
     case MESH_DOCUMENT:
       take_catalogue (entry, &msg->MeshMsg_u.document, peer);
       break;
-    case MESH_WANT_LIST:
+    case MESH_LIST_REQUEST:
       if (!peer->dialled)
         send_whole_list (entry, peer);
       break;
--- a/node/greet.c
+++ b/node/greet.c
@@ -44,7 +44,7 @@
   char *file, *fresh; /* fresh: the next file until it is whole */
   GArray *known;      /* Known; those linked last are at the end */
   unsigned next;      /* the one that may be dialled next */
-  uint32_t voters[MESH_VOTERS_MOST];
+  uint32_t voters[MESH_VOTERS_MAX];
   unsigned voter_count, greeted;
   int64_t ends_at, save_at;
   bool over, changed;
@@ -301,7 +301,7 @@
 {
   int64_t now = loop_now (greet->loop);
 
-  greet->voter_count = MIN (count, MESH_VOTERS_MOST);
+  greet->voter_count = MIN (count, MESH_VOTERS_MAX);
   memcpy (greet->voters, voters, greet->voter_count * sizeof *voters);
   if (!greet->over && now >= greet->ends_at)
     end (greet);
--- a/node/place.c
+++ b/node/place.c
@@ -104,7 +104,7 @@
 {
   MeshMsg msg = { .kind = MESH_DONE };
 
-  msg.MeshMsg_u.done = (MeshDone){ .request = MESH_TURNED_AWAY, .outcome = SCHED_LEFT };
+  msg.MeshMsg_u.done = (MeshDone){ .request = MESH_SCHEDULER_CHANGED, .outcome = SCHED_LEFT };
   mesh_send (peer, &msg);
 }
 
@@ -426,7 +426,7 @@
                               .addr = { from->ip, (uint16_t) from->port },
                               .leaving = from->ip == 0 },
                   .listed_at = loop_now (place->loop) - from->list_age_ms * FT_MS,
-                  .rest_most = from->rest_most_ms * FT_MS };
+                  .rest_most = from->max_idle_ms * FT_MS };
   place->ops->grant (place->host, from->request, &grant);
 }
 
@@ -461,7 +461,7 @@
       share (place);
     }
   broker_message (place->own, peer, msg);
-  if (msg->kind == MESH_DONE && msg->MeshMsg_u.done.request == MESH_TURNED_AWAY)
+  if (msg->kind == MESH_DONE && msg->MeshMsg_u.done.request == MESH_SCHEDULER_CHANGED)
     share (place);
 }
 
@@ -530,7 +530,7 @@
   item->ask.service = item->service = g_strdup (ask->service);
   item->ask.org = item->org = g_strdup (ask->org ? ask->org : "");
   item->ask.avoid = item->avoid = g_strdup (ask->avoid);
-  item->ask.kept_count = MIN (ask->kept_count, MESH_KEPT_MOST);
+  item->ask.kept_count = MIN (ask->kept_count, MESH_CONNECTED_MAX);
   item->ask.kept = item->kept = g_memdup2 (ask->kept, item->ask.kept_count * sizeof *ask->kept);
   item->cost = cost;
   g_hash_table_insert (place->items, &item->number, item);
@@ -542,10 +542,10 @@
 place_first (Place *place, uint64_t request, int64_t after_us)
 {
   const Item *item = place_item (place, request);
-  MeshMsg msg = { .kind = MESH_FIRST };
+  MeshMsg msg = { .kind = MESH_FIRST_EVENT };
 
   broker_first (place->own, request, after_us);
-  msg.MeshMsg_u.first = (MeshFirst){ request, after_us };
+  msg.MeshMsg_u.first = (MeshFirstEvent){ request, after_us };
   if (item)
     pmsg_tell_all (item, &msg);
 }
@@ -554,7 +554,7 @@
 place_silent (Place *place, uint64_t request)
 {
   const Item *item = place_item (place, request);
-  MeshMsg msg = { .kind = MESH_SILENT };
+  MeshMsg msg = { .kind = MESH_SILENCE };
 
   broker_silent (place->own, request);
   msg.MeshMsg_u.silent.request = request;
--- a/node/placemsg.c
+++ b/node/placemsg.c
@@ -92,13 +92,13 @@
 void
 pmsg_reported (Place *place, MeshPeer *peer)
 {
-  MeshMsg msg = { .kind = MESH_REPORTED };
-  MeshReported *out = &msg.MeshMsg_u.reported;
+  MeshMsg msg = { .kind = MESH_REPORT_END };
+  MeshReportEnd *out = &msg.MeshMsg_u.reported;
   GPtrArray *orgs = g_ptr_array_new ();
 
   spent_orgs (place->spent, peer, orgs);
   MeshAccount *accounts = g_new (MeshAccount, MAX (orgs->len, 1));
-  for (unsigned i = 0; i < orgs->len && i < MESH_ORGS_MOST; i++)
+  for (unsigned i = 0; i < orgs->len && i < MESH_ORGS_MAX; i++)
     {
       MeshAccount known = account (place, peer, orgs->pdata[i]);
       if (known.spent_tokens > 0 || known.org_fill_ms != MESH_FILL_UNKNOWN)
@@ -119,7 +119,7 @@
                      .event_us = result->event_us,
                      .answer_us = result->answer_us,
                      .broke = result->broke,
-                     .rested_ms = (u_int) ((result->rested_us + FT_MS - 1) / FT_MS) };
+                     .conn_idle_ms = (u_int) ((result->rested_us + FT_MS - 1) / FT_MS) };
 }
 
 void
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -72,7 +72,7 @@
     case MSG_ROLLOUT_TRYING:
       return MESH_VERSIONS_TRYING;
     case MSG_ROLLOUT_ROLLED_BACK:
-      return MESH_VERSIONS_BACK;
+      return MESH_VERSIONS_ROLLED_BACK;
     default:
       return MESH_VERSIONS_MOVED;
     }
--- a/node/serversmsg.c
+++ b/node/serversmsg.c
@@ -86,7 +86,7 @@
 put_whole (const Servers *servers, MeshList *msg)
 {
   *msg = (MeshList){ .digest = servers->digest, .kind = MESH_LIST_WHOLE };
-  msg->servers.servers_len = MIN (servers->list->len, MESH_SERVERS_MOST);
+  msg->servers.servers_len = MIN (servers->list->len, MESH_SERVERS_MAX);
   msg->servers.servers_val = g_new0 (MeshServer, servers->list->len + 1);
   for (unsigned i = 0; i < msg->servers.servers_len; i++)
     msg->servers.servers_val[i] = to_message (&g_array_index (servers->list, SeamServer, i));
--- a/node/suspects.c
+++ b/node/suspects.c
@@ -74,9 +74,9 @@
 static GBytes *
 pack_account (const Suspects *suspects, uint64_t index)
 {
-  MeshMsg msg = { .kind = MESH_BLAMED };
-  MeshBlamed *blamed = &msg.MeshMsg_u.blamed;
-  MsgBlame all;
+  MeshMsg msg = { .kind = MESH_CRASH_TABLE };
+  MeshCrashTable *blamed = &msg.MeshMsg_u.blamed;
+  MsgCrashTable all;
 
   blame_capture (suspects->account, BLAME_TOLD, &all);
   blamed->index = index;
@@ -129,7 +129,7 @@
 static void
 log_suspect (const MsgSuspect *now, const MsgSuspect *before)
 {
-  const MsgServerEnd *last = &now->latest.latest_val[now->latest.latest_len - 1];
+  const MsgServerCrash *last = &now->latest.latest_val[now->latest.latest_len - 1];
   bool held = now->ends >= BLAME_ENDS && (before == NULL || before->ends < BLAME_ENDS);
   char content[CONTENT_TEXT];
 
@@ -144,7 +144,7 @@
 static void
 log_changes (const Blame *before, const Blame *now)
 {
-  MsgBlame all;
+  MsgCrashTable all;
   char content[CONTENT_TEXT];
 
   blame_capture (now, 0, &all);
@@ -165,18 +165,18 @@
 suspects_committed (Suspects *suspects)
 {
   GBytes *bytes = voter_blame (suspects->voter);
-  MsgBlame captured = { 0 };
+  MsgCrashTable captured = { 0 };
   Blame *account;
   gsize size;
 
   if (bytes == NULL)
     return;
   const void *data = g_bytes_get_data (bytes, &size);
-  if (codec_unpack (CODEC (MsgBlame), data, size, &captured, NULL) != FT_OK)
+  if (codec_unpack (CODEC (MsgCrashTable), data, size, &captured, NULL) != FT_OK)
     g_error ("the account of ended servers, packed here, cannot be unpacked");
   account = blame_new ();
   blame_restore (account, &captured);
-  codec_clear (CODEC (MsgBlame), &captured);
+  codec_clear (CODEC (MsgCrashTable), &captured);
   g_bytes_unref (bytes);
   if (in_charge (suspects))
     log_changes (suspects->account, account);
@@ -204,7 +204,7 @@
 static void
 acknowledge (const Suspects *suspects, uint64_t asker, uint64_t number)
 {
-  MeshMsg msg = { .kind = MESH_ENDED_KNOWN };
+  MeshMsg msg = { .kind = MESH_CRASH_ACK };
 
   msg.MeshMsg_u.known.number = number;
   MeshPeer *peer = tell_find (suspects->tell, asker);
@@ -218,7 +218,7 @@
   for (unsigned i = 0; i < suspects->proposals->len; i++)
     {
       const Proposal *proposal = suspects->proposals->pdata[i];
-      if (proposal->op.kind == MSG_OP_ENDED && proposal->asker == asker
+      if (proposal->op.kind == MSG_OP_CRASH && proposal->asker == asker
           && proposal->number == number)
         return true;
     }
@@ -226,10 +226,10 @@
 }
 
 static void
-take_ended (Suspects *suspects, const MeshPeer *peer, const MeshEnded *from)
+take_ended (Suspects *suspects, const MeshPeer *peer, const MeshCrash *from)
 {
-  MsgOp op = { .kind = MSG_OP_ENDED };
-  MsgEnded *ended = &op.MsgOp_u.ended;
+  MsgOp op = { .kind = MSG_OP_CRASH };
+  MsgCrash *ended = &op.MsgOp_u.ended;
   unsigned count = from->contents.contents_len;
 
   if (is_proposed (suspects, peer->lifetime, from->number))
@@ -298,7 +298,7 @@
   for (unsigned i = 0; i < suspects->proposals->len; i++)
     {
       const Proposal *proposal = suspects->proposals->pdata[i];
-      if (proposal->op.kind == MSG_OP_SURVIVED
+      if (proposal->op.kind == MSG_OP_CRASH_RETRACTED
           && strcmp (proposal->op.MsgOp_u.survived.server, server) == 0)
         return true;
     }
@@ -306,9 +306,9 @@
 }
 
 static void
-take_survived (Suspects *suspects, const MeshPeer *peer, const MeshSurvived *from)
+take_survived (Suspects *suspects, const MeshPeer *peer, const MeshCrashRetracted *from)
 {
-  MsgOp op = { .kind = MSG_OP_SURVIVED };
+  MsgOp op = { .kind = MSG_OP_CRASH_RETRACTED };
 
   if (is_being_struck (suspects, from->server))
     return;
@@ -326,7 +326,7 @@
       const Proposal *proposal = suspects->proposals->pdata[i];
       if (proposal->ticket != ticket)
         continue;
-      if (status == FT_OK && proposal->op.kind == MSG_OP_ENDED)
+      if (status == FT_OK && proposal->op.kind == MSG_OP_CRASH)
         acknowledge (suspects, proposal->asker, proposal->number);
       g_ptr_array_remove_index (suspects->proposals, i);
       return;
@@ -336,11 +336,12 @@
 bool
 suspects_message (Suspects *suspects, MeshPeer *peer, const MeshMsg *msg)
 {
-  bool ours = msg->kind == MESH_ENDED || msg->kind == MESH_ANSWERED || msg->kind == MESH_SURVIVED;
+  bool ours
+      = msg->kind == MESH_CRASH || msg->kind == MESH_ANSWERED || msg->kind == MESH_CRASH_RETRACTED;
 
   if (!ours || !in_charge (suspects) || suspects->proposals->len >= PENDING_MOST)
     return ours;
-  if (msg->kind == MESH_ENDED)
+  if (msg->kind == MESH_CRASH)
     take_ended (suspects, peer, &msg->MeshMsg_u.ended);
   else if (msg->kind == MESH_ANSWERED)
     take_answered (suspects, peer, &msg->MeshMsg_u.answered);
--- a/node/versions.c
+++ b/node/versions.c
@@ -92,5 +92,5 @@
     return false;
   if (known->phase == MESH_VERSIONS_MOVED)
     return strcmp (version, known->before) == 0;
-  return known->phase == MESH_VERSIONS_BACK && strcmp (version, known->target) == 0;
+  return known->phase == MESH_VERSIONS_ROLLED_BACK && strcmp (version, known->target) == 0;
 }
--- a/node/voter.c
+++ b/node/voter.c
@@ -81,7 +81,7 @@
   Raft *raft;
   GArray *pending; /* Pending, in order of index */
   RaftConf conf;
-  uint32_t seeds[FT_VOTERS_MOST];
+  uint32_t seeds[FT_VOTERS_MAX];
   int64_t reopen_at;
   pthread_t thread;
   pthread_mutex_t lock;
@@ -261,13 +261,13 @@
 keep_blame (Voter *voter)
 {
   const Blame *blame = state_blame (voter->state);
-  MsgBlame captured = { 0 };
+  MsgCrashTable captured = { 0 };
 
   if (blame_index (blame) == voter->blame.index)
     return;
   blame_capture (blame, 0, &captured);
-  keep_account (voter, &voter->blame, blame_index (blame), codec_pack (CODEC (MsgBlame), &captured),
-                REPORT_BLAME);
+  keep_account (voter, &voter->blame, blame_index (blame),
+                codec_pack (CODEC (MsgCrashTable), &captured), REPORT_BLAME);
   g_free (captured.suspects.suspects_val);
 }
 
--- a/node/voter.h
+++ b/node/voter.h
@@ -60,7 +60,7 @@
   bool broken;     /* its storage failed: it takes no part until it is started again */
   bool member;     /* the log names it */
   unsigned count;  /* voters that the log names */
-  uint32_t voters[FT_VOTERS_MOST];
+  uint32_t voters[FT_VOTERS_MAX];
 } VoterStatus;
 
 /* May be called from the loop's thread at any time; never waits for the disk. */
@@ -74,8 +74,8 @@
 RtCat *voter_catalogue (Voter *voter, uint64_t *number, FtError *error);
 /* Its number alone; 0: none. */
 uint64_t voter_newest (Voter *voter);
-/* The committed account of ended servers that this voter knows, a packed MsgBlame; NULL: none yet.
- * The reference is the caller's. */
+/* The committed account of ended servers that this voter knows, a packed MsgCrashTable; NULL: none
+ * yet. The reference is the caller's. */
 GBytes *voter_blame (Voter *voter);
 /* The same of roll-outs, a packed MsgRollouts. */
 GBytes *voter_rollouts (Voter *voter);
--- a/node/witness.c
+++ b/node/witness.c
@@ -20,7 +20,7 @@
   uint64_t number;
   char *server;
   int64_t ended_at, told_at; /* told_at 0: to nobody yet */
-  uint64_t contents[MESH_CONTENTS_MOST];
+  uint64_t contents[MESH_CONTENTS_MAX];
   unsigned count;
 } Report;
 
@@ -59,9 +59,9 @@
 tell (Witness *witness, Report *report)
 {
   int64_t now = loop_now (witness->loop);
-  MeshMsg msg = { .kind = MESH_ENDED };
+  MeshMsg msg = { .kind = MESH_CRASH };
 
-  msg.MeshMsg_u.ended = (MeshEnded){ .number = report->number,
+  msg.MeshMsg_u.ended = (MeshCrash){ .number = report->number,
                                      .server = report->server,
                                      .age_ms = (u_int) ((now - report->ended_at) / FT_MS),
                                      .contents = { report->count, report->contents } };
@@ -83,7 +83,7 @@
   report->number = ++witness->next_number;
   report->server = g_strdup (server);
   report->ended_at = at;
-  for (unsigned i = 0; i < count && report->count < MESH_CONTENTS_MOST; i++)
+  for (unsigned i = 0; i < count && report->count < MESH_CONTENTS_MAX; i++)
     {
       quar_ended (witness->quar, runs[i].content, server, true);
       report->contents[report->count++] = runs[i].content;
@@ -107,9 +107,9 @@
 static void
 tell_proofs (const Witness *witness)
 {
-  uint64_t contents[MESH_CONTENTS_MOST];
+  uint64_t contents[MESH_CONTENTS_MAX];
   MeshMsg msg = { .kind = MESH_ANSWERED };
-  unsigned count = quar_proofs (witness->quar, contents, MESH_CONTENTS_MOST);
+  unsigned count = quar_proofs (witness->quar, contents, MESH_CONTENTS_MAX);
 
   if (count == 0 || witness->voter == NULL)
     return;
@@ -147,7 +147,7 @@
 }
 
 static void
-take_account (Witness *witness, const MeshBlamed *blamed)
+take_account (Witness *witness, const MeshCrashTable *blamed)
 {
   unsigned count = blamed->suspects.suspects_len;
   QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
@@ -190,7 +190,7 @@
 static void
 take_heard (Witness *witness, const MeshPeer *peer, const MeshMsg *msg)
 {
-  const MeshEnded *ended = &msg->MeshMsg_u.ended;
+  const MeshCrash *ended = &msg->MeshMsg_u.ended;
   Relay relay = { peer, msg };
 
   for (unsigned i = 0; i < ended->contents.contents_len; i++)
@@ -205,13 +205,13 @@
 {
   switch (msg->kind)
     {
-    case MESH_ENDED:
+    case MESH_CRASH:
       take_heard (witness, peer, msg);
       return true;
-    case MESH_ENDED_KNOWN:
+    case MESH_CRASH_ACK:
       take_known (witness, msg->MeshMsg_u.known.number);
       return true;
-    case MESH_BLAMED:
+    case MESH_CRASH_TABLE:
       take_account (witness, &msg->MeshMsg_u.blamed);
       return true;
     default:
@@ -283,7 +283,7 @@
 void
 witness_answered (Witness *witness, const char *server, uint64_t content, int64_t sent_at)
 {
-  MeshMsg msg = { .kind = MESH_SURVIVED };
+  MeshMsg msg = { .kind = MESH_CRASH_RETRACTED };
 
   if (quar_answered (witness->quar, content))
     tell_proofs (witness);
--- a/src/blame.c
+++ b/src/blame.c
@@ -99,7 +99,7 @@
   suspect = g_new0 (MsgSuspect, 1);
   suspect->content = content;
   suspect->first_ms = wall_ms;
-  suspect->latest.latest_val = calloc (FT_SUSPECT_SERVERS, sizeof (MsgServerEnd));
+  suspect->latest.latest_val = calloc (FT_SUSPECT_CRASHES_MAX, sizeof (MsgServerCrash));
   insert (blame, suspect);
   return suspect;
 }
@@ -118,7 +118,7 @@
 static void
 drop_end (MsgSuspect *suspect, unsigned place)
 {
-  MsgServerEnd *ends = suspect->latest.latest_val;
+  MsgServerCrash *ends = suspect->latest.latest_val;
 
   free (ends[place].server);
   suspect->latest.latest_len--;
@@ -129,7 +129,7 @@
 /* An end is one however many instances tell of it; a server that has started again under its name
  * may end again. */
 static bool
-is_known (const MsgSuspect *suspect, const MsgEnded *ended)
+is_known (const MsgSuspect *suspect, const MsgCrash *ended)
 {
   int place = place_of (suspect, ended->server);
 
@@ -137,16 +137,16 @@
 }
 
 static bool
-add_end (Blame *blame, uint64_t index, uint64_t content, const MsgEnded *ended)
+add_end (Blame *blame, uint64_t index, uint64_t content, const MsgCrash *ended)
 {
   MsgSuspect *suspect = suspect_of (blame, content, ended->wall_ms);
 
   if (is_known (suspect, ended))
     return false;
-  if (suspect->latest.latest_len == FT_SUSPECT_SERVERS)
+  if (suspect->latest.latest_len == FT_SUSPECT_CRASHES_MAX)
     drop_end (suspect, 0);
   suspect->latest.latest_val[suspect->latest.latest_len++]
-      = (MsgServerEnd){ strdup (ended->server), ended->wall_ms };
+      = (MsgServerCrash){ strdup (ended->server), ended->wall_ms };
   suspect->ends++;
   suspect->index = index;
   return true;
@@ -161,7 +161,7 @@
 }
 
 bool
-blame_ended (Blame *blame, uint64_t index, const MsgEnded *ended)
+blame_ended (Blame *blame, uint64_t index, const MsgCrash *ended)
 {
   bool changed = false;
 
@@ -186,7 +186,7 @@
 }
 
 bool
-blame_survived (Blame *blame, uint64_t index, const MsgSurvived *survived)
+blame_survived (Blame *blame, uint64_t index, const MsgCrashRetracted *survived)
 {
   GHashTableIter iter;
   gpointer value;
@@ -217,7 +217,7 @@
 }
 
 bool
-blame_knows (const Blame *blame, const MsgEnded *ended)
+blame_knows (const Blame *blame, const MsgCrash *ended)
 {
   for (unsigned i = 0; i < ended->contents.contents_len; i++)
     {
@@ -254,7 +254,7 @@
 }
 
 void
-blame_capture (const Blame *blame, unsigned least, MsgBlame *out)
+blame_capture (const Blame *blame, unsigned least, MsgCrashTable *out)
 {
   GArray *all = g_array_new (FALSE, FALSE, sizeof (MsgSuspect));
   GHashTableIter iter;
@@ -273,7 +273,7 @@
 static void
 list_one (const MsgSuspect *suspect, int64_t wall_ms, GString *out)
 {
-  const MsgServerEnd *ends = suspect->latest.latest_val;
+  const MsgServerCrash *ends = suspect->latest.latest_val;
   unsigned count = suspect->latest.latest_len;
   int64_t last_ms = count ? ends[count - 1].wall_ms : suspect->first_ms;
   char content[CONTENT_TEXT];
@@ -297,7 +297,7 @@
 void
 blame_list (const Blame *blame, int64_t wall_ms, GString *out)
 {
-  MsgBlame all;
+  MsgCrashTable all;
 
   blame_capture (blame, 0, &all);
   g_string_append_c (out, '[');
@@ -315,15 +315,15 @@
 {
   MsgSuspect *copy = g_memdup2 (from, sizeof *from);
 
-  copy->latest.latest_val = calloc (FT_SUSPECT_SERVERS, sizeof (MsgServerEnd));
+  copy->latest.latest_val = calloc (FT_SUSPECT_CRASHES_MAX, sizeof (MsgServerCrash));
   for (unsigned i = 0; i < from->latest.latest_len; i++)
-    copy->latest.latest_val[i] = (MsgServerEnd){ strdup (from->latest.latest_val[i].server),
-                                                 from->latest.latest_val[i].wall_ms };
+    copy->latest.latest_val[i] = (MsgServerCrash){ strdup (from->latest.latest_val[i].server),
+                                                   from->latest.latest_val[i].wall_ms };
   return copy;
 }
 
 void
-blame_restore (Blame *blame, const MsgBlame *in)
+blame_restore (Blame *blame, const MsgCrashTable *in)
 {
   g_hash_table_remove_all (blame->suspects);
   blame->index = in->index;
--- a/src/blame.h
+++ b/src/blame.h
@@ -19,11 +19,11 @@
 Blame *blame_new (void);
 void blame_free (Blame *blame);
 /* Operations at their index in the log. True: the account has changed. Deterministic. */
-bool blame_ended (Blame *blame, uint64_t index, const MsgEnded *ended);
-bool blame_survived (Blame *blame, uint64_t index, const MsgSurvived *survived);
+bool blame_ended (Blame *blame, uint64_t index, const MsgCrash *ended);
+bool blame_survived (Blame *blame, uint64_t index, const MsgCrashRetracted *survived);
 bool blame_cleared (Blame *blame, uint64_t index, const MsgCleared *cleared);
 /* Would blame_ended change nothing? */
-bool blame_knows (const Blame *blame, const MsgEnded *ended);
+bool blame_knows (const Blame *blame, const MsgCrash *ended);
 /* Borrowed; NULL: nothing is said against the content. */
 const MsgSuspect *blame_find (const Blame *blame, uint64_t content);
 /* Index of the latest change; 0: there was none. */
@@ -32,11 +32,11 @@
 unsigned blame_count (const Blame *blame, unsigned *quarantined);
 /* The account of contents with at least so many ends. suspects_val is an array of the caller's
  * (g_free); what its records point to is borrowed. */
-void blame_capture (const Blame *blame, unsigned least, MsgBlame *out);
+void blame_capture (const Blame *blame, unsigned least, MsgCrashTable *out);
 /* Appends the whole account as a JSON array, the one with most ends first; wall_ms: now, for ages.
  */
 void blame_list (const Blame *blame, int64_t wall_ms, GString *out);
 /* Takes a captured account over in place of this one; in is copied. */
-void blame_restore (Blame *blame, const MsgBlame *in);
+void blame_restore (Blame *blame, const MsgCrashTable *in);
 
 #endif
--- a/src/ent.c
+++ b/src/ent.c
@@ -3,8 +3,8 @@
  *
  * Only the entry that owns a request dispatches it, so a failed scheduler cannot cause a second
  * dispatch. A scheduler's state is a copy of what the entries know: when a pool's lease moves, the
- * new holder sends MSG_TELL and each entry sends all its requests in the pool again. Decisions of
- * an older epoch are ignored.
+ * new holder sends MSG_REPORT_REQUEST and each entry sends all its requests in the pool again.
+ * Decisions of an older epoch are ignored.
  */
 #include "node.h"
 
@@ -171,8 +171,8 @@
 ent_report_requests (EntTable *ent, const char *name, uint32_t to, uint64_t epoch)
 {
   EntPool *pool = find_pool (ent, name);
-  Msg msg = { .kind = MSG_TOLD };
-  MsgTold *told = &msg.Msg_u.told;
+  Msg msg = { .kind = MSG_REPORT_END };
+  MsgReportEnd *told = &msg.Msg_u.report_end;
   GPtrArray *all = g_ptr_array_new ();
   EntReq *req;
 
--- a/src/find.c
+++ b/src/find.c
@@ -27,11 +27,11 @@
 static void
 send_query (FtNode *node, Query *query, int64_t now)
 {
-  Msg msg = { .kind = MSG_FIND };
+  Msg msg = { .kind = MSG_QUERY };
 
-  msg.Msg_u.find.number = query->number;
-  msg.Msg_u.find.kind = (MsgFindKind) query->kind;
-  msg.Msg_u.find.id = query->id;
+  msg.Msg_u.query.number = query->number;
+  msg.Msg_u.query.kind = (MsgQueryKind) query->kind;
+  msg.Msg_u.query.id = query->id;
   if (query->kind != FT_FIND_ANSWER)
     {
       query->send_at = now + RESEND_INTERVAL;
@@ -67,19 +67,19 @@
 ft_node_answer (FtNode *node, uint32_t to, uint64_t number, FtStatus status, const void *body,
                 size_t size)
 {
-  Msg msg = { .kind = MSG_FOUND };
+  Msg msg = { .kind = MSG_QUERY_REPLY };
 
-  msg.Msg_u.found.number = number;
-  msg.Msg_u.found.status = status;
-  msg.Msg_u.found.body.body_len = (u_int) size;
-  msg.Msg_u.found.body.body_val = (char *) (uintptr_t) body;
+  msg.Msg_u.query_reply.number = number;
+  msg.Msg_u.query_reply.status = status;
+  msg.Msg_u.query_reply.body.body_len = (u_int) size;
+  msg.Msg_u.query_reply.body.body_val = (char *) (uintptr_t) body;
   node_send (node, to, &msg);
 }
 
 void
-find_on_query (FtNode *node, uint32_t from, const MsgFind *query)
+find_on_query (FtNode *node, uint32_t from, const MsgQuery *query)
 {
-  if (query->kind == MSG_FIND_ANSWER)
+  if (query->kind == MSG_QUERY_ANSWER)
     node->ops->question (node->host, from, query->number, query->id);
   else if (node->lead)
     lead_on_query (node->lead, from, query);
@@ -95,7 +95,7 @@
 }
 
 void
-find_on_reply (FtNode *node, const MsgFound *reply)
+find_on_reply (FtNode *node, const MsgQueryReply *reply)
 {
   uint64_t number = reply->number;
   Query *query = g_hash_table_lookup (node->queries, &number);
--- a/src/hold.c
+++ b/src/hold.c
@@ -152,10 +152,10 @@
 request_reports (HoldPool *held, int64_t now)
 {
   FtNode *node = held->hold->node;
-  Msg msg = { .kind = MSG_TELL };
+  Msg msg = { .kind = MSG_REPORT_REQUEST };
 
-  msg.Msg_u.tell.pool = held->name;
-  msg.Msg_u.tell.epoch = held->epoch;
+  msg.Msg_u.report_request.pool = held->name;
+  msg.Msg_u.report_request.epoch = held->epoch;
   held->report_deadline = now + REPORT_TIMEOUT;
   /* Just after its own start or the leader's, an instance may have no list of live ones yet: then
    * it awaits the reports of all. */
@@ -276,7 +276,7 @@
 }
 
 void
-hold_on_report_end (HoldTable *hold, uint32_t from, const MsgTold *report)
+hold_on_report_end (HoldTable *hold, uint32_t from, const MsgReportEnd *report)
 {
   HoldPool *held = find_pool (hold, report->pool);
 
@@ -328,9 +328,9 @@
   while (g_hash_table_iter_next (&iter, NULL, &data))
     {
       HoldPool *held = data;
-      Msg msg = { .kind = MSG_TELL };
-      msg.Msg_u.tell.pool = held->name;
-      msg.Msg_u.tell.epoch = held->epoch;
+      Msg msg = { .kind = MSG_REPORT_REQUEST };
+      msg.Msg_u.report_request.pool = held->name;
+      msg.Msg_u.report_request.epoch = held->epoch;
       node_send (hold->node, entry, &msg);
     }
 }
--- a/src/lead.c
+++ b/src/lead.c
@@ -177,8 +177,8 @@
 {
   FtNode *node = lead->node;
   int64_t now = ft_clock_now (node->clock);
-  Msg msg = { .kind = MSG_FRESH };
-  MsgFresh *out = &msg.Msg_u.fresh;
+  Msg msg = { .kind = MSG_HELLO_REPLY };
+  MsgHelloReply *out = &msg.Msg_u.hello_reply;
 
   if (!check_leading (lead))
     {
@@ -213,7 +213,7 @@
                   && now - raft_leading_since (node->raft) > LEASE_TAKEOVER_DELAY;
   out->live.live_len = out->has_live ? lead->live->len : 0;
   out->live.live_val = (u_int *) (void *) lead->live->data;
-  MsgBlame blame = { 0 };
+  MsgCrashTable blame = { 0 };
   if (hello->blame_index != blame_index (state_blame (node->state)))
     {
       blame_capture (state_blame (node->state), BLAME_TOLD, &blame);
@@ -243,7 +243,7 @@
   FtStatus status = codec_unpack (CODEC (MsgOp), propose->op.op_val, propose->op.op_len, &op, NULL);
   bool is_allowed = op.kind == MSG_OP_CHANGE || op.kind == MSG_OP_CLAIM
                     || op.kind == MSG_OP_CLAIM_END || op.kind == MSG_OP_REFUSALS
-                    || op.kind == MSG_OP_ENDED || op.kind == MSG_OP_CLEARED;
+                    || op.kind == MSG_OP_CRASH || op.kind == MSG_OP_CLEARED;
   if (status == FT_OK && is_allowed)
     status = raft_propose (node->raft, &op, &index);
   else
@@ -449,7 +449,7 @@
 static FtStatus
 answer_refusal (Leader *lead, const char *id, GString *out)
 {
-  const MsgRecord *record = state_refusal (lead->node->state, id);
+  const MsgRefusalRecord *record = state_refusal (lead->node->state, id);
 
   if (record == NULL)
     return FT_NOT_FOUND;
@@ -527,40 +527,40 @@
 }
 
 void
-lead_on_query (Leader *lead, uint32_t from, const MsgFind *query)
+lead_on_query (Leader *lead, uint32_t from, const MsgQuery *query)
 {
   GString *out = g_string_new (NULL);
   FtStatus status = FT_NOT_LEADER;
-  Msg msg = { .kind = MSG_FOUND };
+  Msg msg = { .kind = MSG_QUERY_REPLY };
 
   if (check_leading (lead))
     switch (query->kind)
       {
-      case MSG_FIND_IN_FORCE:
+      case MSG_QUERY_IN_FORCE:
         status = answer_in_force (lead, query->id, out);
         break;
-      case MSG_FIND_REFUSAL:
+      case MSG_QUERY_REFUSAL:
         status = answer_refusal (lead, query->id, out);
         break;
-      case MSG_FIND_CLAIM:
+      case MSG_QUERY_CLAIM:
         status = answer_claim (lead, query->id, out);
         break;
-      case MSG_FIND_HISTORY:
+      case MSG_QUERY_HISTORY:
         status = answer_history (lead, query->id, out);
         break;
-      case MSG_FIND_CATALOGUE:
+      case MSG_QUERY_CATALOGUE:
         status = answer_catalogue (lead, out);
         break;
-      case MSG_FIND_SUSPECTS:
+      case MSG_QUERY_SUSPECTS:
         status = answer_suspects (lead, query->id, out);
         break;
       default:
         status = FT_INVALID;
       }
-  msg.Msg_u.found.number = query->number;
-  msg.Msg_u.found.status = status;
-  msg.Msg_u.found.body.body_len = (u_int) out->len;
-  msg.Msg_u.found.body.body_val = out->str;
+  msg.Msg_u.query_reply.number = query->number;
+  msg.Msg_u.query_reply.status = status;
+  msg.Msg_u.query_reply.body.body_len = (u_int) out->len;
+  msg.Msg_u.query_reply.body.body_val = out->str;
   node_send (lead->node, from, &msg);
   g_string_free (out, TRUE);
 }
--- a/src/meshmsg.h
+++ b/src/meshmsg.h
@@ -13,15 +13,15 @@
 extern "C" {
 #endif
 
-#define MESH_NAME_MOST 127
-#define MESH_TEXT_MOST 8388608
-#define MESH_NAMES_MOST 16
-#define MESH_VOTERS_MOST 16
-#define MESH_SERVERS_MOST 8192
-#define MESH_ORGS_MOST 8192
-#define MESH_KEPT_MOST 32
+#define MESH_NAME_MAX 127
+#define MESH_TEXT_MAX 8388608
+#define MESH_DEPUTIES_MAX 16
+#define MESH_VOTERS_MAX 16
+#define MESH_SERVERS_MAX 8192
+#define MESH_ORGS_MAX 8192
+#define MESH_CONNECTED_MAX 32
 #define MESH_FILL_UNKNOWN 4294967295
-#define MESH_TURNED_AWAY 0
+#define MESH_SCHEDULER_CHANGED 0
 
 enum MeshRole {
 	MESH_ENTRY = 1,
@@ -162,14 +162,14 @@
 };
 typedef struct MeshAccount MeshAccount;
 
-struct MeshReported {
+struct MeshReportEnd {
 	u_int running;
 	struct {
 		u_int accounts_len;
 		MeshAccount *accounts_val;
 	} accounts;
 };
-typedef struct MeshReported MeshReported;
+typedef struct MeshReportEnd MeshReportEnd;
 
 struct MeshGrant {
 	u_quad_t request;
@@ -177,7 +177,7 @@
 	char *name;
 	u_int ip;
 	u_int port;
-	u_int rest_most_ms;
+	u_int max_idle_ms;
 	u_int list_age_ms;
 	u_int org_fill;
 	bool_t paced;
@@ -193,16 +193,16 @@
 };
 typedef struct MeshRefuse MeshRefuse;
 
-struct MeshFirst {
+struct MeshFirstEvent {
 	u_quad_t request;
 	quad_t after_us;
 };
-typedef struct MeshFirst MeshFirst;
+typedef struct MeshFirstEvent MeshFirstEvent;
 
-struct MeshSilent {
+struct MeshSilence {
 	u_quad_t request;
 };
-typedef struct MeshSilent MeshSilent;
+typedef struct MeshSilence MeshSilence;
 
 struct MeshDone {
 	u_quad_t request;
@@ -210,7 +210,7 @@
 	quad_t event_us;
 	quad_t answer_us;
 	bool_t broke;
-	u_int rested_ms;
+	u_int conn_idle_ms;
 };
 typedef struct MeshDone MeshDone;
 
@@ -223,11 +223,11 @@
 	u_int backoff_ms;
 };
 typedef struct MeshNotice MeshNotice;
-#define MESH_CONTENTS_MOST 64
-#define MESH_ENDS_MOST 8
-#define MESH_SUSPECTS_MOST 1024
+#define MESH_CONTENTS_MAX 64
+#define MESH_CRASHES_MAX 8
+#define MESH_SUSPECTS_MAX 1024
 
-struct MeshEnded {
+struct MeshCrash {
 	u_quad_t number;
 	char *server;
 	u_int age_ms;
@@ -236,12 +236,12 @@
 		u_quad_t *contents_val;
 	} contents;
 };
-typedef struct MeshEnded MeshEnded;
+typedef struct MeshCrash MeshCrash;
 
-struct MeshEndedKnown {
+struct MeshCrashAck {
 	u_quad_t number;
 };
-typedef struct MeshEndedKnown MeshEndedKnown;
+typedef struct MeshCrashAck MeshCrashAck;
 
 struct MeshAnswered {
 	struct {
@@ -251,10 +251,10 @@
 };
 typedef struct MeshAnswered MeshAnswered;
 
-struct MeshSurvived {
+struct MeshCrashRetracted {
 	char *server;
 };
-typedef struct MeshSurvived MeshSurvived;
+typedef struct MeshCrashRetracted MeshCrashRetracted;
 
 struct MeshSuspect {
 	u_quad_t content;
@@ -266,20 +266,20 @@
 };
 typedef struct MeshSuspect MeshSuspect;
 
-struct MeshBlamed {
+struct MeshCrashTable {
 	u_quad_t index;
 	struct {
 		u_int suspects_len;
 		MeshSuspect *suspects_val;
 	} suspects;
 };
-typedef struct MeshBlamed MeshBlamed;
-#define MESH_VERSIONS_MOST 256
+typedef struct MeshCrashTable MeshCrashTable;
+#define MESH_VERSIONS_MAX 256
 
 enum MeshVersionsPhase {
 	MESH_VERSIONS_TRYING = 0,
 	MESH_VERSIONS_MOVED = 1,
-	MESH_VERSIONS_BACK = 2,
+	MESH_VERSIONS_ROLLED_BACK = 2,
 };
 typedef enum MeshVersionsPhase MeshVersionsPhase;
 
@@ -308,21 +308,21 @@
 	MESH_ASK = 1 + 4,
 	MESH_GRANT = 1 + 5,
 	MESH_REFUSE = 1 + 6,
-	MESH_FIRST = 1 + 7,
-	MESH_SILENT = 1 + 8,
+	MESH_FIRST_EVENT = 1 + 7,
+	MESH_SILENCE = 1 + 8,
 	MESH_DONE = 1 + 9,
 	MESH_RAFT = 1 + 10,
-	MESH_WANT_LIST = 1 + 11,
+	MESH_LIST_REQUEST = 1 + 11,
 	MESH_PACKED_LIST = 1 + 12,
 	MESH_ALIVE = 1 + 13,
-	MESH_ENDED = 1 + 14,
-	MESH_ENDED_KNOWN = 1 + 15,
+	MESH_CRASH = 1 + 14,
+	MESH_CRASH_ACK = 1 + 15,
 	MESH_ANSWERED = 1 + 16,
-	MESH_SURVIVED = 1 + 17,
-	MESH_BLAMED = 1 + 18,
+	MESH_CRASH_RETRACTED = 1 + 17,
+	MESH_CRASH_TABLE = 1 + 18,
 	MESH_ROLLOUTS = 1 + 19,
 	MESH_NOTICE = 1 + 20,
-	MESH_REPORTED = 1 + 21,
+	MESH_REPORT_END = 1 + 21,
 };
 typedef enum MeshKind MeshKind;
 
@@ -336,18 +336,18 @@
 		MeshAsk ask;
 		MeshGrant grant;
 		MeshRefuse refuse;
-		MeshFirst first;
-		MeshSilent silent;
+		MeshFirstEvent first;
+		MeshSilence silent;
 		MeshDone done;
 		MeshPackedList packed;
-		MeshEnded ended;
-		MeshEndedKnown known;
+		MeshCrash ended;
+		MeshCrashAck known;
 		MeshAnswered answered;
-		MeshSurvived survived;
-		MeshBlamed blamed;
+		MeshCrashRetracted survived;
+		MeshCrashTable blamed;
 		MeshRollouts rollouts;
 		MeshNotice notice;
-		MeshReported reported;
+		MeshReportEnd reported;
 		struct {
 			u_int raft_len;
 			char *raft_val;
@@ -371,19 +371,19 @@
 extern  bool_t xdr_MeshPackedList (XDR *, MeshPackedList*);
 extern  bool_t xdr_MeshAsk (XDR *, MeshAsk*);
 extern  bool_t xdr_MeshAccount (XDR *, MeshAccount*);
-extern  bool_t xdr_MeshReported (XDR *, MeshReported*);
+extern  bool_t xdr_MeshReportEnd (XDR *, MeshReportEnd*);
 extern  bool_t xdr_MeshGrant (XDR *, MeshGrant*);
 extern  bool_t xdr_MeshRefuse (XDR *, MeshRefuse*);
-extern  bool_t xdr_MeshFirst (XDR *, MeshFirst*);
-extern  bool_t xdr_MeshSilent (XDR *, MeshSilent*);
+extern  bool_t xdr_MeshFirstEvent (XDR *, MeshFirstEvent*);
+extern  bool_t xdr_MeshSilence (XDR *, MeshSilence*);
 extern  bool_t xdr_MeshDone (XDR *, MeshDone*);
 extern  bool_t xdr_MeshNotice (XDR *, MeshNotice*);
-extern  bool_t xdr_MeshEnded (XDR *, MeshEnded*);
-extern  bool_t xdr_MeshEndedKnown (XDR *, MeshEndedKnown*);
+extern  bool_t xdr_MeshCrash (XDR *, MeshCrash*);
+extern  bool_t xdr_MeshCrashAck (XDR *, MeshCrashAck*);
 extern  bool_t xdr_MeshAnswered (XDR *, MeshAnswered*);
-extern  bool_t xdr_MeshSurvived (XDR *, MeshSurvived*);
+extern  bool_t xdr_MeshCrashRetracted (XDR *, MeshCrashRetracted*);
 extern  bool_t xdr_MeshSuspect (XDR *, MeshSuspect*);
-extern  bool_t xdr_MeshBlamed (XDR *, MeshBlamed*);
+extern  bool_t xdr_MeshCrashTable (XDR *, MeshCrashTable*);
 extern  bool_t xdr_MeshVersionsPhase (XDR *, MeshVersionsPhase*);
 extern  bool_t xdr_MeshVersions (XDR *, MeshVersions*);
 extern  bool_t xdr_MeshRollouts (XDR *, MeshRollouts*);
@@ -403,19 +403,19 @@
 extern bool_t xdr_MeshPackedList ();
 extern bool_t xdr_MeshAsk ();
 extern bool_t xdr_MeshAccount ();
-extern bool_t xdr_MeshReported ();
+extern bool_t xdr_MeshReportEnd ();
 extern bool_t xdr_MeshGrant ();
 extern bool_t xdr_MeshRefuse ();
-extern bool_t xdr_MeshFirst ();
-extern bool_t xdr_MeshSilent ();
+extern bool_t xdr_MeshFirstEvent ();
+extern bool_t xdr_MeshSilence ();
 extern bool_t xdr_MeshDone ();
 extern bool_t xdr_MeshNotice ();
-extern bool_t xdr_MeshEnded ();
-extern bool_t xdr_MeshEndedKnown ();
+extern bool_t xdr_MeshCrash ();
+extern bool_t xdr_MeshCrashAck ();
 extern bool_t xdr_MeshAnswered ();
-extern bool_t xdr_MeshSurvived ();
+extern bool_t xdr_MeshCrashRetracted ();
 extern bool_t xdr_MeshSuspect ();
-extern bool_t xdr_MeshBlamed ();
+extern bool_t xdr_MeshCrashTable ();
 extern bool_t xdr_MeshVersionsPhase ();
 extern bool_t xdr_MeshVersions ();
 extern bool_t xdr_MeshRollouts ();
--- a/src/meshmsg_xdr.c
+++ b/src/meshmsg_xdr.c
@@ -26,7 +26,7 @@
 		 return FALSE;
 	 if (!xdr_MeshRole (xdrs, &objp->role))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->domain, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->domain, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->leaving))
 		 return FALSE;
@@ -48,12 +48,12 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->document))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->voters.voters_val, (u_int *) &objp->voters.voters_len, MESH_VOTERS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->voters.voters_val, (u_int *) &objp->voters.voters_len, MESH_VOTERS_MAX,
 		sizeof (u_int), (xdrproc_t) xdr_u_int))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->entries))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->deputies.deputies_val, (u_int *) &objp->deputies.deputies_len, MESH_NAMES_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->deputies.deputies_val, (u_int *) &objp->deputies.deputies_len, MESH_DEPUTIES_MAX,
 		sizeof (u_int), (xdrproc_t) xdr_u_int))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->reading))
@@ -70,7 +70,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->base))
 		 return FALSE;
-	 if (!xdr_bytes (xdrs, (char **)&objp->text.text_val, (u_int *) &objp->text.text_len, MESH_TEXT_MOST))
+	 if (!xdr_bytes (xdrs, (char **)&objp->text.text_val, (u_int *) &objp->text.text_len, MESH_TEXT_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -92,15 +92,15 @@
 
 
 	if (xdrs->x_op == XDR_ENCODE) {
-		 if (!xdr_string (xdrs, &objp->id, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->id, MESH_NAME_MAX))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MAX))
 			 return FALSE;
 		 if (!xdr_quad_t (xdrs, &objp->born_ms))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MAX))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->domain, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->domain, MESH_NAME_MAX))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -120,19 +120,19 @@
 			 return FALSE;
 		 if (!xdr_u_int (xdrs, &objp->cold_ms))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->software, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->software, MESH_NAME_MAX))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
-		 if (!xdr_string (xdrs, &objp->id, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->id, MESH_NAME_MAX))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MAX))
 			 return FALSE;
 		 if (!xdr_quad_t (xdrs, &objp->born_ms))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MAX))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->domain, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->domain, MESH_NAME_MAX))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -152,20 +152,20 @@
 			 return FALSE;
 		 if (!xdr_u_int (xdrs, &objp->cold_ms))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->software, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->software, MESH_NAME_MAX))
 			 return FALSE;
 	 return TRUE;
 	}
 
-	 if (!xdr_string (xdrs, &objp->id, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->id, MESH_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->born_ms))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->domain, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->domain, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->ip))
 		 return FALSE;
@@ -177,7 +177,7 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->cold_ms))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->software, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->software, MESH_NAME_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -187,7 +187,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, objp, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, objp, MESH_NAME_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -215,10 +215,10 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->base))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->servers.servers_val, (u_int *) &objp->servers.servers_len, MESH_SERVERS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->servers.servers_val, (u_int *) &objp->servers.servers_len, MESH_SERVERS_MAX,
 		sizeof (MeshServer), (xdrproc_t) xdr_MeshServer))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->removed.removed_val, (u_int *) &objp->removed.removed_len, MESH_SERVERS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->removed.removed_val, (u_int *) &objp->removed.removed_len, MESH_SERVERS_MAX,
 		sizeof (MeshName), (xdrproc_t) xdr_MeshName))
 		 return FALSE;
 	return TRUE;
@@ -231,7 +231,7 @@
 
 	 if (!xdr_quad_t (xdrs, &objp->age_us))
 		 return FALSE;
-	 if (!xdr_bytes (xdrs, (char **)&objp->list.list_val, (u_int *) &objp->list.list_len, MESH_TEXT_MOST))
+	 if (!xdr_bytes (xdrs, (char **)&objp->list.list_val, (u_int *) &objp->list.list_len, MESH_TEXT_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -245,9 +245,9 @@
 	if (xdrs->x_op == XDR_ENCODE) {
 		 if (!xdr_u_quad_t (xdrs, &objp->request))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MAX))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MAX))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 11 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -299,22 +299,22 @@
 			 return FALSE;
 		 if (!xdr_quad_t (xdrs, &objp->end_in_us))
 			 return FALSE;
-		 if (!xdr_array (xdrs, (char **)&objp->kept.kept_val, (u_int *) &objp->kept.kept_len, MESH_KEPT_MOST,
+		 if (!xdr_array (xdrs, (char **)&objp->kept.kept_val, (u_int *) &objp->kept.kept_len, MESH_CONNECTED_MAX,
 			sizeof (u_int), (xdrproc_t) xdr_u_int))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->avoid, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->avoid, MESH_NAME_MAX))
 			 return FALSE;
 		 if (!xdr_bool (xdrs, &objp->running))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MAX))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
 		 if (!xdr_u_quad_t (xdrs, &objp->request))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MAX))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MAX))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 11 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -366,23 +366,23 @@
 			 return FALSE;
 		 if (!xdr_quad_t (xdrs, &objp->end_in_us))
 			 return FALSE;
-		 if (!xdr_array (xdrs, (char **)&objp->kept.kept_val, (u_int *) &objp->kept.kept_len, MESH_KEPT_MOST,
+		 if (!xdr_array (xdrs, (char **)&objp->kept.kept_val, (u_int *) &objp->kept.kept_len, MESH_CONNECTED_MAX,
 			sizeof (u_int), (xdrproc_t) xdr_u_int))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->avoid, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->avoid, MESH_NAME_MAX))
 			 return FALSE;
 		 if (!xdr_bool (xdrs, &objp->running))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MAX))
 			 return FALSE;
 	 return TRUE;
 	}
 
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->tier))
 		 return FALSE;
@@ -418,14 +418,14 @@
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->end_in_us))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->kept.kept_val, (u_int *) &objp->kept.kept_len, MESH_KEPT_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->kept.kept_val, (u_int *) &objp->kept.kept_len, MESH_CONNECTED_MAX,
 		sizeof (u_int), (xdrproc_t) xdr_u_int))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->avoid, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->avoid, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->running))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -437,7 +437,7 @@
 
 
 	if (xdrs->x_op == XDR_ENCODE) {
-		 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MAX))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 4 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -457,7 +457,7 @@
 		}
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
-		 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MAX))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 4 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -478,7 +478,7 @@
 	 return TRUE;
 	}
 
-	 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->org, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->spent_tokens))
 		 return FALSE;
@@ -492,13 +492,13 @@
 }
 
 bool_t
-xdr_MeshReported (XDR *xdrs, MeshReported *objp)
+xdr_MeshReportEnd (XDR *xdrs, MeshReportEnd *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_int (xdrs, &objp->running))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->accounts.accounts_val, (u_int *) &objp->accounts.accounts_len, MESH_ORGS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->accounts.accounts_val, (u_int *) &objp->accounts.accounts_len, MESH_ORGS_MAX,
 		sizeof (MeshAccount), (xdrproc_t) xdr_MeshAccount))
 		 return FALSE;
 	return TRUE;
@@ -513,9 +513,9 @@
 	if (xdrs->x_op == XDR_ENCODE) {
 		 if (!xdr_u_quad_t (xdrs, &objp->request))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MAX))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MAX))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 6 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -523,7 +523,7 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->port))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->rest_most_ms))
+			 if (!xdr_u_int (xdrs, &objp->max_idle_ms))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->list_age_ms))
 				 return FALSE;
@@ -534,7 +534,7 @@
 		} else {
 			IXDR_PUT_U_LONG(buf, objp->ip);
 			IXDR_PUT_U_LONG(buf, objp->port);
-			IXDR_PUT_U_LONG(buf, objp->rest_most_ms);
+			IXDR_PUT_U_LONG(buf, objp->max_idle_ms);
 			IXDR_PUT_U_LONG(buf, objp->list_age_ms);
 			IXDR_PUT_U_LONG(buf, objp->org_fill);
 			IXDR_PUT_BOOL(buf, objp->paced);
@@ -543,9 +543,9 @@
 	} else if (xdrs->x_op == XDR_DECODE) {
 		 if (!xdr_u_quad_t (xdrs, &objp->request))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MAX))
 			 return FALSE;
-		 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MOST))
+		 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MAX))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 6 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -553,7 +553,7 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->port))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->rest_most_ms))
+			 if (!xdr_u_int (xdrs, &objp->max_idle_ms))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->list_age_ms))
 				 return FALSE;
@@ -564,7 +564,7 @@
 		} else {
 			objp->ip = IXDR_GET_U_LONG(buf);
 			objp->port = IXDR_GET_U_LONG(buf);
-			objp->rest_most_ms = IXDR_GET_U_LONG(buf);
+			objp->max_idle_ms = IXDR_GET_U_LONG(buf);
 			objp->list_age_ms = IXDR_GET_U_LONG(buf);
 			objp->org_fill = IXDR_GET_U_LONG(buf);
 			objp->paced = IXDR_GET_BOOL(buf);
@@ -574,15 +574,15 @@
 
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->name, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->ip))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->port))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->rest_most_ms))
+	 if (!xdr_u_int (xdrs, &objp->max_idle_ms))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->list_age_ms))
 		 return FALSE;
@@ -604,7 +604,7 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->retry_after_ms))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->rule, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->rule, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->org_fill))
 		 return FALSE;
@@ -612,7 +612,7 @@
 }
 
 bool_t
-xdr_MeshFirst (XDR *xdrs, MeshFirst *objp)
+xdr_MeshFirstEvent (XDR *xdrs, MeshFirstEvent *objp)
 {
 	register int32_t *buf;
 
@@ -624,7 +624,7 @@
 }
 
 bool_t
-xdr_MeshSilent (XDR *xdrs, MeshSilent *objp)
+xdr_MeshSilence (XDR *xdrs, MeshSilence *objp)
 {
 	register int32_t *buf;
 
@@ -648,7 +648,7 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->broke))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->rested_ms))
+	 if (!xdr_u_int (xdrs, &objp->conn_idle_ms))
 		 return FALSE;
 	return TRUE;
 }
@@ -662,7 +662,7 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->age_ms))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->rate_milli))
 		 return FALSE;
@@ -674,24 +674,24 @@
 }
 
 bool_t
-xdr_MeshEnded (XDR *xdrs, MeshEnded *objp)
+xdr_MeshCrash (XDR *xdrs, MeshCrash *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->number))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->age_ms))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->contents.contents_val, (u_int *) &objp->contents.contents_len, MESH_CONTENTS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->contents.contents_val, (u_int *) &objp->contents.contents_len, MESH_CONTENTS_MAX,
 		sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_MeshEndedKnown (XDR *xdrs, MeshEndedKnown *objp)
+xdr_MeshCrashAck (XDR *xdrs, MeshCrashAck *objp)
 {
 	register int32_t *buf;
 
@@ -705,18 +705,18 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_array (xdrs, (char **)&objp->contents.contents_val, (u_int *) &objp->contents.contents_len, MESH_CONTENTS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->contents.contents_val, (u_int *) &objp->contents.contents_len, MESH_CONTENTS_MAX,
 		sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_MeshSurvived (XDR *xdrs, MeshSurvived *objp)
+xdr_MeshCrashRetracted (XDR *xdrs, MeshCrashRetracted *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->server, MESH_NAME_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -730,20 +730,20 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->ends))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->servers.servers_val, (u_int *) &objp->servers.servers_len, MESH_ENDS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->servers.servers_val, (u_int *) &objp->servers.servers_len, MESH_CRASHES_MAX,
 		sizeof (u_int), (xdrproc_t) xdr_u_int))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_MeshBlamed (XDR *xdrs, MeshBlamed *objp)
+xdr_MeshCrashTable (XDR *xdrs, MeshCrashTable *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->index))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->suspects.suspects_val, (u_int *) &objp->suspects.suspects_len, MESH_SUSPECTS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->suspects.suspects_val, (u_int *) &objp->suspects.suspects_len, MESH_SUSPECTS_MAX,
 		sizeof (MeshSuspect), (xdrproc_t) xdr_MeshSuspect))
 		 return FALSE;
 	return TRUE;
@@ -764,11 +764,11 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->service, MESH_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->target, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->target, MESH_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->before, MESH_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->before, MESH_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_MeshVersionsPhase (xdrs, &objp->phase))
 		 return FALSE;
@@ -782,7 +782,7 @@
 
 	 if (!xdr_u_quad_t (xdrs, &objp->index))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->services.services_val, (u_int *) &objp->services.services_len, MESH_VERSIONS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->services.services_val, (u_int *) &objp->services.services_len, MESH_VERSIONS_MAX,
 		sizeof (MeshVersions), (xdrproc_t) xdr_MeshVersions))
 		 return FALSE;
 	return TRUE;
@@ -834,19 +834,19 @@
 		 if (!xdr_MeshRefuse (xdrs, &objp->MeshMsg_u.refuse))
 			 return FALSE;
 		break;
-	case MESH_FIRST:
-		 if (!xdr_MeshFirst (xdrs, &objp->MeshMsg_u.first))
+	case MESH_FIRST_EVENT:
+		 if (!xdr_MeshFirstEvent (xdrs, &objp->MeshMsg_u.first))
 			 return FALSE;
 		break;
-	case MESH_SILENT:
-		 if (!xdr_MeshSilent (xdrs, &objp->MeshMsg_u.silent))
+	case MESH_SILENCE:
+		 if (!xdr_MeshSilence (xdrs, &objp->MeshMsg_u.silent))
 			 return FALSE;
 		break;
 	case MESH_DONE:
 		 if (!xdr_MeshDone (xdrs, &objp->MeshMsg_u.done))
 			 return FALSE;
 		break;
-	case MESH_WANT_LIST:
+	case MESH_LIST_REQUEST:
 		break;
 	case MESH_PACKED_LIST:
 		 if (!xdr_MeshPackedList (xdrs, &objp->MeshMsg_u.packed))
@@ -854,24 +854,24 @@
 		break;
 	case MESH_ALIVE:
 		break;
-	case MESH_ENDED:
-		 if (!xdr_MeshEnded (xdrs, &objp->MeshMsg_u.ended))
+	case MESH_CRASH:
+		 if (!xdr_MeshCrash (xdrs, &objp->MeshMsg_u.ended))
 			 return FALSE;
 		break;
-	case MESH_ENDED_KNOWN:
-		 if (!xdr_MeshEndedKnown (xdrs, &objp->MeshMsg_u.known))
+	case MESH_CRASH_ACK:
+		 if (!xdr_MeshCrashAck (xdrs, &objp->MeshMsg_u.known))
 			 return FALSE;
 		break;
 	case MESH_ANSWERED:
 		 if (!xdr_MeshAnswered (xdrs, &objp->MeshMsg_u.answered))
 			 return FALSE;
 		break;
-	case MESH_SURVIVED:
-		 if (!xdr_MeshSurvived (xdrs, &objp->MeshMsg_u.survived))
+	case MESH_CRASH_RETRACTED:
+		 if (!xdr_MeshCrashRetracted (xdrs, &objp->MeshMsg_u.survived))
 			 return FALSE;
 		break;
-	case MESH_BLAMED:
-		 if (!xdr_MeshBlamed (xdrs, &objp->MeshMsg_u.blamed))
+	case MESH_CRASH_TABLE:
+		 if (!xdr_MeshCrashTable (xdrs, &objp->MeshMsg_u.blamed))
 			 return FALSE;
 		break;
 	case MESH_ROLLOUTS:
@@ -882,12 +882,12 @@
 		 if (!xdr_MeshNotice (xdrs, &objp->MeshMsg_u.notice))
 			 return FALSE;
 		break;
-	case MESH_REPORTED:
-		 if (!xdr_MeshReported (xdrs, &objp->MeshMsg_u.reported))
+	case MESH_REPORT_END:
+		 if (!xdr_MeshReportEnd (xdrs, &objp->MeshMsg_u.reported))
 			 return FALSE;
 		break;
 	case MESH_RAFT:
-		 if (!xdr_bytes (xdrs, (char **)&objp->MeshMsg_u.raft.raft_val, (u_int *) &objp->MeshMsg_u.raft.raft_len, MESH_TEXT_MOST))
+		 if (!xdr_bytes (xdrs, (char **)&objp->MeshMsg_u.raft.raft_val, (u_int *) &objp->MeshMsg_u.raft.raft_len, MESH_TEXT_MAX))
 			 return FALSE;
 		break;
 	default:
--- a/src/msg.h
+++ b/src/msg.h
@@ -13,11 +13,11 @@
 extern "C" {
 #endif
 
-#define FT_NAME_MOST 63
-#define FT_TEXT_MOST 4194304
-#define FT_BLOCK_MOST 64
-#define FT_BATCH_MOST 8388608
-#define FT_VOTERS_MOST 7
+#define FT_NAME_MAX 63
+#define FT_TEXT_MAX 4194304
+#define FT_BLOCKS_IN_ASK_MAX 64
+#define FT_BATCH_MAX 8388608
+#define FT_VOTERS_MAX 7
 
 enum MsgAskState {
 	MSG_ASK_WAITING = 0,
@@ -79,27 +79,27 @@
 };
 typedef struct MsgDone MsgDone;
 
-struct MsgTell {
+struct MsgReportRequest {
 	char *pool;
 	u_quad_t epoch;
 };
-typedef struct MsgTell MsgTell;
+typedef struct MsgReportRequest MsgReportRequest;
 
-struct MsgTold {
+struct MsgReportEnd {
 	char *pool;
 	u_quad_t epoch;
 };
-typedef struct MsgTold MsgTold;
-#define FT_CONTENTS_MOST 64
-#define FT_SUSPECT_SERVERS 8
+typedef struct MsgReportEnd MsgReportEnd;
+#define FT_CONTENTS_MAX 64
+#define FT_SUSPECT_CRASHES_MAX 8
 
 typedef char *MsgServerName;
 
-struct MsgServerEnd {
+struct MsgServerCrash {
 	MsgServerName server;
 	quad_t wall_ms;
 };
-typedef struct MsgServerEnd MsgServerEnd;
+typedef struct MsgServerCrash MsgServerCrash;
 
 struct MsgSuspect {
 	u_quad_t content;
@@ -108,20 +108,20 @@
 	quad_t first_ms;
 	struct {
 		u_int latest_len;
-		MsgServerEnd *latest_val;
+		MsgServerCrash *latest_val;
 	} latest;
 };
 typedef struct MsgSuspect MsgSuspect;
 
-struct MsgBlame {
+struct MsgCrashTable {
 	u_quad_t index;
 	struct {
 		u_int suspects_len;
 		MsgSuspect *suspects_val;
 	} suspects;
 };
-typedef struct MsgBlame MsgBlame;
-#define FT_ROLLOUTS_MOST 256
+typedef struct MsgCrashTable MsgCrashTable;
+#define FT_ROLLOUTS_MAX 256
 
 enum MsgRolloutPhase {
 	MSG_ROLLOUT_TRYING = 0,
@@ -182,7 +182,7 @@
 };
 typedef struct MsgLease MsgLease;
 
-struct MsgFresh {
+struct MsgHelloReply {
 	u_quad_t number;
 	u_quad_t revision;
 	u_quad_t lease_epoch;
@@ -201,10 +201,10 @@
 	} live;
 	struct {
 		u_int blame_len;
-		MsgBlame *blame_val;
+		MsgCrashTable *blame_val;
 	} blame;
 };
-typedef struct MsgFresh MsgFresh;
+typedef struct MsgHelloReply MsgHelloReply;
 
 enum MsgOpKind {
 	MSG_OP_NOOP = 0,
@@ -215,8 +215,8 @@
 	MSG_OP_VOTERS = 5,
 	MSG_OP_REFUSALS = 6,
 	MSG_OP_DOCUMENT = 7,
-	MSG_OP_ENDED = 8,
-	MSG_OP_SURVIVED = 9,
+	MSG_OP_CRASH = 8,
+	MSG_OP_CRASH_RETRACTED = 9,
 	MSG_OP_CLEARED = 10,
 	MSG_OP_ROLLOUT_START = 11,
 	MSG_OP_ROLLOUT_STEP = 12,
@@ -273,7 +273,7 @@
 };
 typedef struct MsgVoters MsgVoters;
 
-struct MsgRecord {
+struct MsgRefusalRecord {
 	char *id;
 	char *org;
 	u_int reason;
@@ -283,15 +283,15 @@
 	quad_t wall_ms;
 	char *rule;
 };
-typedef struct MsgRecord MsgRecord;
+typedef struct MsgRefusalRecord MsgRefusalRecord;
 
-struct MsgRecords {
+struct MsgRefusalRecords {
 	struct {
 		u_int records_len;
-		MsgRecord *records_val;
+		MsgRefusalRecord *records_val;
 	} records;
 };
-typedef struct MsgRecords MsgRecords;
+typedef struct MsgRefusalRecords MsgRefusalRecords;
 
 struct MsgDocument {
 	u_quad_t number;
@@ -302,7 +302,7 @@
 };
 typedef struct MsgDocument MsgDocument;
 
-struct MsgEnded {
+struct MsgCrash {
 	MsgServerName server;
 	quad_t wall_ms;
 	struct {
@@ -310,12 +310,12 @@
 		u_quad_t *contents_val;
 	} contents;
 };
-typedef struct MsgEnded MsgEnded;
+typedef struct MsgCrash MsgCrash;
 
-struct MsgSurvived {
+struct MsgCrashRetracted {
 	MsgServerName server;
 };
-typedef struct MsgSurvived MsgSurvived;
+typedef struct MsgCrashRetracted MsgCrashRetracted;
 
 struct MsgCleared {
 	struct {
@@ -351,10 +351,10 @@
 		MsgClaim claim;
 		MsgClaimDone claim_done;
 		MsgVoters voters;
-		MsgRecords refusals;
+		MsgRefusalRecords refusals;
 		MsgDocument document;
-		MsgEnded ended;
-		MsgSurvived survived;
+		MsgCrash ended;
+		MsgCrashRetracted survived;
 		MsgCleared cleared;
 		MsgRolloutStart rollout_start;
 		MsgRolloutStep rollout_step;
@@ -382,13 +382,13 @@
 };
 typedef struct MsgVote MsgVote;
 
-struct MsgVoted {
+struct MsgVoteReply {
 	bool_t pre;
 	u_quad_t term;
 	u_quad_t incarnation;
 	bool_t granted;
 };
-typedef struct MsgVoted MsgVoted;
+typedef struct MsgVoteReply MsgVoteReply;
 
 struct MsgAppend {
 	u_quad_t term;
@@ -403,14 +403,14 @@
 };
 typedef struct MsgAppend MsgAppend;
 
-struct MsgAppended {
+struct MsgAppendReply {
 	u_quad_t term;
 	u_quad_t round;
 	u_quad_t incarnation;
 	bool_t ok;
 	u_quad_t match;
 };
-typedef struct MsgAppended MsgAppended;
+typedef struct MsgAppendReply MsgAppendReply;
 
 struct MsgSnapshot {
 	u_quad_t term;
@@ -424,7 +424,7 @@
 };
 typedef struct MsgSnapshot MsgSnapshot;
 
-struct MsgBlank {
+struct MsgBootstrap {
 	u_quad_t incarnation;
 	bool_t answer;
 	bool_t formed;
@@ -433,7 +433,7 @@
 		MsgVoter *voters_val;
 	} voters;
 };
-typedef struct MsgBlank MsgBlank;
+typedef struct MsgBootstrap MsgBootstrap;
 
 struct MsgPropose {
 	u_quad_t number;
@@ -490,37 +490,37 @@
 	} claims;
 	struct {
 		u_int refusals_len;
-		MsgRecord *refusals_val;
+		MsgRefusalRecord *refusals_val;
 	} refusals;
 	struct {
 		u_int voters_len;
 		MsgVoter *voters_val;
 	} voters;
 	MsgDocument document;
-	MsgBlame blame;
+	MsgCrashTable blame;
 	MsgRollouts rollouts;
 };
 typedef struct MsgState MsgState;
 
-enum MsgFindKind {
-	MSG_FIND_ANSWER = 0,
-	MSG_FIND_REFUSAL = 1,
-	MSG_FIND_CLAIM = 2,
-	MSG_FIND_HISTORY = 3,
-	MSG_FIND_IN_FORCE = 4,
-	MSG_FIND_CATALOGUE = 5,
-	MSG_FIND_SUSPECTS = 6,
+enum MsgQueryKind {
+	MSG_QUERY_ANSWER = 0,
+	MSG_QUERY_REFUSAL = 1,
+	MSG_QUERY_CLAIM = 2,
+	MSG_QUERY_HISTORY = 3,
+	MSG_QUERY_IN_FORCE = 4,
+	MSG_QUERY_CATALOGUE = 5,
+	MSG_QUERY_SUSPECTS = 6,
 };
-typedef enum MsgFindKind MsgFindKind;
+typedef enum MsgQueryKind MsgQueryKind;
 
-struct MsgFind {
+struct MsgQuery {
 	u_quad_t number;
-	MsgFindKind kind;
+	MsgQueryKind kind;
 	char *id;
 };
-typedef struct MsgFind MsgFind;
+typedef struct MsgQuery MsgQuery;
 
-struct MsgFound {
+struct MsgQueryReply {
 	u_quad_t number;
 	int status;
 	struct {
@@ -528,7 +528,7 @@
 		char *body_val;
 	} body;
 };
-typedef struct MsgFound MsgFound;
+typedef struct MsgQueryReply MsgQueryReply;
 
 enum MsgKind {
 	MSG_ASK = 1,
@@ -538,21 +538,21 @@
 	MSG_DONE = 1 + 4,
 	MSG_PAUSE = 1 + 5,
 	MSG_RESUME = 1 + 6,
-	MSG_TELL = 1 + 7,
-	MSG_TOLD = 1 + 8,
+	MSG_REPORT_REQUEST = 1 + 7,
+	MSG_REPORT_END = 1 + 8,
 	MSG_HELLO = 1 + 9,
-	MSG_FRESH = 1 + 10,
+	MSG_HELLO_REPLY = 1 + 10,
 	MSG_VOTE = 1 + 11,
-	MSG_VOTED = 1 + 12,
+	MSG_VOTE_REPLY = 1 + 12,
 	MSG_APPEND = 1 + 13,
-	MSG_APPENDED = 1 + 14,
+	MSG_APPEND_REPLY = 1 + 14,
 	MSG_SNAPSHOT = 1 + 15,
-	MSG_BLANK = 1 + 16,
+	MSG_BOOTSTRAP = 1 + 16,
 	MSG_PROPOSE = 1 + 17,
 	MSG_VERDICT = 1 + 18,
-	MSG_FIND = 1 + 19,
-	MSG_FOUND = 1 + 20,
-	MSG_STAND = 1 + 21,
+	MSG_QUERY = 1 + 19,
+	MSG_QUERY_REPLY = 1 + 20,
+	MSG_TIMEOUT_NOW = 1 + 21,
 };
 typedef enum MsgKind MsgKind;
 
@@ -566,20 +566,20 @@
 		MsgDone done;
 		MsgGrant pause;
 		MsgGrant resume;
-		MsgTell tell;
-		MsgTold told;
+		MsgReportRequest report_request;
+		MsgReportEnd report_end;
 		MsgHello hello;
-		MsgFresh fresh;
+		MsgHelloReply hello_reply;
 		MsgVote vote;
-		MsgVoted voted;
+		MsgVoteReply voted;
 		MsgAppend append;
-		MsgAppended appended;
+		MsgAppendReply appended;
 		MsgSnapshot snapshot;
-		MsgBlank blank;
+		MsgBootstrap blank;
 		MsgPropose propose;
 		MsgVerdict verdict;
-		MsgFind find;
-		MsgFound found;
+		MsgQuery query;
+		MsgQueryReply query_reply;
 	} Msg_u;
 };
 typedef struct Msg Msg;
@@ -636,19 +636,19 @@
 extern  bool_t xdr_MsgRefuse (XDR *, MsgRefuse*);
 extern  bool_t xdr_MsgProgress (XDR *, MsgProgress*);
 extern  bool_t xdr_MsgDone (XDR *, MsgDone*);
-extern  bool_t xdr_MsgTell (XDR *, MsgTell*);
-extern  bool_t xdr_MsgTold (XDR *, MsgTold*);
+extern  bool_t xdr_MsgReportRequest (XDR *, MsgReportRequest*);
+extern  bool_t xdr_MsgReportEnd (XDR *, MsgReportEnd*);
 extern  bool_t xdr_MsgServerName (XDR *, MsgServerName*);
-extern  bool_t xdr_MsgServerEnd (XDR *, MsgServerEnd*);
+extern  bool_t xdr_MsgServerCrash (XDR *, MsgServerCrash*);
 extern  bool_t xdr_MsgSuspect (XDR *, MsgSuspect*);
-extern  bool_t xdr_MsgBlame (XDR *, MsgBlame*);
+extern  bool_t xdr_MsgCrashTable (XDR *, MsgCrashTable*);
 extern  bool_t xdr_MsgRolloutPhase (XDR *, MsgRolloutPhase*);
 extern  bool_t xdr_MsgTrial (XDR *, MsgTrial*);
 extern  bool_t xdr_MsgRollout (XDR *, MsgRollout*);
 extern  bool_t xdr_MsgRollouts (XDR *, MsgRollouts*);
 extern  bool_t xdr_MsgHello (XDR *, MsgHello*);
 extern  bool_t xdr_MsgLease (XDR *, MsgLease*);
-extern  bool_t xdr_MsgFresh (XDR *, MsgFresh*);
+extern  bool_t xdr_MsgHelloReply (XDR *, MsgHelloReply*);
 extern  bool_t xdr_MsgOpKind (XDR *, MsgOpKind*);
 extern  bool_t xdr_MsgChange (XDR *, MsgChange*);
 extern  bool_t xdr_MsgClaim (XDR *, MsgClaim*);
@@ -656,30 +656,30 @@
 extern  bool_t xdr_MsgClaimDone (XDR *, MsgClaimDone*);
 extern  bool_t xdr_MsgVoter (XDR *, MsgVoter*);
 extern  bool_t xdr_MsgVoters (XDR *, MsgVoters*);
-extern  bool_t xdr_MsgRecord (XDR *, MsgRecord*);
-extern  bool_t xdr_MsgRecords (XDR *, MsgRecords*);
+extern  bool_t xdr_MsgRefusalRecord (XDR *, MsgRefusalRecord*);
+extern  bool_t xdr_MsgRefusalRecords (XDR *, MsgRefusalRecords*);
 extern  bool_t xdr_MsgDocument (XDR *, MsgDocument*);
-extern  bool_t xdr_MsgEnded (XDR *, MsgEnded*);
-extern  bool_t xdr_MsgSurvived (XDR *, MsgSurvived*);
+extern  bool_t xdr_MsgCrash (XDR *, MsgCrash*);
+extern  bool_t xdr_MsgCrashRetracted (XDR *, MsgCrashRetracted*);
 extern  bool_t xdr_MsgCleared (XDR *, MsgCleared*);
 extern  bool_t xdr_MsgRolloutStart (XDR *, MsgRolloutStart*);
 extern  bool_t xdr_MsgRolloutStep (XDR *, MsgRolloutStep*);
 extern  bool_t xdr_MsgOp (XDR *, MsgOp*);
 extern  bool_t xdr_MsgEntry (XDR *, MsgEntry*);
 extern  bool_t xdr_MsgVote (XDR *, MsgVote*);
-extern  bool_t xdr_MsgVoted (XDR *, MsgVoted*);
+extern  bool_t xdr_MsgVoteReply (XDR *, MsgVoteReply*);
 extern  bool_t xdr_MsgAppend (XDR *, MsgAppend*);
-extern  bool_t xdr_MsgAppended (XDR *, MsgAppended*);
+extern  bool_t xdr_MsgAppendReply (XDR *, MsgAppendReply*);
 extern  bool_t xdr_MsgSnapshot (XDR *, MsgSnapshot*);
-extern  bool_t xdr_MsgBlank (XDR *, MsgBlank*);
+extern  bool_t xdr_MsgBootstrap (XDR *, MsgBootstrap*);
 extern  bool_t xdr_MsgPropose (XDR *, MsgPropose*);
 extern  bool_t xdr_MsgVerdict (XDR *, MsgVerdict*);
 extern  bool_t xdr_MsgRevision (XDR *, MsgRevision*);
 extern  bool_t xdr_MsgClaimState (XDR *, MsgClaimState*);
 extern  bool_t xdr_MsgState (XDR *, MsgState*);
-extern  bool_t xdr_MsgFindKind (XDR *, MsgFindKind*);
-extern  bool_t xdr_MsgFind (XDR *, MsgFind*);
-extern  bool_t xdr_MsgFound (XDR *, MsgFound*);
+extern  bool_t xdr_MsgQueryKind (XDR *, MsgQueryKind*);
+extern  bool_t xdr_MsgQuery (XDR *, MsgQuery*);
+extern  bool_t xdr_MsgQueryReply (XDR *, MsgQueryReply*);
 extern  bool_t xdr_MsgKind (XDR *, MsgKind*);
 extern  bool_t xdr_Msg (XDR *, Msg*);
 extern  bool_t xdr_LinkBatch (XDR *, LinkBatch*);
@@ -692,19 +692,19 @@
 extern bool_t xdr_MsgRefuse ();
 extern bool_t xdr_MsgProgress ();
 extern bool_t xdr_MsgDone ();
-extern bool_t xdr_MsgTell ();
-extern bool_t xdr_MsgTold ();
+extern bool_t xdr_MsgReportRequest ();
+extern bool_t xdr_MsgReportEnd ();
 extern bool_t xdr_MsgServerName ();
-extern bool_t xdr_MsgServerEnd ();
+extern bool_t xdr_MsgServerCrash ();
 extern bool_t xdr_MsgSuspect ();
-extern bool_t xdr_MsgBlame ();
+extern bool_t xdr_MsgCrashTable ();
 extern bool_t xdr_MsgRolloutPhase ();
 extern bool_t xdr_MsgTrial ();
 extern bool_t xdr_MsgRollout ();
 extern bool_t xdr_MsgRollouts ();
 extern bool_t xdr_MsgHello ();
 extern bool_t xdr_MsgLease ();
-extern bool_t xdr_MsgFresh ();
+extern bool_t xdr_MsgHelloReply ();
 extern bool_t xdr_MsgOpKind ();
 extern bool_t xdr_MsgChange ();
 extern bool_t xdr_MsgClaim ();
@@ -712,30 +712,30 @@
 extern bool_t xdr_MsgClaimDone ();
 extern bool_t xdr_MsgVoter ();
 extern bool_t xdr_MsgVoters ();
-extern bool_t xdr_MsgRecord ();
-extern bool_t xdr_MsgRecords ();
+extern bool_t xdr_MsgRefusalRecord ();
+extern bool_t xdr_MsgRefusalRecords ();
 extern bool_t xdr_MsgDocument ();
-extern bool_t xdr_MsgEnded ();
-extern bool_t xdr_MsgSurvived ();
+extern bool_t xdr_MsgCrash ();
+extern bool_t xdr_MsgCrashRetracted ();
 extern bool_t xdr_MsgCleared ();
 extern bool_t xdr_MsgRolloutStart ();
 extern bool_t xdr_MsgRolloutStep ();
 extern bool_t xdr_MsgOp ();
 extern bool_t xdr_MsgEntry ();
 extern bool_t xdr_MsgVote ();
-extern bool_t xdr_MsgVoted ();
+extern bool_t xdr_MsgVoteReply ();
 extern bool_t xdr_MsgAppend ();
-extern bool_t xdr_MsgAppended ();
+extern bool_t xdr_MsgAppendReply ();
 extern bool_t xdr_MsgSnapshot ();
-extern bool_t xdr_MsgBlank ();
+extern bool_t xdr_MsgBootstrap ();
 extern bool_t xdr_MsgPropose ();
 extern bool_t xdr_MsgVerdict ();
 extern bool_t xdr_MsgRevision ();
 extern bool_t xdr_MsgClaimState ();
 extern bool_t xdr_MsgState ();
-extern bool_t xdr_MsgFindKind ();
-extern bool_t xdr_MsgFind ();
-extern bool_t xdr_MsgFound ();
+extern bool_t xdr_MsgQueryKind ();
+extern bool_t xdr_MsgQuery ();
+extern bool_t xdr_MsgQueryReply ();
 extern bool_t xdr_MsgKind ();
 extern bool_t xdr_Msg ();
 extern bool_t xdr_LinkBatch ();
--- a/src/msg_xdr.c
+++ b/src/msg_xdr.c
@@ -20,13 +20,13 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->org, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->org, FT_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->class_name, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->class_name, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->prompt_tokens))
 		 return FALSE;
@@ -36,12 +36,12 @@
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->due_in_us))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->blocks.blocks_val, (u_int *) &objp->blocks.blocks_len, FT_BLOCK_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->blocks.blocks_val, (u_int *) &objp->blocks.blocks_len, FT_BLOCKS_IN_ASK_MAX,
 		sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 		 return FALSE;
 	 if (!xdr_MsgAskState (xdrs, &objp->state))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->server, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->server, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->tokens))
 		 return FALSE;
@@ -53,13 +53,13 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->epoch))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->server, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->server, FT_NAME_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -69,7 +69,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->epoch))
 		 return FALSE;
@@ -91,7 +91,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
@@ -105,7 +105,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->request))
 		 return FALSE;
@@ -117,11 +117,11 @@
 }
 
 bool_t
-xdr_MsgTell (XDR *xdrs, MsgTell *objp)
+xdr_MsgReportRequest (XDR *xdrs, MsgReportRequest *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->epoch))
 		 return FALSE;
@@ -129,11 +129,11 @@
 }
 
 bool_t
-xdr_MsgTold (XDR *xdrs, MsgTold *objp)
+xdr_MsgReportEnd (XDR *xdrs, MsgReportEnd *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->epoch))
 		 return FALSE;
@@ -151,7 +151,7 @@
 }
 
 bool_t
-xdr_MsgServerEnd (XDR *xdrs, MsgServerEnd *objp)
+xdr_MsgServerCrash (XDR *xdrs, MsgServerCrash *objp)
 {
 	register int32_t *buf;
 
@@ -175,14 +175,14 @@
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->first_ms))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->latest.latest_val, (u_int *) &objp->latest.latest_len, FT_SUSPECT_SERVERS,
-		sizeof (MsgServerEnd), (xdrproc_t) xdr_MsgServerEnd))
+	 if (!xdr_array (xdrs, (char **)&objp->latest.latest_val, (u_int *) &objp->latest.latest_len, FT_SUSPECT_CRASHES_MAX,
+		sizeof (MsgServerCrash), (xdrproc_t) xdr_MsgServerCrash))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_MsgBlame (XDR *xdrs, MsgBlame *objp)
+xdr_MsgCrashTable (XDR *xdrs, MsgCrashTable *objp)
 {
 	register int32_t *buf;
 
@@ -304,7 +304,7 @@
 
 	 if (!xdr_u_quad_t (xdrs, &objp->index))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->rollouts.rollouts_val, (u_int *) &objp->rollouts.rollouts_len, FT_ROLLOUTS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->rollouts.rollouts_val, (u_int *) &objp->rollouts.rollouts_len, FT_ROLLOUTS_MAX,
 		sizeof (MsgRollout), (xdrproc_t) xdr_MsgRollout))
 		 return FALSE;
 	return TRUE;
@@ -329,9 +329,9 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->leaving))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->region, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->region, FT_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->failure_domain, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->failure_domain, FT_NAME_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -341,7 +341,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->pool, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->holder))
 		 return FALSE;
@@ -351,7 +351,7 @@
 }
 
 bool_t
-xdr_MsgFresh (XDR *xdrs, MsgFresh *objp)
+xdr_MsgHelloReply (XDR *xdrs, MsgHelloReply *objp)
 {
 	register int32_t *buf;
 
@@ -363,7 +363,7 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->has_catalogue))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->catalogue, FT_TEXT_MOST))
+	 if (!xdr_string (xdrs, &objp->catalogue, FT_TEXT_MAX))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->has_leases))
 		 return FALSE;
@@ -378,7 +378,7 @@
 		sizeof (u_int), (xdrproc_t) xdr_u_int))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->blame.blame_val, (u_int *) &objp->blame.blame_len, 1,
-		sizeof (MsgBlame), (xdrproc_t) xdr_MsgBlame))
+		sizeof (MsgCrashTable), (xdrproc_t) xdr_MsgCrashTable))
 		 return FALSE;
 	return TRUE;
 }
@@ -398,15 +398,15 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->change_id, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->change_id, FT_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->author, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->author, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->base))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->wall_ms))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->catalogue, FT_TEXT_MOST))
+	 if (!xdr_string (xdrs, &objp->catalogue, FT_TEXT_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -424,7 +424,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->incarnation))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->request_id, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->request_id, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->wall_ms))
 		 return FALSE;
@@ -452,7 +452,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->incarnation))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->request_id, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->request_id, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_MsgClaimEnd (xdrs, &objp->end))
 		 return FALSE;
@@ -478,20 +478,20 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_array (xdrs, (char **)&objp->voters.voters_val, (u_int *) &objp->voters.voters_len, FT_VOTERS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->voters.voters_val, (u_int *) &objp->voters.voters_len, FT_VOTERS_MAX,
 		sizeof (MsgVoter), (xdrproc_t) xdr_MsgVoter))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_MsgRecord (XDR *xdrs, MsgRecord *objp)
+xdr_MsgRefusalRecord (XDR *xdrs, MsgRefusalRecord *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_string (xdrs, &objp->id, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->id, FT_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->org, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->org, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->reason))
 		 return FALSE;
@@ -509,12 +509,12 @@
 }
 
 bool_t
-xdr_MsgRecords (XDR *xdrs, MsgRecords *objp)
+xdr_MsgRefusalRecords (XDR *xdrs, MsgRefusalRecords *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_array (xdrs, (char **)&objp->records.records_val, (u_int *) &objp->records.records_len, 4096,
-		sizeof (MsgRecord), (xdrproc_t) xdr_MsgRecord))
+		sizeof (MsgRefusalRecord), (xdrproc_t) xdr_MsgRefusalRecord))
 		 return FALSE;
 	return TRUE;
 }
@@ -526,13 +526,13 @@
 
 	 if (!xdr_u_quad_t (xdrs, &objp->number))
 		 return FALSE;
-	 if (!xdr_bytes (xdrs, (char **)&objp->text.text_val, (u_int *) &objp->text.text_len, FT_TEXT_MOST))
+	 if (!xdr_bytes (xdrs, (char **)&objp->text.text_val, (u_int *) &objp->text.text_len, FT_TEXT_MAX))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_MsgEnded (XDR *xdrs, MsgEnded *objp)
+xdr_MsgCrash (XDR *xdrs, MsgCrash *objp)
 {
 	register int32_t *buf;
 
@@ -540,14 +540,14 @@
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->wall_ms))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->contents.contents_val, (u_int *) &objp->contents.contents_len, FT_CONTENTS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->contents.contents_val, (u_int *) &objp->contents.contents_len, FT_CONTENTS_MAX,
 		sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_MsgSurvived (XDR *xdrs, MsgSurvived *objp)
+xdr_MsgCrashRetracted (XDR *xdrs, MsgCrashRetracted *objp)
 {
 	register int32_t *buf;
 
@@ -561,7 +561,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_array (xdrs, (char **)&objp->contents.contents_val, (u_int *) &objp->contents.contents_len, FT_CONTENTS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->contents.contents_val, (u_int *) &objp->contents.contents_len, FT_CONTENTS_MAX,
 		sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 		 return FALSE;
 	return TRUE;
@@ -634,19 +634,19 @@
 			 return FALSE;
 		break;
 	case MSG_OP_REFUSALS:
-		 if (!xdr_MsgRecords (xdrs, &objp->MsgOp_u.refusals))
+		 if (!xdr_MsgRefusalRecords (xdrs, &objp->MsgOp_u.refusals))
 			 return FALSE;
 		break;
 	case MSG_OP_DOCUMENT:
 		 if (!xdr_MsgDocument (xdrs, &objp->MsgOp_u.document))
 			 return FALSE;
 		break;
-	case MSG_OP_ENDED:
-		 if (!xdr_MsgEnded (xdrs, &objp->MsgOp_u.ended))
+	case MSG_OP_CRASH:
+		 if (!xdr_MsgCrash (xdrs, &objp->MsgOp_u.ended))
 			 return FALSE;
 		break;
-	case MSG_OP_SURVIVED:
-		 if (!xdr_MsgSurvived (xdrs, &objp->MsgOp_u.survived))
+	case MSG_OP_CRASH_RETRACTED:
+		 if (!xdr_MsgCrashRetracted (xdrs, &objp->MsgOp_u.survived))
 			 return FALSE;
 		break;
 	case MSG_OP_CLEARED:
@@ -676,7 +676,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->term))
 		 return FALSE;
-	 if (!xdr_bytes (xdrs, (char **)&objp->op.op_val, (u_int *) &objp->op.op_len, FT_TEXT_MOST))
+	 if (!xdr_bytes (xdrs, (char **)&objp->op.op_val, (u_int *) &objp->op.op_len, FT_TEXT_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -702,7 +702,7 @@
 }
 
 bool_t
-xdr_MsgVoted (XDR *xdrs, MsgVoted *objp)
+xdr_MsgVoteReply (XDR *xdrs, MsgVoteReply *objp)
 {
 	register int32_t *buf;
 
@@ -739,7 +739,7 @@
 }
 
 bool_t
-xdr_MsgAppended (XDR *xdrs, MsgAppended *objp)
+xdr_MsgAppendReply (XDR *xdrs, MsgAppendReply *objp)
 {
 	register int32_t *buf;
 
@@ -769,13 +769,13 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->index_term))
 		 return FALSE;
-	 if (!xdr_bytes (xdrs, (char **)&objp->state.state_val, (u_int *) &objp->state.state_len, FT_BATCH_MOST))
+	 if (!xdr_bytes (xdrs, (char **)&objp->state.state_val, (u_int *) &objp->state.state_len, FT_BATCH_MAX))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_MsgBlank (XDR *xdrs, MsgBlank *objp)
+xdr_MsgBootstrap (XDR *xdrs, MsgBootstrap *objp)
 {
 	register int32_t *buf;
 
@@ -785,7 +785,7 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->formed))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->voters.voters_val, (u_int *) &objp->voters.voters_len, FT_VOTERS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->voters.voters_val, (u_int *) &objp->voters.voters_len, FT_VOTERS_MAX,
 		sizeof (MsgVoter), (xdrproc_t) xdr_MsgVoter))
 		 return FALSE;
 	return TRUE;
@@ -798,7 +798,7 @@
 
 	 if (!xdr_u_quad_t (xdrs, &objp->number))
 		 return FALSE;
-	 if (!xdr_bytes (xdrs, (char **)&objp->op.op_val, (u_int *) &objp->op.op_len, FT_TEXT_MOST))
+	 if (!xdr_bytes (xdrs, (char **)&objp->op.op_val, (u_int *) &objp->op.op_len, FT_TEXT_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -828,9 +828,9 @@
 
 	 if (!xdr_u_quad_t (xdrs, &objp->revision))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->change_id, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->change_id, FT_NAME_MAX))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->author, FT_NAME_MOST))
+	 if (!xdr_string (xdrs, &objp->author, FT_NAME_MAX))
 		 return FALSE;
 	 if (!xdr_quad_t (xdrs, &objp->wall_ms))
 		 return FALSE;
@@ -866,7 +866,7 @@
 
 	 if (!xdr_u_quad_t (xdrs, &objp->revision))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->catalogue, FT_TEXT_MOST))
+	 if (!xdr_string (xdrs, &objp->catalogue, FT_TEXT_MAX))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->history.history_val, (u_int *) &objp->history.history_len, 65536,
 		sizeof (MsgRevision), (xdrproc_t) xdr_MsgRevision))
@@ -880,14 +880,14 @@
 		sizeof (MsgClaimState), (xdrproc_t) xdr_MsgClaimState))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->refusals.refusals_val, (u_int *) &objp->refusals.refusals_len, 65536,
-		sizeof (MsgRecord), (xdrproc_t) xdr_MsgRecord))
+		sizeof (MsgRefusalRecord), (xdrproc_t) xdr_MsgRefusalRecord))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->voters.voters_val, (u_int *) &objp->voters.voters_len, FT_VOTERS_MOST,
+	 if (!xdr_array (xdrs, (char **)&objp->voters.voters_val, (u_int *) &objp->voters.voters_len, FT_VOTERS_MAX,
 		sizeof (MsgVoter), (xdrproc_t) xdr_MsgVoter))
 		 return FALSE;
 	 if (!xdr_MsgDocument (xdrs, &objp->document))
 		 return FALSE;
-	 if (!xdr_MsgBlame (xdrs, &objp->blame))
+	 if (!xdr_MsgCrashTable (xdrs, &objp->blame))
 		 return FALSE;
 	 if (!xdr_MsgRollouts (xdrs, &objp->rollouts))
 		 return FALSE;
@@ -895,7 +895,7 @@
 }
 
 bool_t
-xdr_MsgFindKind (XDR *xdrs, MsgFindKind *objp)
+xdr_MsgQueryKind (XDR *xdrs, MsgQueryKind *objp)
 {
 	register int32_t *buf;
 
@@ -905,13 +905,13 @@
 }
 
 bool_t
-xdr_MsgFind (XDR *xdrs, MsgFind *objp)
+xdr_MsgQuery (XDR *xdrs, MsgQuery *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_u_quad_t (xdrs, &objp->number))
 		 return FALSE;
-	 if (!xdr_MsgFindKind (xdrs, &objp->kind))
+	 if (!xdr_MsgQueryKind (xdrs, &objp->kind))
 		 return FALSE;
 	 if (!xdr_string (xdrs, &objp->id, 127))
 		 return FALSE;
@@ -919,7 +919,7 @@
 }
 
 bool_t
-xdr_MsgFound (XDR *xdrs, MsgFound *objp)
+xdr_MsgQueryReply (XDR *xdrs, MsgQueryReply *objp)
 {
 	register int32_t *buf;
 
@@ -927,7 +927,7 @@
 		 return FALSE;
 	 if (!xdr_int (xdrs, &objp->status))
 		 return FALSE;
-	 if (!xdr_bytes (xdrs, (char **)&objp->body.body_val, (u_int *) &objp->body.body_len, FT_BATCH_MOST))
+	 if (!xdr_bytes (xdrs, (char **)&objp->body.body_val, (u_int *) &objp->body.body_len, FT_BATCH_MAX))
 		 return FALSE;
 	return TRUE;
 }
@@ -978,44 +978,44 @@
 		 if (!xdr_MsgGrant (xdrs, &objp->Msg_u.resume))
 			 return FALSE;
 		break;
-	case MSG_TELL:
-		 if (!xdr_MsgTell (xdrs, &objp->Msg_u.tell))
+	case MSG_REPORT_REQUEST:
+		 if (!xdr_MsgReportRequest (xdrs, &objp->Msg_u.report_request))
 			 return FALSE;
 		break;
-	case MSG_TOLD:
-		 if (!xdr_MsgTold (xdrs, &objp->Msg_u.told))
+	case MSG_REPORT_END:
+		 if (!xdr_MsgReportEnd (xdrs, &objp->Msg_u.report_end))
 			 return FALSE;
 		break;
 	case MSG_HELLO:
 		 if (!xdr_MsgHello (xdrs, &objp->Msg_u.hello))
 			 return FALSE;
 		break;
-	case MSG_FRESH:
-		 if (!xdr_MsgFresh (xdrs, &objp->Msg_u.fresh))
+	case MSG_HELLO_REPLY:
+		 if (!xdr_MsgHelloReply (xdrs, &objp->Msg_u.hello_reply))
 			 return FALSE;
 		break;
 	case MSG_VOTE:
 		 if (!xdr_MsgVote (xdrs, &objp->Msg_u.vote))
 			 return FALSE;
 		break;
-	case MSG_VOTED:
-		 if (!xdr_MsgVoted (xdrs, &objp->Msg_u.voted))
+	case MSG_VOTE_REPLY:
+		 if (!xdr_MsgVoteReply (xdrs, &objp->Msg_u.voted))
 			 return FALSE;
 		break;
 	case MSG_APPEND:
 		 if (!xdr_MsgAppend (xdrs, &objp->Msg_u.append))
 			 return FALSE;
 		break;
-	case MSG_APPENDED:
-		 if (!xdr_MsgAppended (xdrs, &objp->Msg_u.appended))
+	case MSG_APPEND_REPLY:
+		 if (!xdr_MsgAppendReply (xdrs, &objp->Msg_u.appended))
 			 return FALSE;
 		break;
 	case MSG_SNAPSHOT:
 		 if (!xdr_MsgSnapshot (xdrs, &objp->Msg_u.snapshot))
 			 return FALSE;
 		break;
-	case MSG_BLANK:
-		 if (!xdr_MsgBlank (xdrs, &objp->Msg_u.blank))
+	case MSG_BOOTSTRAP:
+		 if (!xdr_MsgBootstrap (xdrs, &objp->Msg_u.blank))
 			 return FALSE;
 		break;
 	case MSG_PROPOSE:
@@ -1026,15 +1026,15 @@
 		 if (!xdr_MsgVerdict (xdrs, &objp->Msg_u.verdict))
 			 return FALSE;
 		break;
-	case MSG_FIND:
-		 if (!xdr_MsgFind (xdrs, &objp->Msg_u.find))
+	case MSG_QUERY:
+		 if (!xdr_MsgQuery (xdrs, &objp->Msg_u.query))
 			 return FALSE;
 		break;
-	case MSG_FOUND:
-		 if (!xdr_MsgFound (xdrs, &objp->Msg_u.found))
+	case MSG_QUERY_REPLY:
+		 if (!xdr_MsgQueryReply (xdrs, &objp->Msg_u.query_reply))
 			 return FALSE;
 		break;
-	case MSG_STAND:
+	case MSG_TIMEOUT_NOW:
 		break;
 	default:
 		return FALSE;
@@ -1055,7 +1055,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->first))
 		 return FALSE;
-	 if (!xdr_bytes (xdrs, (char **)&objp->messages.messages_val, (u_int *) &objp->messages.messages_len, FT_BATCH_MOST))
+	 if (!xdr_bytes (xdrs, (char **)&objp->messages.messages_val, (u_int *) &objp->messages.messages_len, FT_BATCH_MAX))
 		 return FALSE;
 	 if (!xdr_bytes (xdrs, (char **)&objp->mac.mac_val, (u_int *) &objp->mac.mac_len, 32))
 		 return FALSE;
--- a/src/node.c
+++ b/src/node.c
@@ -110,7 +110,7 @@
   node->peer_incarnations = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
   node->proposals = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, prop_free);
   node->queries = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, find_free);
-  node->refusals = g_array_new (FALSE, FALSE, sizeof (MsgRecord));
+  node->refusals = g_array_new (FALSE, FALSE, sizeof (MsgRefusalRecord));
   node->assumed_leader = conf->voters[0];
   node->fresh_at = ft_clock_now (clock) - FRESH_PROOF_MAX_AGE;
   node->next_number = 1;
@@ -139,7 +139,7 @@
   hold_free (node->hold);
   ent_free (node->ent);
   for (unsigned i = 0; i < node->refusals->len; i++)
-    codec_clear (CODEC (MsgRecord), &g_array_index (node->refusals, MsgRecord, i));
+    codec_clear (CODEC (MsgRefusalRecord), &g_array_index (node->refusals, MsgRefusalRecord, i));
   g_array_unref (node->refusals);
   quar_free (node->quar);
   g_hash_table_unref (node->queries);
@@ -249,7 +249,7 @@
 }
 
 static void
-update_live (FtNode *node, const MsgFresh *fresh)
+update_live (FtNode *node, const MsgHelloReply *fresh)
 {
   GArray *live = copy_ids (fresh->live.live_val, fresh->live.live_len);
 
@@ -277,7 +277,7 @@
 }
 
 static void
-on_fresh (FtNode *node, uint32_t from, const MsgFresh *fresh)
+on_fresh (FtNode *node, uint32_t from, const MsgHelloReply *fresh)
 {
   unsigned kept = G_N_ELEMENTS (node->hello_sent_at);
 
@@ -385,7 +385,7 @@
 }
 
 static void
-on_report_request (FtNode *node, uint32_t from, const MsgTell *tell)
+on_report_request (FtNode *node, uint32_t from, const MsgReportRequest *tell)
 {
   if (!ent_set_holder (node->ent, tell->pool, from, tell->epoch))
     return;
@@ -403,8 +403,8 @@
       if (node->lead)
         lead_on_hello (node->lead, from, &msg->Msg_u.hello);
       break;
-    case MSG_FRESH:
-      on_fresh (node, from, &msg->Msg_u.fresh);
+    case MSG_HELLO_REPLY:
+      on_fresh (node, from, &msg->Msg_u.hello_reply);
       break;
     case MSG_PROPOSE:
       if (node->lead)
@@ -413,11 +413,11 @@
     case MSG_VERDICT:
       prop_on_verdict (node, from, &msg->Msg_u.verdict);
       break;
-    case MSG_FIND:
-      find_on_query (node, from, &msg->Msg_u.find);
+    case MSG_QUERY:
+      find_on_query (node, from, &msg->Msg_u.query);
       break;
-    case MSG_FOUND:
-      find_on_reply (node, &msg->Msg_u.found);
+    case MSG_QUERY_REPLY:
+      find_on_reply (node, &msg->Msg_u.query_reply);
       break;
     default:
       if (node->raft)
@@ -451,11 +451,11 @@
     case MSG_RESUME:
       ent_on_pause (node->ent, from, &msg->Msg_u.resume, false);
       break;
-    case MSG_TELL:
-      on_report_request (node, from, &msg->Msg_u.tell);
+    case MSG_REPORT_REQUEST:
+      on_report_request (node, from, &msg->Msg_u.report_request);
       break;
-    case MSG_TOLD:
-      hold_on_report_end (node->hold, from, &msg->Msg_u.told);
+    case MSG_REPORT_END:
+      hold_on_report_end (node->hold, from, &msg->Msg_u.report_end);
       break;
     default:
       dispatch_control (node, from, msg);
--- a/src/node.h
+++ b/src/node.h
@@ -77,7 +77,7 @@
   GHashTable *queries;   /* number -> Query */
   Quarantine *quar;
   uint64_t blame_index; /* log index of the voters' crash table that quar has */
-  GArray *refusals;     /* MsgRecord not yet proposed */
+  GArray *refusals;     /* MsgRefusalRecord not yet proposed */
   int64_t refusals_due_at;
 };
 
@@ -98,8 +98,8 @@
 void prop_free (void *proposal);
 
 /* find.c */
-void find_on_query (FtNode *node, uint32_t from, const MsgFind *query);
-void find_on_reply (FtNode *node, const MsgFound *reply);
+void find_on_query (FtNode *node, uint32_t from, const MsgQuery *query);
+void find_on_reply (FtNode *node, const MsgQueryReply *reply);
 void find_tick (FtNode *node, int64_t now);
 void find_free (void *query);
 
@@ -110,7 +110,7 @@
 /* Records that the instance holder schedules the pool. Returns false, and changes nothing, if the
  * epoch is older than the known one. */
 bool ent_set_holder (EntTable *ent, const char *pool, uint32_t holder, uint64_t epoch);
-/* Sends a MSG_ASK for each request that this instance owns in the pool, then MSG_TOLD. */
+/* Sends a MSG_ASK for each request that this instance owns in the pool, then MSG_REPORT_END. */
 void ent_report_requests (EntTable *ent, const char *pool, uint32_t to, uint64_t epoch);
 void ent_on_grant (EntTable *ent, uint32_t from, const MsgGrant *grant);
 void ent_on_refusal (EntTable *ent, uint32_t from, const MsgRefuse *refuse);
@@ -129,7 +129,7 @@
 void hold_start_pool (HoldTable *hold, const char *pool, uint64_t epoch);
 void hold_stop_pool (HoldTable *hold, const char *pool);
 void hold_on_ask (HoldTable *hold, uint32_t from, const MsgAsk *ask);
-void hold_on_report_end (HoldTable *hold, uint32_t from, const MsgTold *told);
+void hold_on_report_end (HoldTable *hold, uint32_t from, const MsgReportEnd *told);
 void hold_on_progress (HoldTable *hold, uint32_t from, const MsgProgress *progress);
 void hold_on_done (HoldTable *hold, uint32_t from, const MsgDone *done);
 /* Drops all requests of an entry that is dead or was reset. */
@@ -142,7 +142,7 @@
 
 /* susp.c */
 /* Applies the voters' crash table. */
-void susp_account (FtNode *node, const MsgBlame *blame);
+void susp_account (FtNode *node, const MsgCrashTable *blame);
 /* The server crashed while it ran a request of this instance that has the content. */
 void susp_ended (FtNode *node, const char *pool, const char *server, uint64_t content,
                  int64_t wall_ms);
@@ -156,7 +156,7 @@
 void lead_on_hello (Leader *lead, uint32_t from, const MsgHello *hello);
 void lead_on_proposal (Leader *lead, uint32_t from, const MsgPropose *propose);
 void lead_on_applied (Leader *lead, uint64_t index, const StateResult *verdict);
-void lead_on_query (Leader *lead, uint32_t from, const MsgFind *find);
+void lead_on_query (Leader *lead, uint32_t from, const MsgQuery *find);
 void lead_tick (Leader *lead, int64_t now);
 
 #endif
--- a/src/prop.c
+++ b/src/prop.c
@@ -52,7 +52,7 @@
   proposal->op = bytes ? bytes : g_byte_array_new ();
   proposal->deadline = now + PROPOSAL_TIMEOUT;
   proposal->silent = silent;
-  if (op->kind == MSG_OP_ENDED)
+  if (op->kind == MSG_OP_CRASH)
     proposal->crashed_server = g_strdup (op->MsgOp_u.ended.server);
   uint64_t number = proposal->number;
   g_hash_table_insert (node->proposals, &proposal->number, proposal);
@@ -176,7 +176,7 @@
 ft_node_note_refusal (FtNode *node, const char *id, const char *org, FtReason reason, unsigned tier,
                       int64_t retry_after_ms, const char *rule, int64_t wall_ms)
 {
-  MsgRecord record = { 0 };
+  MsgRefusalRecord record = { 0 };
 
   record.id = strdup (id);
   record.org = strdup (org);
@@ -199,9 +199,9 @@
     return;
   node->refusals_due_at = now + REFUSALS_INTERVAL;
   op.MsgOp_u.refusals.records.records_len = count;
-  op.MsgOp_u.refusals.records.records_val = (MsgRecord *) (void *) node->refusals->data;
+  op.MsgOp_u.refusals.records.records_val = (MsgRefusalRecord *) (void *) node->refusals->data;
   prop_submit (node, &op, true);
   for (unsigned i = 0; i < count; i++)
-    codec_clear (CODEC (MsgRecord), &g_array_index (node->refusals, MsgRecord, i));
+    codec_clear (CODEC (MsgRefusalRecord), &g_array_index (node->refusals, MsgRefusalRecord, i));
   g_array_remove_range (node->refusals, 0, count);
 }
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -33,9 +33,9 @@
 {
   uint64_t content;
   unsigned ends, server_count;
-  uint32_t servers[FT_SUSPECT_SERVERS];
-  int64_t seen[FT_SUSPECT_SERVERS]; /* when each was first told */
-  int64_t enough_at;                /* when it had BLAME_ENDS; 0: not yet */
+  uint32_t servers[FT_SUSPECT_CRASHES_MAX];
+  int64_t seen[FT_SUSPECT_CRASHES_MAX]; /* when each was first told */
+  int64_t enough_at;                    /* when it had BLAME_ENDS; 0: not yet */
 } Known;
 
 typedef struct
@@ -104,10 +104,10 @@
 static unsigned
 count_evidence (const Quarantine *quar, uint64_t content, const Known *known, int64_t *last)
 {
-  uint32_t counted[FT_SUSPECT_SERVERS];
+  uint32_t counted[FT_SUSPECT_CRASHES_MAX];
   unsigned count = 0;
 
-  for (unsigned i = 0; i < quar->evidence->len && count < FT_SUSPECT_SERVERS; i++)
+  for (unsigned i = 0; i < quar->evidence->len && count < FT_SUSPECT_CRASHES_MAX; i++)
     {
       const Evidence *one = &g_array_index (quar->evidence, Evidence, i);
       if (one->content != content || names (counted, count, one->server)
@@ -267,7 +267,7 @@
 
   known->content = record->content;
   known->ends = record->ends;
-  known->server_count = MIN (record->server_count, FT_SUSPECT_SERVERS);
+  known->server_count = MIN (record->server_count, FT_SUSPECT_CRASHES_MAX);
   for (unsigned i = 0; i < known->server_count; i++)
     {
       known->servers[i] = record->servers[i];
--- a/src/raft.c
+++ b/src/raft.c
@@ -209,8 +209,8 @@
 static void
 reply_to_append (Raft *raft, uint32_t to, uint64_t round, bool ok, uint64_t match)
 {
-  Msg msg = { .kind = MSG_APPENDED };
-  MsgAppended *out = &msg.Msg_u.appended;
+  Msg msg = { .kind = MSG_APPEND_REPLY };
+  MsgAppendReply *out = &msg.Msg_u.appended;
 
   out->term = raft->term;
   out->round = round;
@@ -424,22 +424,22 @@
     case MSG_VOTE:
       raftvote_on_request (raft, from, &msg->Msg_u.vote, now);
       break;
-    case MSG_VOTED:
+    case MSG_VOTE_REPLY:
       raftvote_on_reply (raft, peer, &msg->Msg_u.voted, now);
       break;
     case MSG_APPEND:
       on_append (raft, from, &msg->Msg_u.append, now);
       break;
-    case MSG_APPENDED:
+    case MSG_APPEND_REPLY:
       raftlead_on_append_reply (raft, peer, &msg->Msg_u.appended, now);
       break;
     case MSG_SNAPSHOT:
       on_snapshot (raft, from, &msg->Msg_u.snapshot, now);
       break;
-    case MSG_BLANK:
+    case MSG_BOOTSTRAP:
       raftset_on_blank (raft, peer, &msg->Msg_u.blank, now);
       break;
-    case MSG_STAND:
+    case MSG_TIMEOUT_NOW:
       if (raft_is_voter (raft) && raft->role == ROLE_FOLLOWER && from == raft->leader)
         raftvote_start_election (raft, false, true, now);
       break;
--- a/src/raft.h
+++ b/src/raft.h
@@ -18,7 +18,7 @@
 {
   uint32_t self;
   const uint32_t *voters;  /* ids of all voters, including self; copied */
-  unsigned count;          /* 1 to FT_VOTERS_MOST */
+  unsigned count;          /* 1 to FT_VOTERS_MAX */
   uint64_t snapshot_after; /* entries applied before a snapshot is taken; 0: RAFT_SNAPSHOT_AFTER */
   bool discover;           /* voters lists only the first voter set; other instances may join the
                               set while it runs */
@@ -44,7 +44,7 @@
 void raft_transfer_leadership (Raft *raft);
 /* When raft_leading turns false if no more acknowledgements arrive; 0: not leading. */
 int64_t raft_lease_until (Raft *raft);
-/* Writes the ids of the newest voter set, at most FT_VOTERS_MOST. Returns how many. */
+/* Writes the ids of the newest voter set, at most FT_VOTERS_MAX. Returns how many. */
 unsigned raft_voters (const Raft *raft, uint32_t *ids);
 /* Appends an operation to the log and sets *index to its index. FT_NOT_LEADER; FT_FULL while too
  * many entries are uncommitted. */
--- a/src/raftint.h
+++ b/src/raftint.h
@@ -32,7 +32,7 @@
   int64_t acked_sent_at;      /* when the newest round that it acknowledged was sent */
   bool prevote_granted;       /* in the current pre-vote */
   uint64_t granted_term;      /* newest term in which it voted for this voter */
-  bool is_blank;              /* its last MSG_BLANK said that its log is empty */
+  bool is_blank;              /* its last MSG_BOOTSTRAP said that its log is empty */
   int64_t blank_at;           /* when that message arrived */
   uint64_t blank_incarnation; /* the incarnation that it named */
 } Peer;
@@ -52,7 +52,7 @@
 struct Raft
 {
   RaftConf conf;
-  uint32_t voters[FT_VOTERS_MOST];
+  uint32_t voters[FT_VOTERS_MAX];
   FtClock *clock;
   FtRandom *random;
   State *state;
@@ -112,7 +112,7 @@
 void raftlead_broadcast (Raft *raft, int64_t now);
 /* Commits the entries that a majority has synced. */
 void raftlead_advance_commit (Raft *raft);
-void raftlead_on_append_reply (Raft *raft, Peer *peer, const MsgAppended *appended, int64_t now);
+void raftlead_on_append_reply (Raft *raft, Peer *peer, const MsgAppendReply *appended, int64_t now);
 void raftlead_tick (Raft *raft, int64_t now);
 
 /* ---- Elections (raftvote.c) ---- */
@@ -122,7 +122,7 @@
  * asked this voter to start the election. */
 void raftvote_start_election (Raft *raft, bool pre, bool handed_over, int64_t now);
 void raftvote_on_request (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now);
-void raftvote_on_reply (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now);
+void raftvote_on_reply (Raft *raft, Peer *peer, const MsgVoteReply *voted, int64_t now);
 /* Called after a sync: this voter's vote for itself is durable now and may win the election. */
 void raftvote_on_synced (Raft *raft, int64_t now);
 
@@ -141,8 +141,8 @@
 void raftset_reconcile (Raft *raft, int64_t now);
 /* On the leader: removes a voter that has been silent for long if enough others are heard. */
 void raftset_remove_dead (Raft *raft, int64_t now);
-void raftset_on_blank (Raft *raft, Peer *peer, const MsgBlank *blank, int64_t now);
-/* Sends MSG_BLANK to all peers, and creates the first voter set if this voter may. */
+void raftset_on_blank (Raft *raft, Peer *peer, const MsgBootstrap *blank, int64_t now);
+/* Sends MSG_BOOTSTRAP to all peers, and creates the first voter set if this voter may. */
 void raftset_tick_blank (Raft *raft, int64_t now);
 
 #endif
--- a/src/raftlead.c
+++ b/src/raftlead.c
@@ -89,7 +89,7 @@
 majority_value (Raft *raft, uint64_t own_value, uint64_t (*peer_value) (const Peer *))
 {
   const RlogConfig *config = rlog_config (&raft->log);
-  uint64_t values[FT_VOTERS_MOST] = { 0 };
+  uint64_t values[FT_VOTERS_MAX] = { 0 };
 
   if (config->count == 0)
     return 0;
@@ -150,7 +150,7 @@
 }
 
 void
-raftlead_on_append_reply (Raft *raft, Peer *peer, const MsgAppended *appended, int64_t now)
+raftlead_on_append_reply (Raft *raft, Peer *peer, const MsgAppendReply *appended, int64_t now)
 {
   if (appended->term > raft->term)
     {
@@ -227,7 +227,7 @@
 void
 raft_transfer_leadership (Raft *raft)
 {
-  Msg msg = { .kind = MSG_STAND };
+  Msg msg = { .kind = MSG_TIMEOUT_NOW };
   Peer *best = NULL;
   int64_t now = ft_clock_now (raft->clock);
 
--- a/src/raftset.c
+++ b/src/raftset.c
@@ -7,8 +7,8 @@
  * then adds the new one, one change at a time. Replacing the pair in one step would be unsafe:
  * {A, B1, C} and {A, B2, C} have the majorities {B1, C} and {A, B2}, which share no member.
  *
- * Creation. A voter whose log is empty is blank, and tells the others so with MSG_BLANK. Only the
- * lowest configured id may create the voter set, and only if every other configured voter has
+ * Creation. A voter whose log is empty is blank, and tells the others so with MSG_BOOTSTRAP. Only
+ * the lowest configured id may create the voter set, and only if every other configured voter has
  * recently said that it is blank too. A blank voter adopts the set when the set names its
  * incarnation. A voter that lost its disk finds that the set exists and becomes a learner: it
  * receives the log but has no vote.
@@ -93,7 +93,7 @@
                        && now - peer->acked_sent_at < ELECTION_TIMEOUT_MIN;
       if (peer->incarnation == 0 || named == peer->incarnation || !caught_up)
         continue;
-      if (named == 0 && config.count < FT_VOTERS_MOST)
+      if (named == 0 && config.count < FT_VOTERS_MAX)
         config.voters[config.count++] = (MsgVoter){ peer->id, peer->incarnation };
       else
         for (unsigned j = 0; j < config.count; j++)
@@ -135,8 +135,8 @@
 send_blank (Raft *raft, uint32_t to, bool answer)
 {
   const RlogConfig *config = rlog_config (&raft->log);
-  Msg msg = { .kind = MSG_BLANK };
-  MsgBlank *out = &msg.Msg_u.blank;
+  Msg msg = { .kind = MSG_BOOTSTRAP };
+  MsgBootstrap *out = &msg.Msg_u.blank;
 
   out->incarnation = raft->incarnation;
   out->answer = answer;
@@ -164,7 +164,7 @@
 static void
 try_to_bootstrap (Raft *raft, int64_t now)
 {
-  MsgVoter voters[FT_VOTERS_MOST] = { { raft->conf.self, raft->incarnation } };
+  MsgVoter voters[FT_VOTERS_MAX] = { { raft->conf.self, raft->incarnation } };
   unsigned count = 1;
   bool self_listed = false;
 
@@ -187,7 +187,7 @@
 }
 
 void
-raftset_on_blank (Raft *raft, Peer *peer, const MsgBlank *blank, int64_t now)
+raftset_on_blank (Raft *raft, Peer *peer, const MsgBootstrap *blank, int64_t now)
 {
   bool log_empty = rlog_last (&raft->log) == 0;
 
--- a/src/raftvote.c
+++ b/src/raftvote.c
@@ -116,8 +116,8 @@
 void
 raftvote_on_request (Raft *raft, uint32_t from, const MsgVote *vote, int64_t now)
 {
-  Msg msg = { .kind = MSG_VOTED };
-  MsgVoted *out = &msg.Msg_u.voted;
+  Msg msg = { .kind = MSG_VOTE_REPLY };
+  MsgVoteReply *out = &msg.Msg_u.voted;
   bool granted = false;
 
   /* A voter that was disconnected and starts an election on its return must not replace a working
@@ -148,7 +148,7 @@
 }
 
 void
-raftvote_on_reply (Raft *raft, Peer *peer, const MsgVoted *voted, int64_t now)
+raftvote_on_reply (Raft *raft, Peer *peer, const MsgVoteReply *voted, int64_t now)
 {
   uint64_t expected_term = voted->pre ? raft->term + 1 : raft->term;
 
--- a/src/rlog.h
+++ b/src/rlog.h
@@ -16,7 +16,7 @@
 {
   uint64_t index; /* of the entry that names it */
   unsigned count;
-  MsgVoter voters[FT_VOTERS_MOST];
+  MsgVoter voters[FT_VOTERS_MAX];
 } RlogConfig;
 
 void rlog_init (Rlog *log);
--- a/src/rollout.c
+++ b/src/rollout.c
@@ -80,7 +80,7 @@
   const MsgRollout *known = find (account, service);
 
   if (known == NULL)
-    return account->all->len < FT_ROLLOUTS_MOST ? ROLL_NEW : ROLL_FULL;
+    return account->all->len < FT_ROLLOUTS_MAX ? ROLL_NEW : ROLL_FULL;
   if (strcmp (known->target, target) != 0)
     return roll_is_active (known) ? ROLL_BUSY : ROLL_NEW;
   if (known->phase == MSG_ROLLOUT_ROLLED_BACK)
@@ -104,7 +104,7 @@
   MsgRollout *rollout = find (account, start->service);
 
   if (start->after != (rollout ? rollout->number : 0)
-      || (rollout == NULL && account->all->len >= FT_ROLLOUTS_MOST)
+      || (rollout == NULL && account->all->len >= FT_ROLLOUTS_MAX)
       || (rollout && roll_is_active (rollout)))
     return false;
   if (rollout == NULL)
--- a/src/rollout.h
+++ b/src/rollout.h
@@ -16,7 +16,7 @@
   ROLL_NEW,   /* it begins a roll-out */
   ROLL_KNOWN, /* the one that is under way, or has ended lately */
   ROLL_BUSY,  /* another target's is under way */
-  ROLL_FULL   /* FT_ROLLOUTS_MOST services have one */
+  ROLL_FULL   /* FT_ROLLOUTS_MAX services have one */
 } RollOrder;
 
 /* An order carries no number, so it is known by service and target: while that roll-out is under
--- a/src/state.c
+++ b/src/state.c
@@ -35,8 +35,8 @@
   GHashTable *leases;              /* pool -> MsgLease * */
   GHashTable *claims;              /* key -> MsgClaimState * */
   GQueue ended_claims;             /* MsgClaimState *, in the order in which they ended */
-  GQueue refusals;                 /* MsgRecord *, oldest first */
-  GHashTable *refusals_by_id;      /* refusal id -> MsgRecord * */
+  GQueue refusals;                 /* MsgRefusalRecord *, oldest first */
+  GHashTable *refusals_by_id;      /* refusal id -> MsgRefusalRecord * */
   MsgVoters voters;
   MsgDocument document;
   Blame *blame;
@@ -52,7 +52,7 @@
 FREE_FUNC (MsgRevision, revision_free)
 FREE_FUNC (MsgLease, lease_free)
 FREE_FUNC (MsgClaimState, claim_free)
-FREE_FUNC (MsgRecord, record_free)
+FREE_FUNC (MsgRefusalRecord, record_free)
 
 static void
 clear_state (State *state)
@@ -71,7 +71,7 @@
   memset (&state->voters, 0, sizeof state->voters);
   codec_clear (CODEC (MsgDocument), &state->document);
   memset (&state->document, 0, sizeof state->document);
-  blame_restore (state->blame, &(MsgBlame){ 0 });
+  blame_restore (state->blame, &(MsgCrashTable){ 0 });
   roll_restore (state->rollouts, &(MsgRollouts){ 0 });
 }
 
@@ -350,16 +350,16 @@
 }
 
 static void
-store_refusal (State *state, const MsgRecord *record)
+store_refusal (State *state, const MsgRefusalRecord *record)
 {
   if (g_hash_table_contains (state->refusals_by_id, record->id))
     return;
-  MsgRecord *copy = copy_of (CODEC (MsgRecord), record, sizeof *record);
+  MsgRefusalRecord *copy = copy_of (CODEC (MsgRefusalRecord), record, sizeof *record);
   g_queue_push_tail (&state->refusals, copy);
   g_hash_table_insert (state->refusals_by_id, copy->id, copy);
   if (g_queue_get_length (&state->refusals) <= MAX_REFUSALS)
     return;
-  MsgRecord *oldest = g_queue_pop_head (&state->refusals);
+  MsgRefusalRecord *oldest = g_queue_pop_head (&state->refusals);
   g_hash_table_remove (state->refusals_by_id, oldest->id);
   record_free (oldest);
 }
@@ -412,10 +412,10 @@
       for (unsigned i = 0; i < op->MsgOp_u.refusals.records.records_len; i++)
         store_refusal (state, &op->MsgOp_u.refusals.records.records_val[i]);
       break;
-    case MSG_OP_ENDED:
+    case MSG_OP_CRASH:
       blame_ended (state->blame, index, &op->MsgOp_u.ended);
       break;
-    case MSG_OP_SURVIVED:
+    case MSG_OP_CRASH_RETRACTED:
       blame_survived (state->blame, index, &op->MsgOp_u.survived);
       break;
     case MSG_OP_CLEARED:
@@ -439,7 +439,7 @@
   GArray *history = g_array_new (FALSE, FALSE, sizeof (MsgRevision));
   GArray *leases = g_array_new (FALSE, FALSE, sizeof (MsgLease));
   GArray *claims = g_array_new (FALSE, FALSE, sizeof (MsgClaimState));
-  GArray *refusals = g_array_new (FALSE, FALSE, sizeof (MsgRecord));
+  GArray *refusals = g_array_new (FALSE, FALSE, sizeof (MsgRefusalRecord));
   GHashTableIter iter;
   void *data;
 
@@ -466,7 +466,7 @@
   out.claims.claims_len = claims->len;
   out.claims.claims_val = (MsgClaimState *) (void *) claims->data;
   out.refusals.refusals_len = refusals->len;
-  out.refusals.refusals_val = (MsgRecord *) (void *) refusals->data;
+  out.refusals.refusals_val = (MsgRefusalRecord *) (void *) refusals->data;
   out.voters.voters_len = state->voters.voters.voters_len;
   out.voters.voters_val = state->voters.voters.voters_val;
   out.document = state->document;
@@ -508,7 +508,7 @@
     }
   for (unsigned i = 0; i < in->refusals.refusals_len; i++)
     {
-      MsgRecord *record = MOVE (MsgRecord, &in->refusals.refusals_val[i]);
+      MsgRefusalRecord *record = MOVE (MsgRefusalRecord, &in->refusals.refusals_val[i]);
       g_queue_push_tail (&state->refusals, record);
       g_hash_table_insert (state->refusals_by_id, record->id, record);
     }
@@ -574,7 +574,7 @@
   free (in.leases.leases_val);
   free (in.claims.claims_val);
   free (in.refusals.refusals_val);
-  codec_clear (CODEC (MsgBlame), &in.blame);
+  codec_clear (CODEC (MsgCrashTable), &in.blame);
   codec_clear (CODEC (MsgRollouts), &in.rollouts);
   return FT_OK;
 }
@@ -676,7 +676,7 @@
   return false;
 }
 
-const MsgRecord *
+const MsgRefusalRecord *
 state_refusal (const State *state, const char *id)
 {
   return g_hash_table_lookup (state->refusals_by_id, id);
--- a/src/state.h
+++ b/src/state.h
@@ -52,7 +52,7 @@
 bool state_claim_of_other (const State *state, uint32_t entry, uint64_t incarnation,
                            uint64_t *other);
 /* Borrowed; NULL: no refusal with that id is kept. */
-const MsgRecord *state_refusal (const State *state, const char *id);
+const MsgRefusalRecord *state_refusal (const State *state, const char *id);
 /* The kept changes with their results, MsgRevision *, oldest first; borrowed. */
 const GPtrArray *state_history (const State *state);
 
--- a/src/susp.c
+++ b/src/susp.c
@@ -34,16 +34,16 @@
 }
 
 void
-susp_account (FtNode *node, const MsgBlame *blame)
+susp_account (FtNode *node, const MsgCrashTable *blame)
 {
   unsigned count = blame->suspects.suspects_len;
   QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
-  uint32_t *servers = g_new0 (uint32_t, MAX (count, 1) * FT_SUSPECT_SERVERS);
+  uint32_t *servers = g_new0 (uint32_t, MAX (count, 1) * FT_SUSPECT_CRASHES_MAX);
 
   for (unsigned i = 0; i < count; i++)
     {
       const MsgSuspect *from = &blame->suspects.suspects_val[i];
-      uint32_t *of_this = servers + (size_t) i * FT_SUSPECT_SERVERS;
+      uint32_t *of_this = servers + (size_t) i * FT_SUSPECT_CRASHES_MAX;
       for (unsigned j = 0; j < from->latest.latest_len; j++)
         of_this[j] = quar_server_digest (from->latest.latest_val[j].server);
       records[i] = (QuarRecord){ from->content, from->ends, of_this, from->latest.latest_len };
@@ -60,12 +60,12 @@
 void
 susp_ended (FtNode *node, const char *pool, const char *server, uint64_t content, int64_t wall_ms)
 {
-  MsgOp op = { .kind = MSG_OP_ENDED };
+  MsgOp op = { .kind = MSG_OP_CRASH };
   u_quad_t contents[] = { content };
-  char name[2 * FT_NAME_MOST + 1];
+  char name[2 * FT_NAME_MAX + 1];
 
   g_snprintf (name, sizeof name, "%s/%s", pool, server);
-  op.MsgOp_u.ended = (MsgEnded){ name, wall_ms, { 1, contents } };
+  op.MsgOp_u.ended = (MsgCrash){ name, wall_ms, { 1, contents } };
   quar_ended (node->quar, content, name, true);
   prop_submit (node, &op, true);
 }
--- a/test/blame.c
+++ b/test/blame.c
@@ -18,7 +18,7 @@
 ended_at (Blame *blame, const char *server, int64_t wall_ms, uint64_t content)
 {
   u_quad_t contents[] = { content };
-  MsgEnded ended = { (char *) server, wall_ms, { 1, contents } };
+  MsgCrash ended = { (char *) server, wall_ms, { 1, contents } };
 
   return blame_ended (blame, ++log_index, &ended);
 }
@@ -86,7 +86,7 @@
 survivors_end_is_struck (void)
 {
   Blame *blame = blame_new ();
-  MsgSurvived survived = { (char *) "s" };
+  MsgCrashRetracted survived = { (char *) "s" };
 
   ended (blame, "s", INNOCENT);
   ended (blame, "s", KILLER);
@@ -137,8 +137,8 @@
     }
   const MsgSuspect *suspect = blame_find (blame, KILLER);
   g_assert_cmpuint (suspect->ends, ==, 20);
-  g_assert_cmpuint (suspect->latest.latest_len, ==, FT_SUSPECT_SERVERS);
-  g_assert_cmpstr (suspect->latest.latest_val[FT_SUSPECT_SERVERS - 1].server, ==, "s19");
+  g_assert_cmpuint (suspect->latest.latest_len, ==, FT_SUSPECT_CRASHES_MAX);
+  g_assert_cmpstr (suspect->latest.latest_val[FT_SUSPECT_CRASHES_MAX - 1].server, ==, "s19");
   blame_free (blame);
 }
 
@@ -149,10 +149,10 @@
 {
   State *state = state_new (), *later = state_new ();
   u_quad_t contents[] = { KILLER, INNOCENT };
-  MsgOp op = { .kind = MSG_OP_ENDED };
+  MsgOp op = { .kind = MSG_OP_CRASH };
   StateResult verdict;
 
-  op.MsgOp_u.ended = (MsgEnded){ (char *) "s", 10, { 2, contents } };
+  op.MsgOp_u.ended = (MsgCrash){ (char *) "s", 10, { 2, contents } };
   state_apply (state, 1, &op, &verdict);
   GByteArray *bytes = state_capture (state);
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_OK);
--- a/test/found.c
+++ b/test/found.c
@@ -275,7 +275,7 @@
 static bool
 whole (const Voter *leader)
 {
-  uint32_t ids[FT_VOTERS_MOST];
+  uint32_t ids[FT_VOTERS_MAX];
   unsigned count, up = 0, there = 0;
 
   if (leader == NULL)
--- a/test/handover.c
+++ b/test/handover.c
@@ -171,7 +171,7 @@
 
   if (end->down || is_cut (end) || insts[end->near].dead)
     return true;
-  if (msg->kind == MESH_REPORTED && lost_reports > 0 && end->far >= entries)
+  if (msg->kind == MESH_REPORT_END && lost_reports > 0 && end->far >= entries)
     {
       lost_reports--;
       link_lost (end, FT_MS);
--- a/test/place.c
+++ b/test/place.c
@@ -381,7 +381,7 @@
     {
       if (msg.kind == MESH_ASK)
         g_string_append_c (order, msg.MeshMsg_u.ask.running ? 'r' : 'w');
-      else if (msg.kind == MESH_REPORTED)
+      else if (msg.kind == MESH_REPORT_END)
         g_string_append_printf (order, "%u", msg.MeshMsg_u.reported.running);
       codec_clear (CODEC (MeshMsg), &msg);
     }
@@ -395,7 +395,7 @@
 static void
 say_reported (Broker *broker, Scheduler *entry)
 {
-  MeshMsg msg = { .kind = MESH_REPORTED };
+  MeshMsg msg = { .kind = MESH_REPORT_END };
 
   broker_message (broker, &entry->peer, &msg);
 }
--- a/test/publish.c
+++ b/test/publish.c
@@ -446,15 +446,15 @@
 count_suspects (void)
 {
   GBytes *bytes = voter_blame (voter);
-  MsgBlame account = { 0 };
+  MsgCrashTable account = { 0 };
   gsize size;
 
   if (bytes == NULL)
     return 0;
   const void *data = g_bytes_get_data (bytes, &size);
-  g_assert_cmpint (codec_unpack (CODEC (MsgBlame), data, size, &account, NULL), ==, FT_OK);
+  g_assert_cmpint (codec_unpack (CODEC (MsgCrashTable), data, size, &account, NULL), ==, FT_OK);
   unsigned count = account.suspects.suspects_len;
-  codec_clear (CODEC (MsgBlame), &account);
+  codec_clear (CODEC (MsgCrashTable), &account);
   g_bytes_unref (bytes);
   return count;
 }
@@ -469,8 +469,8 @@
   {
     ENDS = 100
   };
-  MsgOp op = { .kind = MSG_OP_ENDED };
-  MsgEnded *ended = &op.MsgOp_u.ended;
+  MsgOp op = { .kind = MSG_OP_CRASH };
+  MsgCrash *ended = &op.MsgOp_u.ended;
   uint64_t content = 0;
 
   begin (0);
--- a/test/rollout.c
+++ b/test/rollout.c
@@ -113,7 +113,7 @@
 older_snapshot_has_none (void)
 {
   State *state = state_new (), *later = state_new ();
-  MsgOp op = { .kind = MSG_OP_ENDED };
+  MsgOp op = { .kind = MSG_OP_CRASH };
   uint64_t content = 77;
   StateResult verdict;
 
--- a/test/stall.c
+++ b/test/stall.c
@@ -12,7 +12,7 @@
 #include <string.h>
 
 #define VOTERS      3 /* with slow disks */
-#define VOTERS_MOST FT_VOTERS_MOST
+#define VOTERS_MOST FT_VOTERS_MAX
 #define FILES       3
 #define STEP        (5 * FT_MS)
 #define SEEDS       20
--- a/test/witness.c
+++ b/test/witness.c
@@ -116,7 +116,7 @@
 static bool
 voter_got_end (void)
 {
-  return got (&voter_peer, MESH_ENDED);
+  return got (&voter_peer, MESH_CRASH);
 }
 
 /* An address of this machine at which nobody listens. */
@@ -142,7 +142,7 @@
 static void
 known (uint64_t number)
 {
-  MeshMsg msg = { .kind = MESH_ENDED_KNOWN };
+  MeshMsg msg = { .kind = MESH_CRASH_ACK };
 
   msg.MeshMsg_u.known.number = number;
   g_assert_true (witness_message (witness, &voter_peer.peer, &msg));
@@ -189,7 +189,7 @@
 static void
 take_account (unsigned ends)
 {
-  MeshMsg msg = { .kind = MESH_BLAMED };
+  MeshMsg msg = { .kind = MESH_CRASH_TABLE };
   u_int servers[] = { quar_server_digest ("s1"), quar_server_digest ("s2") };
   MeshSuspect suspect = { CONTENT, ends, { 2, servers } };
 
@@ -222,7 +222,7 @@
   witness_voter (witness, &voter_peer.peer);
   take_account (2);
   witness_answered (witness, "s2", 1, loop_now (loop));
-  g_assert_true (got (&voter_peer, MESH_SURVIVED));
+  g_assert_true (got (&voter_peer, MESH_CRASH_RETRACTED));
   g_assert_cmpstr (last.MeshMsg_u.survived.server, ==, "s2");
   end_entry ();
 }
@@ -322,23 +322,23 @@
 static void
 tell_end (uint64_t number, const char *server)
 {
-  MeshMsg msg = { .kind = MESH_ENDED };
+  MeshMsg msg = { .kind = MESH_CRASH };
   u_quad_t contents[] = { CONTENT };
 
-  msg.MeshMsg_u.ended = (MeshEnded){ number, (char *) server, 0, { 1, contents } };
+  msg.MeshMsg_u.ended = (MeshCrash){ number, (char *) server, 0, { 1, contents } };
   g_assert_true (suspects_message (suspects, &entry_peer.peer, &msg));
 }
 
 static bool
 entry_got_known (void)
 {
-  return got (&entry_peer, MESH_ENDED_KNOWN);
+  return got (&entry_peer, MESH_CRASH_ACK);
 }
 
 static bool
 other_got_account (void)
 {
-  return got (&other_peer, MESH_BLAMED);
+  return got (&other_peer, MESH_CRASH_TABLE);
 }
 
 /* An entry tells of ends. Each is acknowledged once it is in the log. With the second one all
@@ -369,7 +369,7 @@
 static bool
 account_is_empty (void)
 {
-  return got (&other_peer, MESH_BLAMED) && last.MeshMsg_u.blamed.suspects.suspects_len == 0;
+  return got (&other_peer, MESH_CRASH_TABLE) && last.MeshMsg_u.blamed.suspects.suspects_len == 0;
 }
 
 /* Another entry has answered the content whole: all hear that nothing is said against it. */
