--- a/src/ent.c
+++ b/src/ent.c
@@ -172,7 +172,7 @@
 {
   EntPool *pool = find_pool (ent, name);
   Msg msg = { .kind = MSG_REPORT_END };
-  MsgReportEnd *told = &msg.Msg_u.report_end;
+  MsgReportEnd *end = &msg.Msg_u.report_end;
   GPtrArray *all = g_ptr_array_new ();
   EntReq *req;
 
@@ -180,10 +180,10 @@
   for (unsigned i = 0; i < all->len; i++) /* a decision may come at once and change the list */
     submit_request (ent, all->pdata[i], to);
   g_ptr_array_unref (all);
-  told->pool = pool->name;
-  told->epoch = epoch;
+  end->pool = pool->name;
+  end->epoch = epoch;
   if (to == ent->node->conf.id)
-    hold_on_report_end (ent->node->hold, to, told);
+    hold_on_report_end (ent->node->hold, to, end);
   else
     node_send (ent->node, to, &msg);
 }
--- a/src/hold.c
+++ b/src/hold.c
@@ -276,11 +276,11 @@
 }
 
 void
-hold_on_report_end (HoldTable *hold, uint32_t from, const MsgReportEnd *report)
+hold_on_report_end (HoldTable *hold, uint32_t from, const MsgReportEnd *end)
 {
-  HoldPool *held = find_pool (hold, report->pool);
+  HoldPool *held = find_pool (hold, end->pool);
 
-  if (held && held->epoch == report->epoch)
+  if (held && held->epoch == end->epoch)
     g_hash_table_remove (held->unreported, GUINT_TO_POINTER (from));
 }
 
--- a/src/node.c
+++ b/src/node.c
@@ -225,7 +225,8 @@
   if (node->cat && ft_cat_revision (node->cat) >= revision)
     return; /* an older revision never replaces a newer one */
   if (ft_cat_new (text, revision, &cat, NULL) != FT_OK)
-    return; /* the leader accepted it, so this release is too old for it; we stay not fresh */
+    return; /* valid for the leader: a newer release is needed here, and until then we are not fresh
+             */
   ft_cat_unref (node->cat);
   node->cat = cat;
   node->ops->catalogue (node->host, cat);
@@ -249,9 +250,9 @@
 }
 
 static void
-update_live (FtNode *node, const MsgHelloReply *fresh)
+update_live (FtNode *node, const MsgHelloReply *reply)
 {
-  GArray *live = copy_ids (fresh->live.live_val, fresh->live.live_len);
+  GArray *live = copy_ids (reply->live.live_val, reply->live.live_len);
 
   for (unsigned i = 0; i < node->live->len; i++)
     {
@@ -273,31 +274,31 @@
     }
   g_array_unref (node->live);
   node->live = live;
-  node->live_version = fresh->live_version;
+  node->live_version = reply->live_version;
 }
 
 static void
-on_fresh (FtNode *node, uint32_t from, const MsgHelloReply *fresh)
+on_hello_reply (FtNode *node, uint32_t from, const MsgHelloReply *reply)
 {
   unsigned kept = G_N_ELEMENTS (node->hello_sent_at);
 
-  if (fresh->number + kept <= node->hello_number || fresh->number > node->hello_number)
+  if (reply->number + kept <= node->hello_number || reply->number > node->hello_number)
     return; /* the time at which that hello was sent is no longer known */
   node->assumed_leader = from;
   node->answered_at = ft_clock_now (node->clock);
-  if (fresh->blame.blame_len > 0)
-    susp_account (node, &fresh->blame.blame_val[0]);
-  if (fresh->has_catalogue)
-    node_apply_catalogue (node, fresh->catalogue, fresh->revision);
-  if (!node->cat || ft_cat_revision (node->cat) < fresh->revision)
+  if (reply->blame.blame_len > 0)
+    susp_account (node, &reply->blame.blame_val[0]);
+  if (reply->has_catalogue)
+    node_apply_catalogue (node, reply->catalogue, reply->revision);
+  if (!node->cat || ft_cat_revision (node->cat) < reply->revision)
     return; /* freshness needs the newest catalogue itself */
-  if (fresh->has_live)
-    update_live (node, fresh);
-  if (fresh->has_leases)
-    node_apply_leases (node, fresh->leases.leases_val, fresh->leases.leases_len);
-  node->lease_epoch = MAX (node->lease_epoch, fresh->lease_epoch);
-  node->fresh_at = MAX (node->fresh_at, node->hello_sent_at[fresh->number % kept]);
-  if (fresh->has_catalogue)
+  if (reply->has_live)
+    update_live (node, reply);
+  if (reply->has_leases)
+    node_apply_leases (node, reply->leases.leases_val, reply->leases.leases_len);
+  node->lease_epoch = MAX (node->lease_epoch, reply->lease_epoch);
+  node->fresh_at = MAX (node->fresh_at, node->hello_sent_at[reply->number % kept]);
+  if (reply->has_catalogue)
     /* The change is in force only when the leader knows that every instance has it. */
     send_hello (node, node->answered_at);
 }
@@ -385,13 +386,13 @@
 }
 
 static void
-on_report_request (FtNode *node, uint32_t from, const MsgReportRequest *tell)
+on_report_request (FtNode *node, uint32_t from, const MsgReportRequest *request)
 {
-  if (!ent_set_holder (node->ent, tell->pool, from, tell->epoch))
+  if (!ent_set_holder (node->ent, request->pool, from, request->epoch))
     return;
   if (from != node->conf.id)
-    hold_stop_pool (node->hold, tell->pool);
-  ent_report_requests (node->ent, tell->pool, from, tell->epoch);
+    hold_stop_pool (node->hold, request->pool);
+  ent_report_requests (node->ent, request->pool, from, request->epoch);
 }
 
 static void
@@ -404,7 +405,7 @@
         lead_on_hello (node->lead, from, &msg->Msg_u.hello);
       break;
     case MSG_HELLO_REPLY:
-      on_fresh (node, from, &msg->Msg_u.hello_reply);
+      on_hello_reply (node, from, &msg->Msg_u.hello_reply);
       break;
     case MSG_PROPOSE:
       if (node->lead)
--- a/src/node.h
+++ b/src/node.h
@@ -129,7 +129,7 @@
 void hold_start_pool (HoldTable *hold, const char *pool, uint64_t epoch);
 void hold_stop_pool (HoldTable *hold, const char *pool);
 void hold_on_ask (HoldTable *hold, uint32_t from, const MsgAsk *ask);
-void hold_on_report_end (HoldTable *hold, uint32_t from, const MsgReportEnd *told);
+void hold_on_report_end (HoldTable *hold, uint32_t from, const MsgReportEnd *end);
 void hold_on_progress (HoldTable *hold, uint32_t from, const MsgProgress *progress);
 void hold_on_done (HoldTable *hold, uint32_t from, const MsgDone *done);
 /* Drops all requests of an entry that is dead or was reset. */
@@ -142,7 +142,7 @@
 
 /* susp.c */
 /* Applies the voters' crash table. */
-void susp_account (FtNode *node, const MsgCrashTable *blame);
+void susp_account (FtNode *node, const MsgCrashTable *table);
 /* The server crashed while it ran a request of this instance that has the content. */
 void susp_ended (FtNode *node, const char *pool, const char *server, uint64_t content,
                  int64_t wall_ms);
@@ -156,7 +156,7 @@
 void lead_on_hello (Leader *lead, uint32_t from, const MsgHello *hello);
 void lead_on_proposal (Leader *lead, uint32_t from, const MsgPropose *propose);
 void lead_on_applied (Leader *lead, uint64_t index, const StateResult *verdict);
-void lead_on_query (Leader *lead, uint32_t from, const MsgQuery *find);
+void lead_on_query (Leader *lead, uint32_t from, const MsgQuery *query);
 void lead_tick (Leader *lead, int64_t now);
 
 #endif
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -32,7 +32,7 @@
 try "a voter counts under any incarnation" "src/raft.c src/raftvote.c" 's/peer->granted && peer->incarnation == config->voters\[i\].incarnation/peer->granted/; s/peer && peer->incarnation == voter->incarnation/peer != NULL/' &
 try "an old log may lead" src/raftvote.c 's/^  return vote->last_term > last_term/  return true || vote->last_term > last_term/' &
 try "a lease moves at once" src/lead.c 's/bool grace_over = .*LEASE_TAKEOVER_DELAY;/bool grace_over = true;/; s/now - instance->heard_at < LEASE_TAKEOVER_DELAY/now - instance->heard_at < LEASE_TAKEOVER_DELAY \/ 4/' &
-try "freshness counts from the answer" src/node.c 's/node->fresh_at = MAX \(node->fresh_at, node->hello_sent_at\[fresh->number % kept\]\);/node->fresh_at = node->answered_at;/' &
+try "freshness counts from the answer" src/node.c 's/node->fresh_at = MAX \(node->fresh_at, node->hello_sent_at\[reply->number % kept\]\);/node->fresh_at = node->answered_at;/' &
 try "a resent change is judged again" src/state.c 's/^  if \(known\)$/  if (known \&\& known->revision == 0)/' &
 try "the first claim does not win" src/state.c 's/same_owner \(&known->claim, claim\) \? FT_OK : FT_CONFLICT/FT_OK/' &
 # The same log where voters are found while it runs. Not here: a learner is named only when it has
