--- a/src/find.c
+++ b/src/find.c
@@ -34,7 +34,7 @@
   msg.Msg_u.query.id = query->id;
   if (query->kind != FT_FIND_ANSWER)
     {
-      query->send_at = now + RESEND_INTERVAL;
+      query->send_at = now + NODE_RESEND_INTERVAL;
       node_send (node, node->assumed_leader, &msg);
       return;
     }
--- a/src/node.h
+++ b/src/node.h
@@ -30,7 +30,7 @@
 /* Greatest age of the leader's list of live instances. */
 #define LIVE_REFRESH_INTERVAL (100 * FT_MS)
 #define REPORT_TIMEOUT        (600 * FT_MS) /* a new scheduler waits this long for entries' reports */
-#define RESEND_INTERVAL       (400 * FT_MS) /* of proposals and queries without an answer */
+#define NODE_RESEND_INTERVAL  (400 * FT_MS) /* of proposals and queries without an answer */
 #define PROPOSAL_TIMEOUT      (8 * FT_SECOND)
 #define QUERY_TIMEOUT         (1500 * FT_MS)
 #define REFUSALS_INTERVAL     FT_SECOND /* between proposals that record refusals */
--- a/src/prop.c
+++ b/src/prop.c
@@ -1,8 +1,8 @@
 /* prop.c - operations that this instance proposes to the replicated log.
  *
- * A proposal is sent to the voter that is assumed to lead, and again every RESEND_INTERVAL until
- * there is a verdict or PROPOSAL_TIMEOUT has passed. A proposal that reaches the log twice has no
- * further effect: changes are identified by their id, claims by key and request, refusals by
+ * A proposal is sent to the voter that is assumed to lead, and again every NODE_RESEND_INTERVAL
+ * until there is a verdict or PROPOSAL_TIMEOUT has passed. A proposal that reaches the log twice
+ * has no further effect: changes are identified by their id, claims by key and request, refusals by
  * request, crashes by server and time.
  */
 #include "node.h"
@@ -33,7 +33,7 @@
 {
   Msg msg = { .kind = MSG_PROPOSE };
 
-  proposal->send_at = now + RESEND_INTERVAL;
+  proposal->send_at = now + NODE_RESEND_INTERVAL;
   msg.Msg_u.propose.number = proposal->number;
   msg.Msg_u.propose.op.op_len = proposal->op->len;
   msg.Msg_u.propose.op.op_val = (char *) proposal->op->data;
