--- a/bench/bench.c
+++ b/bench/bench.c
@@ -97,7 +97,7 @@
 holder_of (World *world)
 {
   for (unsigned i = 1; i <= world->profile->instances; i++)
-    if (sim_node (world->sim, i) && ft_node_holds (sim_node (world->sim, i), "p0"))
+    if (sim_node (world->sim, i) && ft_node_holds_lease (sim_node (world->sim, i), "p0"))
       return i;
   return 0;
 }
--- a/bench/cost.c
+++ b/bench/cost.c
@@ -66,18 +66,18 @@
   g_snprintf (org, sizeof org, "o%u", (unsigned) (number % orgs));
   for (unsigned i = 0; i < 8; i++)
     blocks[i] = i < 4 ? (number % 50) << 8 | i : number << 16 | i | 1u << 15;
-  FtAsk request = { .entry = 1,
-                    .request = number,
-                    .tier = 1 + (unsigned) (number % FT_TIERS),
-                    .org = org,
-                    .class_name = "c",
-                    .weight = 1,
-                    .prompt_tokens = 600,
-                    .first_in = 3600 * FT_SECOND,
-                    .due_in = 7200 * FT_SECOND,
-                    .blocks = blocks,
-                    .block_count = 8 };
-  ft_pool_ask (pool, &request);
+  FtPoolRequest request = { .entry = 1,
+                            .request = number,
+                            .tier = 1 + (unsigned) (number % FT_TIERS),
+                            .org = org,
+                            .class_name = "c",
+                            .weight = 1,
+                            .prompt_tokens = 600,
+                            .first_token_in_us = 3600 * FT_SECOND,
+                            .deadline_in_us = 7200 * FT_SECOND,
+                            .blocks = blocks,
+                            .block_count = 8 };
+  ft_pool_submit (pool, &request);
 }
 
 static void
@@ -94,7 +94,7 @@
   for (unsigned i = 0; i < servers; i++)
     {
       g_snprintf (name, sizeof name, "s%u", i);
-      ft_pool_server (pool, name, 1, FT_SERVER_LIVE);
+      ft_pool_update_server (pool, name, 1, FT_SERVER_LIVE);
     }
   while (number < servers * 8 + queued)
     ask (pool, number++, orgs);
@@ -112,7 +112,7 @@
       ft_pool_progress (pool, 1, done, 1);
       clock.now += 50 * FT_MS;
       ft_pool_progress (pool, 1, done, 4);
-      ft_pool_done (pool, 1, done, FT_DONE_WHOLE, 5);
+      ft_pool_end_request (pool, 1, done, FT_OUTCOME_COMPLETE, 5);
     }
   double ns = now_ns () - started;
   ft_pool_stats (pool, &stats);
@@ -127,9 +127,9 @@
 
 static void
 on_sched_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
-                int64_t rest_most)
+                int64_t max_idle_us)
 {
-  (void) rest_most;
+  (void) max_idle_us;
   (void) host;
   (void) owner;
   (void) org;
@@ -197,10 +197,10 @@
   unsigned rounds = REQUESTS / 10;
 
   granted_head = granted_tail = 0;
-  sched_service (sched, "s", &conf);
+  sched_set_service (sched, "s", &conf);
   for (unsigned i = 0; i < servers; i++)
     list[i] = (SchedServer){ g_strdup_printf ("s%u", i), "s", "d", 4, false, 0, NULL };
-  sched_list (sched, list, servers);
+  sched_set_servers (sched, list, servers);
   while (number <= servers * 4 + waiting)
     sched_ask_one (sched, &clock, number++);
   double started = now_ns ();
@@ -210,7 +210,7 @@
           = { .outcome = SCHED_OK, .event_us = 24 * FT_MS, .answer_us = 600 * FT_MS };
       uint64_t request = granted[granted_tail++ & (G_N_ELEMENTS (granted) - 1)];
       clock.now += FT_SECOND / 760;
-      sched_first (sched, 1 + request % 64, request, 100 * FT_MS);
+      sched_first_event (sched, 1 + request % 64, request, 100 * FT_MS);
       sched_done (sched, 1 + request % 64, request, &result);
       sched_ask_one (sched, &clock, number++);
       if (i % 15 == 0)
--- a/bench/curves.c
+++ b/bench/curves.c
@@ -103,7 +103,7 @@
 }
 
 static Outcome
-play (const Case *one, const Size *size, JudgeWay way, guint32 seed)
+play (const Case *one, const Size *size, JudgeMethod way, guint32 seed)
 {
   CurveClock clock = { { &clock_ops }, 0 };
   GRand *rand = g_rand_new_with_seed (seed);
@@ -111,10 +111,10 @@
   Outcome out = { 0 };
   double at = 0, looked_at = 0, moved_at = TRIAL_S, end = TRIAL_S + MOVED_S;
 
-  judge_servers (judge, size->servers);
+  judge_set_servers (judge, size->servers);
   while (at < end && !out.condemned)
     {
-      JudgeFacts facts;
+      JudgeResult facts;
       at += 1 / size->rate;
       bool moved = at >= moved_at;
       bool ordered = moved || g_rand_double (rand) < SHARE;
@@ -124,12 +124,12 @@
       bool bad = g_rand_double (rand) < bad_share (one, ordered, route, server, at, moved);
       JudgeAnswer answer = { route, ordered ? server : 1000 + server, ordered, bad };
       clock.now = (int64_t) (at * 1e6);
-      judge_answer (judge, &answer);
+      judge_add_answer (judge, &answer);
       out.exposed += ordered;
       if (at - looked_at < LOOKS_S)
         continue;
       looked_at = at;
-      judge_facts (judge, &facts);
+      judge_get_result (judge, &facts);
       out.condemned = facts.suspicion >= 1;
     }
   out.at_s = at;
@@ -143,7 +143,7 @@
 {
   static const char *const ways[] = { "sequential", "windows" };
 
-  for (JudgeWay way = JUDGE_SEQUENTIAL; way <= JUDGE_WINDOWS; way++)
+  for (JudgeMethod way = JUDGE_CUSUM; way <= JUDGE_WINDOW; way++)
     {
       unsigned condemned = 0, in_trial = 0;
       double exposed = 0, at = 0;
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -139,7 +139,7 @@
 
   for (unsigned i = 1; i <= world->profile->instances; i++)
     if (sim_node (world->sim, i))
-      ft_node_server (sim_node (world->sim, i), engine->pool, engine->name, 1, state);
+      ft_node_update_server (sim_node (world->sim, i), engine->pool, engine->name, 1, state);
 }
 
 static void
@@ -148,7 +148,7 @@
   char *text = make_catalogue (world);
 
   sim_run (world->sim, 3 * FT_SECOND);
-  ft_node_change (sim_node (world->sim, 1), "first", "bench", 0, text, 1);
+  ft_node_propose_catalogue (sim_node (world->sim, 1), "first", "bench", 0, text, 1);
   sim_flush (world->sim, 1);
   g_free (text);
   for (unsigned i = 0; i < world->engine_count; i++)
@@ -166,7 +166,7 @@
     {
       unsigned at = 1 + (unsigned) ((number + i) % count);
       FtNode *node = sim_node (world->sim, at);
-      if (node && !sim_frozen (world->sim, at) && ft_node_fresh (node))
+      if (node && !sim_frozen (world->sim, at) && ft_node_is_fresh (node))
         return at;
     }
   return 0;
@@ -186,17 +186,17 @@
   job->entry_life = sim_life (world->sim, job->entry);
   g_snprintf (org, sizeof org, "o%u", job->org);
   g_snprintf (pool, sizeof pool, "p%u", (unsigned) (job->number % world->profile->pools));
-  FtNodeAsk ask = { .request = job->number,
-                    .pool = pool,
-                    .org = org,
-                    .class_name = job->class_name,
-                    .prompt_tokens = job->prompt,
-                    .first_in = job->first_by - job->arrived,
-                    .due_in = job->due - job->arrived,
-                    .blocks = job->blocks,
-                    .block_count = job->block_count };
+  FtNodeRequest ask = { .request = job->number,
+                        .pool = pool,
+                        .org = org,
+                        .class_name = job->class_name,
+                        .prompt_tokens = job->prompt,
+                        .first_token_in_us = job->first_by - job->arrived,
+                        .deadline_in_us = job->due - job->arrived,
+                        .blocks = job->blocks,
+                        .block_count = job->block_count };
   int64_t begun = sim_cpu_begin ();
-  ft_node_ask (sim_node (world->sim, job->entry), &ask);
+  ft_node_submit (sim_node (world->sim, job->entry), &ask);
   sim_flush (world->sim, job->entry);
   sim_cpu_end (world->sim, begun);
 }
@@ -217,8 +217,9 @@
   if (!entry_alive (world, job))
     return;
   int64_t begun = sim_cpu_begin ();
-  ft_node_done (sim_node (world->sim, job->entry), job->number,
-                job->state == JOB_WHOLE ? FT_DONE_WHOLE : FT_DONE_FAILED, job->produced);
+  ft_node_end_request (sim_node (world->sim, job->entry), job->number,
+                       job->state == JOB_WHOLE ? FT_OUTCOME_COMPLETE : FT_OUTCOME_FAILED,
+                       job->produced);
   sim_cpu_end (world->sim, begun);
 }
 
--- a/bench/sim.c
+++ b/bench/sim.c
@@ -489,7 +489,7 @@
   Instance *self = host;
 
   (void) id;
-  ft_node_answer (self->node, from, number, FT_NOT_FOUND, "", 0);
+  ft_node_reply_query (self->node, from, number, FT_NOT_FOUND, "", 0);
 }
 
 static const FtNodeOps node_ops = { on_send,    on_grant,     on_refuse,   on_pause, on_resume,
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -67,7 +67,7 @@
   char *text = catalogue_of (orgs, 0);
 
   sim_run (sim, 3 * FT_SECOND);
-  ft_node_change (sim_node (sim, 1), "first", "bench", 0, text, 1);
+  ft_node_propose_catalogue (sim_node (sim, 1), "first", "bench", 0, text, 1);
   sim_flush (sim, 1);
   sim_run (sim, 8 * FT_SECOND);
   g_free (text);
@@ -115,7 +115,7 @@
       sent = sent_at_rest (sim, counts[i]);
       entry.y[i] = (double) sent.bytes / REST_S;
       char *text = catalogue_of (5, 1);
-      ft_node_change (sim_node (sim, 1), "second", "bench", 1, text, 1);
+      ft_node_propose_catalogue (sim_node (sim, 1), "second", "bench", 1, text, 1);
       sim_flush (sim, 1);
       g_free (text);
       int64_t begun = sim_now (sim);
@@ -152,7 +152,7 @@
       text.x[i] = sent.x[i] = orgs[i];
       text.y[i] = (double) strlen (next);
       uint64_t before = sim_traffic (sim, leader).bytes;
-      ft_node_change (sim_node (sim, leader), "second", "bench", 1, next, 1);
+      ft_node_propose_catalogue (sim_node (sim, leader), "second", "bench", 1, next, 1);
       sim_flush (sim, leader);
       sim_run (sim, sim_now (sim) + 3 * FT_SECOND);
       sent.y[i] = (double) (sim_traffic (sim, leader).bytes - before);
@@ -237,21 +237,21 @@
   for (unsigned i = 0; i < servers; i++)
     {
       g_snprintf (name, sizeof name, "s%u", i);
-      ft_pool_server (pool, name, 1, FT_SERVER_LIVE);
+      ft_pool_update_server (pool, name, 1, FT_SERVER_LIVE);
     }
   for (unsigned i = 0; i < MAX (requests, orgs); i++)
     {
       g_snprintf (name, sizeof name, "o%u", i % orgs);
-      FtAsk ask = { .entry = 1,
-                    .request = i + 1,
-                    .tier = 3,
-                    .org = name,
-                    .class_name = "c",
-                    .weight = 1,
-                    .prompt_tokens = 100,
-                    .first_in = 3600 * FT_SECOND,
-                    .due_in = 3600 * FT_SECOND };
-      ft_pool_ask (pool, &ask);
+      FtPoolRequest ask = { .entry = 1,
+                            .request = i + 1,
+                            .tier = 3,
+                            .org = name,
+                            .class_name = "c",
+                            .weight = 1,
+                            .prompt_tokens = 100,
+                            .first_token_in_us = 3600 * FT_SECOND,
+                            .deadline_in_us = 3600 * FT_SECOND };
+      ft_pool_submit (pool, &ask);
     }
   ft_pool_stats (pool, &stats);
   ft_pool_free (pool);
--- a/bench/world.c
+++ b/bench/world.c
@@ -137,7 +137,7 @@
 static void
 set_blocks (World *world, Job *job, const ClassModel *class)
 {
-  unsigned total = MIN (job->prompt / FT_BLOCK_TOKENS, FT_BLOCKS_MOST);
+  unsigned total = MIN (job->prompt / FT_BLOCK_TOKENS, FT_BLOCKS_MAX);
   double shared = world->only_shared ? 0.85 : class->shared;
   unsigned common = (unsigned) (total * shared);
   /* Twenty different beginnings a class, the first of them the most used. */
--- a/bench/world.h
+++ b/bench/world.h
@@ -27,7 +27,7 @@
   uint64_t number;
   unsigned tier, org, class_index, prompt, out, produced, told, dispatches, entry, entry_life;
   char class_name[32];
-  uint64_t blocks[FT_BLOCKS_MOST];
+  uint64_t blocks[FT_BLOCKS_MAX];
   unsigned block_count;
   int64_t arrived, first_by, due, first_at, last_at, told_at, ended_at, granted_at;
   double prefill_left, prefill_done;
--- a/daemon/back.c
+++ b/daemon/back.c
@@ -113,12 +113,12 @@
   call->finished = true;
   call->failure = failure;
   call->attempt++;
-  ft_req_move (call->req, whole ? FT_REQ_ANSWERED : FT_REQ_UNKNOWN);
-  unsigned tokens = ft_req_next (call->req);
+  ft_req_set_state (call->req, whole ? FT_REQ_ANSWERED : FT_REQ_UNKNOWN);
+  unsigned tokens = ft_req_next_piece (call->req);
   pthread_cond_broadcast (&call->cond);
   pthread_mutex_unlock (&call->lock);
   core_claim_end (back->core, call, whole ? FT_CLAIM_ANSWERED : FT_CLAIM_UNKNOWN);
-  core_done (back->core, call, whole ? FT_DONE_WHOLE : FT_DONE_FAILED, tokens);
+  core_done (back->core, call, whole ? FT_OUTCOME_COMPLETE : FT_OUTCOME_FAILED, tokens);
   count_end (call, whole);
   span_end (call, "backend", call->decided, now, call->server);
   span_end (call, "request", call->started, now, ft_reason_info (failure)->code);
@@ -133,12 +133,12 @@
 note_piece (Reader *reader, int64_t now)
 {
   Call *call = reader->call;
-  unsigned tokens = ft_req_next (call->req);
+  unsigned tokens = ft_req_next_piece (call->req);
 
   if (call->first_at == 0)
     {
       call->first_at = now;
-      ft_req_move (call->req, FT_REQ_STREAMING);
+      ft_req_set_state (call->req, FT_REQ_STREAMING);
       stat_sample (STAT_FIRST_TOKEN, call->tier, now - call->started);
     }
   else
@@ -165,17 +165,18 @@
   if (current && strcmp (data, "[DONE]") == 0)
     {
       if (id >= 0 && id <= G_MAXINT)
-        ft_req_end (call->req, (unsigned) id);
-      whole = ft_req_whole (call->req);
+        ft_req_set_piece_count (call->req, (unsigned) id);
+      whole = ft_req_is_complete (call->req);
       current = false;
     }
   else if (current && id >= 0 && id <= G_MAXINT)
     {
       char *line = g_strdup_printf ("id: %" G_GINT64_FORMAT "\ndata: %s\n\n", id, data);
-      unsigned before = ft_req_next (call->req);
-      if (ft_req_piece (call->req, (unsigned) id, line, strlen (line)) == FT_OK)
+      unsigned before = ft_req_next_piece (call->req);
+      if (ft_req_add_piece (call->req, (unsigned) id, line, strlen (line)) == FT_OK)
         {
-          if (ft_req_next (call->req) == before + 1) /* engines send in order on one connection */
+          if (ft_req_next_piece (call->req)
+              == before + 1) /* engines send in order on one connection */
             body_append_delta (data, call->content);
           note_piece (reader, core_now (reader->back->core));
           pthread_cond_broadcast (&call->cond);
@@ -253,9 +254,9 @@
   if ((status != 503 && status != 429) || text == NULL
       || !plat_lifetime (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
     return;
-  bool readable = notice_read_backoff (text, &notice.backoff_us);
+  bool readable = notice_parse_backoff (text, &notice.backoff_us);
   pthread_mutex_lock (&back->notices_lock);
-  bool news = notices_take (back->notices, lifetime, &notice) == NOTICES_NEW;
+  bool news = notices_record (back->notices, lifetime, &notice) == NOTICES_CHANGED;
   pthread_mutex_unlock (&back->notices_lock);
   if (news)
     dlog (DLOG_INFO, call->id, "server-notice", "server %s of %s wants nothing for %d ms%s",
@@ -272,7 +273,7 @@
   if (!plat_lifetime (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
     return false;
   pthread_mutex_lock (&back->notices_lock);
-  bool forbidden = notices_forbid (back->notices, lifetime, &notice) != NULL;
+  bool forbidden = notices_block_reason (back->notices, lifetime, &notice) != NULL;
   pthread_mutex_unlock (&back->notices_lock);
   if (forbidden)
     dlog (DLOG_INFO, call->id, "grant-returned", "server %s of %s wants nothing for %d ms",
@@ -413,7 +414,7 @@
 
   sse_init (&reader.sse);
   pthread_mutex_lock (&call->lock);
-  unsigned next = ft_req_next (call->req);
+  unsigned next = ft_req_next_piece (call->req);
   pthread_mutex_unlock (&call->lock);
   if (work->kind == WORK_SEND)
     {
@@ -459,8 +460,8 @@
       pthread_mutex_lock (&call->lock);
       call->answer_status = status;
       call->answer_type = g_steal_pointer (&type);
-      ft_req_piece (call->req, 0, reader.plain->str, reader.plain->len);
-      ft_req_end (call->req, 1);
+      ft_req_add_piece (call->req, 0, reader.plain->str, reader.plain->len);
+      ft_req_set_piece_count (call->req, 1);
       note_piece (&reader, now);
       pthread_mutex_unlock (&call->lock);
       finish (back, call, FT_REASON_NONE);
@@ -523,7 +524,7 @@
       return FT_NOT_FOUND;
     }
   pthread_mutex_lock (&call->lock);
-  FtStatus status = ft_req_move (call->req, FT_REQ_DISPATCHED);
+  FtStatus status = ft_req_set_state (call->req, FT_REQ_DISPATCHED);
   call->back = back;
   call->last_at = core_now (back->core);
   unsigned attempt = ++call->attempt;
@@ -646,7 +647,8 @@
     }
   else
     {
-      char *whole = body_whole (call->id, call->pool, call->content->str, ft_req_next (call->req));
+      char *whole
+          = body_whole (call->id, call->pool, call->content->str, ft_req_next_piece (call->req));
       *body = body_pack_answer (200, "application/json", call->org, whole, strlen (whole));
       g_free (whole);
       status = FT_OK;
--- a/daemon/call.h
+++ b/daemon/call.h
@@ -28,7 +28,7 @@
   char *body;
   size_t body_size;
   unsigned prompt_tokens, most_tokens, block_count;
-  uint64_t blocks[FT_BLOCKS_MOST];
+  uint64_t blocks[FT_BLOCKS_MAX];
   int64_t started, first_by, due;
   uint64_t revision; /* of the catalogue that it was taken under */
   char *claim_key;   /* NULL: idempotent */
--- a/daemon/core.h
+++ b/daemon/core.h
@@ -31,7 +31,7 @@
 void core_ask (Core *core, Call *call);
 void core_ask_again (Core *core, Call *call);
 void core_progress (Core *core, Call *call, unsigned tokens);
-void core_done (Core *core, Call *call, FtDone how, unsigned tokens);
+void core_done (Core *core, Call *call, FtOutcome how, unsigned tokens);
 /* The process of the call's backend server has ended while it ran the call. Before core_done. */
 void core_server_ended (Core *core, Call *call);
 void core_note_refusal (Core *core, const Call *call);
@@ -43,9 +43,9 @@
 /* Lets a content under which servers ended go. */
 FtStatus core_release (Core *core, uint64_t content);
 /* Does not block. */
-void core_claim_end (Core *core, const Call *call, FtClaimEnd end);
+void core_claim_end (Core *core, const Call *call, FtClaimOutcome end);
 /* *body is the caller's to unref. */
-FtStatus core_find (Core *core, FtFindKind kind, const char *id, GBytes **body);
+FtStatus core_find (Core *core, FtQueryKind kind, const char *id, GBytes **body);
 
 void core_status (Core *core, FtNodeStatus *status);
 /* Figures of the pools held here, in the text format for metrics; g_free. */
--- a/daemon/oper.c
+++ b/daemon/oper.c
@@ -105,7 +105,7 @@
 }
 
 static void
-find (Oper *oper, struct _u_response *response, FtFindKind kind, const char *id)
+find (Oper *oper, struct _u_response *response, FtQueryKind kind, const char *id)
 {
   GBytes *body = NULL;
   FtStatus status = core_find (oper->core, kind, id, &body);
@@ -129,13 +129,13 @@
 {
   const char *most = u_map_get (request->map_url, "most");
 
-  find (oper, response, FT_FIND_HISTORY, most ? most : "");
+  find (oper, response, FT_QUERY_HISTORY, most ? most : "");
 }
 
 static void
 refusal (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  find (oper, response, FT_FIND_REFUSAL, http_url_value (request, "id"));
+  find (oper, response, FT_QUERY_REFUSAL, http_url_value (request, "id"));
 }
 
 static void
@@ -145,7 +145,7 @@
 
   (void) request;
   g_snprintf (now, sizeof now, "%" G_GINT64_FORMAT, core_wall_ms ());
-  find (oper, response, FT_FIND_SUSPECTS, now);
+  find (oper, response, FT_QUERY_SUSPECTS, now);
 }
 
 static void
@@ -167,7 +167,7 @@
 static void
 in_force (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  find (oper, response, FT_FIND_IN_FORCE, http_url_value (request, "revision"));
+  find (oper, response, FT_QUERY_IN_FORCE, http_url_value (request, "revision"));
 }
 
 static void
--- a/daemon/plat.c
+++ b/daemon/plat.c
@@ -125,7 +125,7 @@
 {
   Change *change = data;
 
-  ft_node_server (node, change->pool, change->name, change->incarnation, change->state);
+  ft_node_update_server (node, change->pool, change->name, change->incarnation, change->state);
   g_free (change->pool);
   g_free (change->name);
   g_free (change);
--- a/node/broker.c
+++ b/node/broker.c
@@ -13,7 +13,7 @@
 {
   uint64_t request;
   char *server; /* NULL: refused */
-  int64_t rest_most;
+  int64_t max_idle_us;
   SchedRefusal refusal;
 } Verdict;
 
@@ -37,7 +37,7 @@
 {
   Grant grant = { .server = { .id = verdict->server, .name = verdict->server, .leaving = true },
                   .listed_at = loop_now (broker->loop),
-                  .rest_most = verdict->rest_most };
+                  .max_idle_us = verdict->max_idle_us };
   const SeamServer *server = find (broker, verdict->server);
 
   if (server)
@@ -68,7 +68,7 @@
 static u_int
 fill_of (const Broker *broker, const char *org)
 {
-  return (u_int) (1000 * quota_full (broker->quota, org));
+  return (u_int) (1000 * quota_fill_level (broker->quota, org));
 }
 
 /* Failure: everything has started, and hundreds of entries have no list yet. Symptom: they can send
@@ -92,22 +92,22 @@
 
 static void
 on_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
-          int64_t rest_most)
+          int64_t max_idle_us)
 {
   Broker *broker = host;
   Asker *asker = g_hash_table_lookup (broker->askers, &owner);
   MeshMsg msg = { .kind = MESH_GRANT };
 
-  count_up (COUNT_GRANTS);
+  count_inc (COUNT_GRANTS);
   if (owner == BROKER_SELF)
     deliver_soon (
         broker,
-        (Verdict){ .request = request, .server = g_strdup (server), .rest_most = rest_most });
+        (Verdict){ .request = request, .server = g_strdup (server), .max_idle_us = max_idle_us });
   if (asker == NULL)
     return;
   asker->waiting -= asker->waiting > 0;
   put_grant (broker, request, server, &msg.MeshMsg_u.grant);
-  msg.MeshMsg_u.grant.max_idle_ms = (u_int) (rest_most / FT_MS);
+  msg.MeshMsg_u.grant.max_idle_ms = (u_int) (max_idle_us / FT_MS);
   msg.MeshMsg_u.grant.org_fill = fill_of (broker, org);
   msg.MeshMsg_u.grant.paced = sched_is_paced (broker->sched, server);
   mesh_send (asker->peer, &msg);
@@ -151,11 +151,11 @@
 static void
 on_unused (void *host, const char *org, double cost)
 {
-  quota_give_back (((Broker *) host)->quota, org, cost);
+  quota_refund (((Broker *) host)->quota, org, cost);
 }
 
 static void
-on_judged (void *host, const SchedJudged *judged)
+on_judged (void *host, const SchedVerdict *judged)
 {
   const Broker *broker = host;
 
@@ -192,21 +192,21 @@
 within_limit (Broker *broker, const SchedAsk *ask, bool may_wait)
 {
   SchedRefusal refusal = { .reason = FT_REASON_LIMIT_TOKENS };
-  unsigned rank = rt_order_rank (ask->tier);
+  unsigned rank = rt_priority_route_tier (ask->tier);
   double cost = ask->cost;
-  RetAsk want = { ask->org, ask->content, cost, rank, ask->end_at, timely_until (broker, ask) };
-  RetWord word;
+  RetRequest want = { ask->org, ask->content, cost, rank, ask->end_at, timely_until (broker, ask) };
+  RetAdvice word;
 
   if (cost <= 0)
     return true;
-  if (may_wait && !hand_settled (broker->hand)
-      && quota_lacks_part (broker->quota, ask->org, cost, rank))
+  if (may_wait && !hand_is_over (broker->hand)
+      && quota_limited_by_share (broker->quota, ask->org, cost, rank))
     {
       if (quota_take (broker->quota, ask->org, cost, rank, &refusal.retry_after_us))
         return true;
       if (hand_hold (broker->hand, ask))
         {
-          count_up (COUNT_HELD);
+          count_inc (COUNT_HELD_ASKS);
           return false;
         }
     }
@@ -230,39 +230,39 @@
 
 /* While a handover goes on queues are judged by all places, since their part is about to grow. */
 void
-broker_apply_parts (Broker *broker)
+broker_apply_shares (Broker *broker)
 {
-  double part = hand_part (broker->hand);
-  double places = hand_settled (broker->hand) ? broker->places : 1;
-  bool shared
-      = !hand_settled (broker->hand) || (broker_hands_over (broker) && broker_askers (broker) > 0);
+  double part = hand_share (broker->hand);
+  double places = hand_is_over (broker->hand) ? broker->places : 1;
+  bool shared = !hand_is_over (broker->hand)
+                || (broker_handover_enabled (broker) && broker_asker_count (broker) > 0);
 
-  sched_share (broker->sched, places, broker->salt);
-  sched_grant_part (broker->sched, shared ? MIN (broker->places, part) : SCHED_UNBOUNDED,
-                    !hand_settled (broker->hand));
-  sched_rate_part (broker->sched, broker->limits);
-  quota_share (broker->quota, MIN (broker->limits, part));
+  sched_set_share (broker->sched, places, broker->salt);
+  sched_set_grant_share (broker->sched, shared ? MIN (broker->places, part) : SCHED_UNBOUNDED,
+                         !hand_is_over (broker->hand));
+  sched_set_rate_share (broker->sched, broker->limits);
+  quota_set_share (broker->quota, MIN (broker->limits, part));
 }
 
 void
-broker_settle (Broker *broker)
+broker_check_handover (Broker *broker)
 {
-  HandSettled how;
-  bool ended = hand_ended (broker->hand, &how);
+  HandResult how;
+  bool ended = hand_take_result (broker->hand, &how);
   const SchedAsk *ask;
 
   if (ended)
     {
-      count_up (COUNT_HANDOVERS);
+      count_inc (COUNT_HANDOVERS);
       jlog (JLOG_INFO, "settled", NULL, JL_INT ("reported", how.reported),
             JL_INT ("expected", how.expected), JL_MS ("after_ms", how.after_us),
             JL_TEXT ("why", how.why), JL_TEXT ("by", broker->name));
-      broker_apply_parts (broker);
+      broker_apply_shares (broker);
     }
-  while ((ask = hand_due (broker->hand)))
+  while ((ask = hand_next_due (broker->hand)))
     {
       broker_decide (broker, ask, false);
-      hand_release (broker->hand);
+      hand_free_due (broker->hand);
     }
   if (ended)
     sched_tick (broker->sched);
@@ -285,18 +285,18 @@
 
   ask.owner = BROKER_SELF;
   if (cost > 0)
-    quota_used (broker->quota, ask.org, cost, loop_now (broker->loop));
+    quota_charge_remote (broker->quota, ask.org, cost, loop_now (broker->loop));
   sched_adopt (broker->sched, &ask, server);
 }
 
 void
-broker_first (Broker *broker, uint64_t request, int64_t after_us)
+broker_report_first (Broker *broker, uint64_t request, int64_t after_us)
 {
-  sched_first (broker->sched, BROKER_SELF, request, after_us);
+  sched_first_event (broker->sched, BROKER_SELF, request, after_us);
 }
 
 void
-broker_silent (Broker *broker, uint64_t request)
+broker_report_silence (Broker *broker, uint64_t request)
 {
   sched_silent (broker->sched, BROKER_SELF, request);
 }
@@ -308,15 +308,15 @@
 }
 
 void
-broker_notice_before (Broker *broker, const char *server, const Notice *notice, int64_t age)
+broker_past_notice (Broker *broker, const char *server, const Notice *notice, int64_t age)
 {
-  sched_notice_before (broker->sched, BROKER_SELF, server, notice, age);
+  sched_older_notice (broker->sched, BROKER_SELF, server, notice, age);
 }
 
 void
-broker_done (Broker *broker, uint64_t request, const SchedResult *result)
+broker_end (Broker *broker, uint64_t request, const SchedResult *result)
 {
-  hand_drop (broker->hand, BROKER_SELF, request);
+  hand_cancel (broker->hand, BROKER_SELF, request);
   sched_done (broker->sched, BROKER_SELF, request, result);
 }
 
@@ -346,71 +346,71 @@
 {
   double means[2] = { mean_rate (cat, false), mean_rate (cat, true) };
 
-  sched_no_weights (broker->sched);
+  sched_clear_weights (broker->sched);
   for (unsigned i = 0; i < rt_cat_org_count (cat); i++)
     {
       const RtOrg *org = rt_cat_org_at (cat, i);
-      sched_weight (broker->sched, org->name, org->rate / means[org->by_tokens]);
+      sched_set_weight (broker->sched, org->name, org->rate / means[org->by_tokens]);
     }
 }
 
 void
-broker_catalogue (Broker *broker, const RtCat *cat)
+broker_set_catalogue (Broker *broker, const RtCat *cat)
 {
   for (unsigned i = 0; i < rt_cat_service_count (cat); i++)
     {
       const RtService *service = rt_cat_service_at (cat, i);
       SchedServiceConf conf = { service->engine, service->stride, service->memory };
-      sched_service (broker->sched, service->name, &conf);
+      sched_set_service (broker->sched, service->name, &conf);
     }
   give_weights (broker, cat);
   for (unsigned i = 0; i < rt_cat_org_count (cat); i++)
     {
       const RtOrg *org = rt_cat_org_at (cat, i);
-      quota_limit (broker->quota, org->name, org->rate, org->burst);
+      quota_set_limit (broker->quota, org->name, org->rate, org->burst);
     }
 }
 
 void
-broker_servers (Broker *broker, const Servers *servers)
+broker_set_servers (Broker *broker, const Servers *servers)
 {
   broker->servers = servers;
-  servers_give (servers, broker->sched);
+  servers_give_to (servers, broker->sched);
 }
 
 void
-broker_share (Broker *broker, double places, double limits, uint64_t salt)
+broker_set_shares (Broker *broker, double places, double limits, uint64_t salt)
 {
   broker->places = places;
   broker->limits = limits;
   broker->salt = salt;
   broker->heard = 0;
-  broker_apply_parts (broker);
+  broker_apply_shares (broker);
 }
 
 void
-broker_share_heard (Broker *broker, unsigned heard, unsigned lost)
+broker_set_shares_by_heard (Broker *broker, unsigned heard, unsigned lost)
 {
-  broker_expected (broker, heard);
+  broker_set_expected (broker, heard);
   broker->heard = heard;
   broker->lost = lost;
-  broker_share_by_heard (broker);
+  broker_apply_heard (broker);
 }
 
 void
-broker_margin (Broker *broker, double overage, double slack, double window_s, bool alone)
+broker_set_margin (Broker *broker, double overage, double slack, double window_s, bool alone)
 {
-  quota_margin (broker->quota, overage, slack, window_s, alone);
+  quota_set_margin (broker->quota, overage, slack, window_s, alone);
 }
 
 void
 broker_configure (Broker *broker, const BrokerConf *conf)
 {
   broker->conf = *conf;
-  hand_wait (broker->hand, conf->handover_us);
-  ret_part (broker->returns, conf->return_part);
-  sched_returns (broker->sched, conf->return_place_part);
-  sched_fair (broker->sched, conf->fair_shares);
+  hand_set_max_wait (broker->hand, conf->handover_us);
+  ret_set_share (broker->returns, conf->return_part);
+  sched_set_return_share (broker->sched, conf->return_place_part);
+  sched_set_fair (broker->sched, conf->fair_shares);
 }
 
 static void
@@ -428,35 +428,36 @@
 count_returns (Broker *broker)
 {
   const RetCounts *limits = ret_counts (broker->returns);
-  RetCounts places = sched_returned (broker->sched);
+  RetCounts places = sched_return_counts (broker->sched);
   RetCounts all = { limits->promised + places.promised, limits->kept + places.kept,
                     limits->lapsed + places.lapsed, limits->lost + places.lost };
 
-  count_add (COUNT_PROMISED, all.promised - broker->returned.promised);
-  count_add (COUNT_KEPT, all.kept - broker->returned.kept);
-  count_add (COUNT_LAPSED, all.lapsed - broker->returned.lapsed);
-  count_add (COUNT_LOST, all.lost - broker->returned.lost);
+  count_add (COUNT_RETURNS_PROMISED, all.promised - broker->returned.promised);
+  count_add (COUNT_RETURNS_KEPT, all.kept - broker->returned.kept);
+  count_add (COUNT_RETURNS_LAPSED, all.lapsed - broker->returned.lapsed);
+  count_add (COUNT_RETURNS_LOST, all.lost - broker->returned.lost);
   broker->returned = all;
 }
 
 void
 broker_tick (Broker *broker)
 {
-  broker_settle (broker);
+  broker_check_handover (broker);
   sched_tick (broker->sched);
-  ret_tick (broker->returns);
+  ret_expire (broker->returns);
   count_returns (broker);
   count_fair (broker);
 }
 
 void
-broker_versions (Broker *broker, const char *service, const SchedVersions *versions)
+broker_set_versions (Broker *broker, const char *service, const SchedVersions *versions)
 {
-  sched_versions (broker->sched, service, versions);
+  sched_set_versions (broker->sched, service, versions);
 }
 
 void
-broker_watch (Broker *broker, void (*judged) (void *host, const SchedJudged *judged), void *host)
+broker_set_judged_callback (Broker *broker, void (*judged) (void *host, const SchedVerdict *judged),
+                            void *host)
 {
   broker->judged = judged;
   broker->watcher = host;
@@ -491,11 +492,11 @@
   broker->host = host;
   broker->sched = sched_new (loop_clock (loop), &sched_ops, broker);
   broker->quota = quota_new (loop_clock (loop));
-  broker->returns = ret_new (loop_clock (loop), RET_MOST / 2);
+  broker->returns = ret_new (loop_clock (loop), RET_MAX_RESERVATIONS / 2);
   broker->hand = hand_new (loop_clock (loop));
   broker->places = broker->limits = 1;
   if (ops)
-    hand_reported (broker->hand, BROKER_SELF); /* what the own instance runs is always known */
+    hand_note_report (broker->hand, BROKER_SELF); /* what the own instance runs is always known */
   broker->askers = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   broker->verdicts = g_array_new (FALSE, FALSE, sizeof (Verdict));
   broker->soon.fire = on_soon;
--- a/node/brokerint.h
+++ b/node/brokerint.h
@@ -35,20 +35,20 @@
   unsigned expected;     /* instances whose reports a handover waits for */
   double places, limits; /* its parts once it is settled */
   uint64_t salt;
-  unsigned heard, lost; /* by broker_share_heard; heard 0: the parts were set otherwise */
+  unsigned heard, lost; /* by broker_set_shares_by_heard; heard 0: the parts were set otherwise */
   GArray *verdicts;     /* Verdict on own requests, delivered by soon */
   LoopTimer soon;
-  void (*judged) (void *host, const SchedJudged *judged); /* NULL: nobody watches */
+  void (*judged) (void *host, const SchedVerdict *judged); /* NULL: nobody watches */
   void *watcher;
 };
 
 /* Places, queues, holds or refuses the ask. may_wait: it may be held until a handover has ended. */
 void broker_decide (Broker *broker, const SchedAsk *ask, bool may_wait);
 /* Sets the parts of places and limits by how much was handed over. */
-void broker_apply_parts (Broker *broker);
+void broker_apply_shares (Broker *broker);
 /* Ends a handover that is over, and decides on the asks that have waited for it. */
-void broker_settle (Broker *broker);
+void broker_check_handover (Broker *broker);
 /* The same parts by how many instances are heard and ask this one (brokerlink.c). */
-void broker_share_by_heard (Broker *broker);
+void broker_apply_heard (Broker *broker);
 
 #endif
--- a/node/brokerlink.c
+++ b/node/brokerlink.c
@@ -6,7 +6,7 @@
   (3 * FT_SECOND) /* an instance that asked then is taken for a user of this one */
 
 void
-broker_up (Broker *broker, MeshPeer *peer)
+broker_link_up (Broker *broker, MeshPeer *peer)
 {
   Asker *asker = g_new0 (Asker, 1);
 
@@ -17,28 +17,28 @@
 }
 
 void
-broker_down (Broker *broker, MeshPeer *peer)
+broker_link_down (Broker *broker, MeshPeer *peer)
 {
   Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
   if (asker == NULL || asker->peer != peer)
     return;
-  hand_drop_owner (broker->hand, asker->owner);
+  hand_cancel_owner (broker->hand, asker->owner);
   if (!asker->away)
-    hand_gone (broker->hand, asker->owner);
+    hand_owner_gone (broker->hand, asker->owner);
   sched_owner_gone (broker->sched, asker->owner);
   g_hash_table_remove (broker->askers, &asker->owner);
 }
 
 void
-broker_share_by_heard (Broker *broker)
+broker_apply_heard (Broker *broker)
 {
-  unsigned heard = broker->heard, away = MIN (broker_away (broker), heard);
+  unsigned heard = broker->heard, away = MIN (broker_away_count (broker), heard);
 
   broker->places = 1;
   broker->limits = heard ? (double) (heard - away) / (heard + broker->lost) : 1;
   broker->salt = 0;
-  broker_apply_parts (broker);
+  broker_apply_shares (broker);
 }
 
 /* Failure: all entries had turned to another scheduler, and come back. Symptom: until the next tick
@@ -49,11 +49,11 @@
   bool away = asker->away;
 
   asker->away = false;
-  bool begins = hand_asked (broker->hand, asker->owner, broker->expected);
+  bool begins = hand_note_request (broker->hand, asker->owner, broker->expected);
   if (away && broker->heard > 0)
-    broker_share_by_heard (broker);
+    broker_apply_heard (broker);
   else if (begins)
-    broker_apply_parts (broker);
+    broker_apply_shares (broker);
 }
 
 static void
@@ -62,9 +62,11 @@
   int64_t now = loop_now (broker->loop);
 
   if (from->org_fill_ms != MESH_FILL_UNKNOWN)
-    quota_report (broker->quota, from->org, from->org_fill / 1e3, now - from->org_fill_ms * FT_MS);
+    quota_apply_report (broker->quota, from->org, from->org_fill / 1e3,
+                        now - from->org_fill_ms * FT_MS);
   if (from->spent_tokens > 0)
-    quota_used (broker->quota, from->org, from->spent_tokens, now - from->spent_ms * FT_MS);
+    quota_charge_remote (broker->quota, from->org, from->spent_tokens,
+                         now - from->spent_ms * FT_MS);
 }
 
 /* An entry that reports and has nothing to ask is no asker: a deputy reads the list for those. */
@@ -74,9 +76,9 @@
   comes_back (broker, asker);
   for (unsigned i = 0; i < from->accounts.accounts_len; i++)
     take_account (broker, &from->accounts.accounts_val[i]);
-  hand_reported (broker->hand, asker->owner);
-  broker_apply_parts (broker);
-  broker_settle (broker);
+  hand_note_report (broker->hand, asker->owner);
+  broker_apply_shares (broker);
+  broker_check_handover (broker);
 }
 
 static void
@@ -112,7 +114,7 @@
   take_account (broker, &account);
   if (from->running)
     {
-      hand_drop (broker->hand, ask.owner, ask.request);
+      hand_cancel (broker->hand, ask.owner, ask.request);
       sched_adopt (broker->sched, &ask, from->server);
       return;
     }
@@ -121,7 +123,7 @@
 }
 
 void
-broker_expect (Broker *broker, MeshPeer *peer)
+broker_note_asker (Broker *broker, MeshPeer *peer)
 {
   Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
@@ -132,7 +134,7 @@
 }
 
 void
-broker_expected (Broker *broker, unsigned instances)
+broker_set_expected (Broker *broker, unsigned instances)
 {
   broker->expected = instances;
 }
@@ -141,19 +143,19 @@
 broker_take_over (Broker *broker)
 {
   hand_begin (broker->hand, broker->expected);
-  broker_apply_parts (broker);
+  broker_apply_shares (broker);
 }
 
 bool
-broker_hands_over (const Broker *broker)
+broker_handover_enabled (const Broker *broker)
 {
   return broker->conf.handover_us > 0;
 }
 
 bool
-broker_takes_over (const Broker *broker)
+broker_is_taking_over (const Broker *broker)
 {
-  return !hand_settled (broker->hand);
+  return !hand_is_over (broker->hand);
 }
 
 static void
@@ -166,8 +168,7 @@
   if (from->request)
     sched_notice (broker->sched, peer->lifetime, from->request, from->server, &notice);
   else
-    sched_notice_before (broker->sched, peer->lifetime, from->server, &notice,
-                         from->age_ms * FT_MS);
+    sched_older_notice (broker->sched, peer->lifetime, from->server, &notice, from->age_ms * FT_MS);
 }
 
 static void
@@ -175,7 +176,7 @@
 {
   if (asker == NULL || asker->away)
     return;
-  hand_gone (broker->hand, asker->owner);
+  hand_owner_gone (broker->hand, asker->owner);
   asker->away = true;
   asker->asked_at = -ASKED_LATELY;
 }
@@ -194,12 +195,12 @@
         take_ask (broker, asker, &msg->MeshMsg_u.ask);
       return true;
     case MESH_REPORT_END:
-      if (asker && broker_hands_over (broker))
+      if (asker && broker_handover_enabled (broker))
         take_report (broker, asker, &msg->MeshMsg_u.reported);
       return true;
     case MESH_FIRST_EVENT:
-      sched_first (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
-                   msg->MeshMsg_u.first.after_us);
+      sched_first_event (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
+                         msg->MeshMsg_u.first.after_us);
       return true;
     case MESH_NOTICE:
       take_notice (broker, peer, &msg->MeshMsg_u.notice);
@@ -217,7 +218,7 @@
           = (SchedResult){ done->outcome <= SCHED_LEFT ? (SchedOutcome) done->outcome : SCHED_LEFT,
                            done->event_us, done->answer_us, done->broke,
                            done->conn_idle_ms * FT_MS };
-      hand_drop (broker->hand, peer->lifetime, done->request);
+      hand_cancel (broker->hand, peer->lifetime, done->request);
       sched_done (broker->sched, peer->lifetime, done->request, &result);
       return true;
     default:
@@ -226,7 +227,7 @@
 }
 
 bool
-broker_waits (const Broker *broker, const MeshPeer *peer)
+broker_peer_waits (const Broker *broker, const MeshPeer *peer)
 {
   const Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
@@ -234,7 +235,7 @@
 }
 
 bool
-broker_asked (const Broker *broker, const MeshPeer *peer)
+broker_peer_asked (const Broker *broker, const MeshPeer *peer)
 {
   const Asker *asker = g_hash_table_lookup (broker->askers, &peer->lifetime);
 
@@ -242,7 +243,7 @@
 }
 
 unsigned
-broker_askers (const Broker *broker)
+broker_asker_count (const Broker *broker)
 {
   int64_t since = loop_now (broker->loop) - ASKED_LATELY;
   GHashTableIter iter;
@@ -256,7 +257,7 @@
 }
 
 unsigned
-broker_away (const Broker *broker)
+broker_away_count (const Broker *broker)
 {
   GHashTableIter iter;
   gpointer value;
--- a/node/control.c
+++ b/node/control.c
@@ -66,7 +66,7 @@
 {
   unsigned lost, heard = publish_entries (control->publish, &lost);
 
-  broker_share_heard (control->broker, heard, lost);
+  broker_set_shares_by_heard (control->broker, heard, lost);
 }
 
 /* ---- Links ---- */
@@ -113,7 +113,7 @@
   if (peer->role == MESH_VOTER)
     voter_meet (control->voter, peer->ip);
   if (!peer->dialled)
-    broker_up (control->broker, peer);
+    broker_link_up (control->broker, peer);
   suspects_up (control->suspects, peer); /* before the catalogue, which lets an entry send */
   rollouts_up (control->rollouts, peer); /* likewise */
   publish_up (control->publish, peer);
@@ -130,21 +130,21 @@
   if (peer->dialled)
     g_hash_table_remove (control->readers, GUINT_TO_POINTER (peer->ip));
   else
-    broker_down (control->broker, peer);
+    broker_link_down (control->broker, peer);
   suspects_down (control->suspects, peer);
   rollouts_down (control->rollouts, peer);
   publish_down (control->publish, peer);
 }
 
 static void
-took_list (Control *control, MeshPeer *peer, ServersTaken taken)
+took_list (Control *control, MeshPeer *peer, ServersResult taken)
 {
   MeshMsg want = { .kind = MESH_LIST_REQUEST };
 
-  if (taken == SERVERS_TAKEN && servers_changed (control->servers))
-    broker_servers (control->broker, control->servers);
-  else if (taken == SERVERS_FOREIGN
-           && servers_may_want (control->servers, loop_now (control->loop)))
+  if (taken == SERVERS_APPLIED && servers_poll_changed (control->servers))
+    broker_set_servers (control->broker, control->servers);
+  else if (taken == SERVERS_UNKNOWN_BASE
+           && servers_may_request (control->servers, loop_now (control->loop)))
     mesh_send (peer, &want);
 }
 
@@ -181,14 +181,15 @@
       take_view (control, peer, view);
       break;
     case MESH_LIST:
-      took_list (control, peer, servers_take_message (control->servers, &msg->MeshMsg_u.list, now));
+      took_list (control, peer,
+                 servers_apply_message (control->servers, &msg->MeshMsg_u.list, now));
       break;
     case MESH_LIST_REQUEST:
       publish_wants_list (peer);
       break;
     case MESH_PACKED_LIST:
       took_list (control, peer,
-                 servers_take_packed (control->servers, &msg->MeshMsg_u.packed, now));
+                 servers_apply_packed (control->servers, &msg->MeshMsg_u.packed, now));
       break;
     case MESH_ASK:
       if (control->leaving_since)
@@ -266,12 +267,12 @@
     }
   rt_cat_unref (control->cat);
   control->cat = cat;
-  count_up (COUNT_CATALOGUES);
+  count_inc (COUNT_CATALOGUES);
   voter_status (control->voter, &control->status);
   jlog (JLOG_INFO, "catalogue", NULL, JL_INT ("version", number),
         JL_INT ("routes", rt_cat_route_count (cat)), JL_INT ("proved", control->status.proved),
         JL_INT ("term", control->status.term));
-  broker_catalogue (control->broker, cat);
+  broker_set_catalogue (control->broker, cat);
   if (control->operators)
     operators_catalogue (control->operators, cat);
   publish_documents (control->publish);
@@ -312,17 +313,17 @@
 
   if (list == NULL)
     {
-      count_up (COUNT_LIST_FAILURES);
+      count_inc (COUNT_LIST_FAILURES);
       jlog (JLOG_WARN, "list-failed", NULL, JL_TEXT ("why", why),
             JL_MS ("held_age_ms", now - servers_asked_at (control->servers)));
       return;
     }
-  if (!servers_take_read (control->servers, list, asked_at))
+  if (!servers_apply_read (control->servers, list, asked_at))
     return;
-  count_up (COUNT_LISTS);
-  if (servers_changed (control->servers))
+  count_inc (COUNT_LISTS);
+  if (servers_poll_changed (control->servers))
     {
-      broker_servers (control->broker, control->servers);
+      broker_set_servers (control->broker, control->servers);
       jlog (JLOG_INFO, "list", NULL, JL_INT ("servers", servers_count (control->servers)),
             JL_MS ("took_ms", now - asked_at));
     }
@@ -342,12 +343,12 @@
 static int64_t
 list_every (const Control *control)
 {
-  ReaderPlan plan = { .calls = reader_pages (control->reader),
-                      .rate = control->settings->list_rate,
-                      .in_charge = control->status.proved,
-                      .drain_us = control->settings->drain_ms * FT_MS };
+  ReaderSchedule plan = { .calls = reader_last_pages (control->reader),
+                          .rate = control->settings->list_rate,
+                          .in_charge = control->status.proved,
+                          .drain_us = control->settings->drain_ms * FT_MS };
 
-  return reader_every (&plan);
+  return reader_pass_interval (&plan);
 }
 
 static void
--- a/node/count.c
+++ b/node/count.c
@@ -22,7 +22,7 @@
 static const char *const timed_names[TIMED] = { "wait", "first", "whole", "turn", "timer_late" };
 
 void
-count_up (Counter counter)
+count_inc (Counter counter)
 {
   counters[counter]++;
 }
@@ -34,13 +34,13 @@
 }
 
 uint64_t
-count_of (Counter counter)
+count_get (Counter counter)
 {
   return counters[counter];
 }
 
 void
-count_time (Timed timed, int64_t us)
+count_observe (Timed timed, int64_t us)
 {
   unsigned bucket = 0;
 
@@ -73,7 +73,7 @@
 }
 
 char *
-count_text (const char *extra)
+count_format (const char *extra)
 {
   GString *out = g_string_new (NULL);
 
--- a/node/witness.c
+++ b/node/crashrep.c
@@ -1,10 +1,10 @@
-/* witness.c - what an entry saw of servers' ends, on its way to all others.
+/* crashrep.c - what an entry saw of servers' ends, on its way to all others.
  *
  * A report goes to the voter in charge and is told again, there or to its successor, until the log
  * has it. While no voter is in charge, deputies pass reports on to the entries that have dialled
  * them; that is not kept, and the voters hear the reports later all the same.
  */
-#include "witness.h"
+#include "crashrep.h"
 #include "content.h"
 #include "count.h"
 #include "jlog.h"
@@ -24,7 +24,7 @@
   unsigned count;
 } Report;
 
-struct Witness
+struct CrashReporter
 {
   Loop *loop;
   Mesh *mesh;
@@ -56,7 +56,7 @@
 }
 
 static void
-tell (Witness *witness, Report *report)
+tell (CrashReporter *witness, Report *report)
 {
   int64_t now = loop_now (witness->loop);
   MeshMsg msg = { .kind = MESH_CRASH };
@@ -73,23 +73,23 @@
 }
 
 static void
-on_ended (void *host, const char *server, int64_t at, const EndsRun *runs, unsigned count)
+on_ended (void *host, const char *server, int64_t at, const CrashRun *runs, unsigned count)
 {
-  Witness *witness = host;
+  CrashReporter *witness = host;
   Report *report = g_new0 (Report, 1);
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
 
-  count_up (COUNT_SERVER_ENDS);
+  count_inc (COUNT_SERVER_ENDS);
   report->number = ++witness->next_number;
   report->server = g_strdup (server);
   report->ended_at = at;
   for (unsigned i = 0; i < count && report->count < MESH_CONTENTS_MAX; i++)
     {
-      quar_ended (witness->quar, runs[i].content, server, true);
+      quar_add_crash (witness->quar, runs[i].content, server, true);
       report->contents[report->count++] = runs[i].content;
       jlog (JLOG_INFO, "ran-at-end", runs[i].request, JL_TEXT ("server", server),
-            JL_TEXT ("content", content_text (runs[i].content, content)),
-            JL_INT ("ends", quar_judge (witness->quar, runs[i].content).ends),
+            JL_TEXT ("content", content_format (runs[i].content, content)),
+            JL_INT ("ends", quar_check (witness->quar, runs[i].content).ends),
             JL_INT ("report", report->number));
     }
   if (witness->reports->len >= REPORTS_MOST)
@@ -105,11 +105,11 @@
 
 /* What was answered whole here speaks for contents that others saw servers end under. */
 static void
-tell_proofs (const Witness *witness)
+tell_proofs (const CrashReporter *witness)
 {
   uint64_t contents[MESH_CONTENTS_MAX];
   MeshMsg msg = { .kind = MESH_ANSWERED };
-  unsigned count = quar_proofs (witness->quar, contents, MESH_CONTENTS_MAX);
+  unsigned count = quar_recently_answered (witness->quar, contents, MESH_CONTENTS_MAX);
 
   if (count == 0 || witness->voter == NULL)
     return;
@@ -121,7 +121,7 @@
 /* ---- Hearing ---- */
 
 static bool
-any_report_of (const Witness *witness, const char *server)
+any_report_of (const CrashReporter *witness, const char *server)
 {
   for (unsigned i = 0; i < witness->reports->len; i++)
     if (strcmp (((const Report *) witness->reports->pdata[i])->server, server) == 0)
@@ -130,7 +130,7 @@
 }
 
 static void
-take_known (Witness *witness, uint64_t number)
+take_known (CrashReporter *witness, uint64_t number)
 {
   for (unsigned i = 0; i < witness->reports->len; i++)
     {
@@ -140,14 +140,14 @@
       char *server = g_strdup (report->server);
       g_ptr_array_remove_index (witness->reports, i);
       if (!any_report_of (witness, server))
-        quar_acknowledged (witness->quar, server);
+        quar_crash_recorded (witness->quar, server);
       g_free (server);
       return;
     }
 }
 
 static void
-take_account (Witness *witness, const MeshCrashTable *blamed)
+take_account (CrashReporter *witness, const MeshCrashTable *blamed)
 {
   unsigned count = blamed->suspects.suspects_len;
   QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
@@ -160,12 +160,12 @@
                                  .servers = from->servers.servers_val,
                                  .server_count = from->servers.servers_len };
     }
-  bool taken = quar_account (witness->quar, blamed->index, records, count);
+  bool taken = quar_update_table (witness->quar, blamed->index, records, count);
   g_free (records);
   if (!taken)
     return;
   jlog (JLOG_INFO, "account", NULL, JL_INT ("index", blamed->index), JL_INT ("suspects", count),
-        JL_INT ("quarantined", quar_held (witness->quar)));
+        JL_INT ("quarantined", quar_count_blocked (witness->quar)));
   tell_proofs (witness);
   witness->changed (witness->host);
 }
@@ -188,20 +188,20 @@
 /* Another entry saw an end, while no voter is in charge. A deputy, to which it comes on a link that
  * the other one dialled, passes it on. */
 static void
-take_heard (Witness *witness, const MeshPeer *peer, const MeshMsg *msg)
+take_heard (CrashReporter *witness, const MeshPeer *peer, const MeshMsg *msg)
 {
   const MeshCrash *ended = &msg->MeshMsg_u.ended;
   Relay relay = { peer, msg };
 
   for (unsigned i = 0; i < ended->contents.contents_len; i++)
-    quar_ended (witness->quar, ended->contents.contents_val[i], ended->server, false);
+    quar_add_crash (witness->quar, ended->contents.contents_val[i], ended->server, false);
   if (!peer->dialled && witness->voter == NULL)
     mesh_each (witness->mesh, pass_on, &relay);
   witness->changed (witness->host);
 }
 
 bool
-witness_message (Witness *witness, MeshPeer *peer, const MeshMsg *msg)
+crashrep_message (CrashReporter *witness, MeshPeer *peer, const MeshMsg *msg)
 {
   switch (msg->kind)
     {
@@ -220,7 +220,7 @@
 }
 
 void
-witness_voter (Witness *witness, MeshPeer *voter)
+crashrep_set_voter (CrashReporter *witness, MeshPeer *voter)
 {
   if (witness->voter == voter)
     return;
@@ -233,14 +233,14 @@
 }
 
 void
-witness_down (Witness *witness, const MeshPeer *peer)
+crashrep_peer_down (CrashReporter *witness, const MeshPeer *peer)
 {
   if (witness->voter == peer)
     witness->voter = NULL;
 }
 
 void
-witness_tick (Witness *witness)
+crashrep_tick (CrashReporter *witness)
 {
   int64_t since = loop_now (witness->loop) - TELL_AGAIN;
 
@@ -256,38 +256,39 @@
 /* ---- What requests came to ---- */
 
 QuarVerdict
-witness_judge (const Witness *witness, uint64_t content)
+crashrep_check (const CrashReporter *witness, uint64_t content)
 {
-  return quar_judge (witness->quar, content);
+  return quar_check (witness->quar, content);
 }
 
 void
-witness_broke (Witness *witness, const char *server, SockAddr addr, uint64_t content,
-               const char *request)
+crashrep_connection_lost (CrashReporter *witness, const char *server, SockAddr addr,
+                          uint64_t content, const char *request)
 {
-  ends_broke (witness->ends, server, addr, content, request);
+  crashdet_connection_lost (witness->ends, server, addr, content, request);
 }
 
 void
-witness_left (Witness *witness, const char *server, uint64_t content, const char *request)
+crashrep_abandoned (CrashReporter *witness, const char *server, uint64_t content,
+                    const char *request)
 {
-  ends_left (witness->ends, server, content, request);
+  crashdet_abandoned (witness->ends, server, content, request);
 }
 
 void
-witness_refused (Witness *witness, const char *server)
+crashrep_refused (CrashReporter *witness, const char *server)
 {
-  ends_refused (witness->ends, server);
+  crashdet_refused (witness->ends, server);
 }
 
 void
-witness_answered (Witness *witness, const char *server, uint64_t content, int64_t sent_at)
+crashrep_answered (CrashReporter *witness, const char *server, uint64_t content, int64_t sent_at)
 {
   MeshMsg msg = { .kind = MESH_CRASH_RETRACTED };
 
   if (quar_answered (witness->quar, content))
     tell_proofs (witness);
-  if (witness->voter == NULL || !quar_server_lives (witness->quar, server, sent_at))
+  if (witness->voter == NULL || !quar_crash_disproved (witness->quar, server, sent_at))
     return;
   msg.MeshMsg_u.survived.server = (char *) server;
   mesh_send (witness->voter, &msg);
@@ -296,33 +297,33 @@
 /* ---- The module ---- */
 
 void
-witness_describe (const Witness *witness, GString *out)
+crashrep_describe (const CrashReporter *witness, GString *out)
 {
   g_string_append_printf (out, "foxtail_quarantined %u\nfoxtail_reports_untold %u\n",
-                          quar_held (witness->quar), witness->reports->len);
+                          quar_count_blocked (witness->quar), witness->reports->len);
 }
 
-Witness *
-witness_new (Loop *loop, Mesh *mesh, HCli *cli, void (*changed) (void *host), void *host)
+CrashReporter *
+crashrep_new (Loop *loop, Mesh *mesh, HCli *cli, void (*changed) (void *host), void *host)
 {
-  Witness *witness = g_new0 (Witness, 1);
+  CrashReporter *witness = g_new0 (CrashReporter, 1);
 
   witness->loop = loop;
   witness->mesh = mesh;
   witness->changed = changed;
   witness->host = host;
   witness->quar = quar_new (loop_clock (loop));
-  witness->ends = ends_new (loop, cli, on_ended, witness);
+  witness->ends = crashdet_new (loop, cli, on_ended, witness);
   witness->reports = g_ptr_array_new_with_free_func (report_free);
   return witness;
 }
 
 void
-witness_free (Witness *witness)
+crashrep_free (CrashReporter *witness)
 {
   if (witness == NULL)
     return;
-  ends_free (witness->ends);
+  crashdet_free (witness->ends);
   quar_free (witness->quar);
   g_ptr_array_unref (witness->reports);
   g_free (witness);
--- a/node/ends.c
+++ b/node/ends.c
@@ -41,13 +41,13 @@
   unsigned looks;
   int64_t ended_at;
   bool probing, dropped; /* dropped: freed once its probe has ended */
-  GArray *runs;          /* EndsRun, not told yet */
+  GArray *runs;          /* CrashRun, not told yet */
 } Case;
 
 typedef struct
 {
   char server[128];
-  EndsRun run;
+  CrashRun run;
   int64_t at;
 } Left;
 
@@ -55,7 +55,7 @@
 {
   Loop *loop;
   HCli *cli;
-  EndsEnded ended;
+  CrashFunc ended;
   void *host;
   GHashTable *cases; /* server: Case */
   Left left[LEFT_MOST];
@@ -84,7 +84,7 @@
 static void
 add_run (GArray *runs, uint64_t content, const char *request)
 {
-  EndsRun run = { .content = content };
+  CrashRun run = { .content = content };
 
   if (runs->len >= RUNS_MOST)
     return;
@@ -117,7 +117,7 @@
 {
   if (one->runs->len > 0)
     one->ends->ended (one->ends->host, one->server, one->ended_at,
-                      (const EndsRun *) (void *) one->runs->data, one->runs->len);
+                      (const CrashRun *) (void *) one->runs->data, one->runs->len);
   g_array_set_size (one->runs, 0);
 }
 
@@ -210,7 +210,7 @@
   one->ends = ends;
   one->server = g_strdup (server);
   one->addr = addr;
-  one->runs = g_array_new (FALSE, FALSE, sizeof (EndsRun));
+  one->runs = g_array_new (FALSE, FALSE, sizeof (CrashRun));
   g_hash_table_insert (ends->cases, one->server, one);
   return one;
 }
@@ -218,7 +218,7 @@
 /* ---- Interface ---- */
 
 Ends *
-ends_new (Loop *loop, HCli *cli, EndsEnded ended, void *host)
+crashdet_new (Loop *loop, HCli *cli, CrashFunc ended, void *host)
 {
   Ends *ends = g_new0 (Ends, 1);
 
@@ -231,7 +231,7 @@
 }
 
 void
-ends_free (Ends *ends)
+crashdet_free (Ends *ends)
 {
   if (ends == NULL)
     return;
@@ -240,7 +240,8 @@
 }
 
 void
-ends_broke (Ends *ends, const char *server, SockAddr addr, uint64_t content, const char *request)
+crashdet_connection_lost (Ends *ends, const char *server, SockAddr addr, uint64_t content,
+                          const char *request)
 {
   bool known = g_hash_table_contains (ends->cases, server);
   Case *one = case_of (ends, server, addr);
@@ -253,7 +254,7 @@
 }
 
 void
-ends_left (Ends *ends, const char *server, uint64_t content, const char *request)
+crashdet_abandoned (Ends *ends, const char *server, uint64_t content, const char *request)
 {
   Left *left = &ends->left[ends->left_next++ % LEFT_MOST];
 
@@ -273,7 +274,7 @@
 }
 
 void
-ends_refused (Ends *ends, const char *server)
+crashdet_refused (Ends *ends, const char *server)
 {
   Case *one = g_hash_table_lookup (ends->cases, server);
 
--- a/node/ends.h
+++ b/node/ends.h
@@ -12,21 +12,21 @@
 {
   uint64_t content;
   char request[SEAM_ID_MOST];
-} EndsRun;
+} CrashRun;
 
 /* The process of server has ended, as was seen at that time, while it ran these; once for each of
  * them. */
-typedef void (*EndsEnded) (void *host, const char *server, int64_t at, const EndsRun *runs,
+typedef void (*CrashFunc) (void *host, const char *server, int64_t at, const CrashRun *runs,
                            unsigned count);
 
-Ends *ends_new (Loop *loop, HCli *cli, EndsEnded ended, void *host);
-void ends_free (Ends *ends);
+Ends *crashdet_new (Loop *loop, HCli *cli, CrashFunc ended, void *host);
+void crashdet_free (Ends *ends);
 /* The connection broke on which the server at addr was running the request. */
-void ends_broke (Ends *ends, const char *server, SockAddr addr, uint64_t content,
-                 const char *request);
+void crashdet_connection_lost (Ends *ends, const char *server, SockAddr addr, uint64_t content,
+                               const char *request);
 /* The request was given up while the server was running it. */
-void ends_left (Ends *ends, const char *server, uint64_t content, const char *request);
+void crashdet_abandoned (Ends *ends, const char *server, uint64_t content, const char *request);
 /* Nobody listens at the server's address. */
-void ends_refused (Ends *ends, const char *server);
+void crashdet_refused (Ends *ends, const char *server);
 
 #endif
--- a/node/entry.c
+++ b/node/entry.c
@@ -34,12 +34,12 @@
   HCli *cli;
   HSrv *callers, *ready;
   Place *place;
-  Budget *budget;
+  RetryBudget *budget;
   Servers *servers;
-  RouteVersions *versions;
+  EntryVersions *versions;
   Reader *reader;
   Requests *requests;
-  Witness *witness;
+  CrashReporter *witness;
   RtCat *cat;
   GBytes *text; /* that cat was read from, which changes are against */
   LoopTimer tick;
@@ -120,14 +120,14 @@
         JL_INT ("before", entry->cat ? rt_cat_version (entry->cat) : 0),
         JL_INT ("bytes", document->text.text_len), JL_INT ("changes", document->base != 0),
         JL_INT ("routes", rt_cat_route_count (cat)), JL_INT ("from_voter", peer->ip));
-  count_up (COUNT_CATALOGUES);
+  count_inc (COUNT_CATALOGUES);
   rt_cat_unref (entry->cat);
   entry->cat = cat;
   g_clear_pointer (&entry->text, g_bytes_unref);
   entry->text = text;
   apply_limits (entry, cat);
-  requests_catalogue (entry->requests, cat);
-  broker_catalogue (place_broker (entry->place), cat);
+  requests_set_catalogue (entry->requests, cat);
+  broker_set_catalogue (place_own_broker (entry->place), cat);
   mesh_say (entry->mesh, entry->leaving_since != 0, rt_cat_version (cat));
   confirm (entry);
 }
@@ -142,7 +142,7 @@
   Entry *entry = data;
 
   if (peer->dialled || peer->role != MESH_ENTRY || mesh_unsent (peer) > UNSENT_SMALL
-      || !broker_asked (place_broker (entry->place), peer))
+      || !broker_peer_asked (place_own_broker (entry->place), peer))
     return;
   servers_send (entry->servers, peer, loop_now (entry->loop), GPOINTER_TO_UINT (peer->user));
   peer->user = GUINT_TO_POINTER (servers_digest (entry->servers));
@@ -154,12 +154,12 @@
 static void
 list_changed (Entry *entry, const char *from, bool pass_on)
 {
-  count_up (COUNT_LISTS);
-  if (pass_on && broker_askers (place_broker (entry->place)) > 0)
+  count_inc (COUNT_LISTS);
+  if (pass_on && broker_asker_count (place_own_broker (entry->place)) > 0)
     mesh_each (entry->mesh, push_list, entry);
-  if (!servers_changed (entry->servers))
+  if (!servers_poll_changed (entry->servers))
     return;
-  broker_servers (place_broker (entry->place), entry->servers);
+  broker_set_servers (place_own_broker (entry->place), entry->servers);
   jlog (JLOG_INFO, "list", NULL, JL_INT ("servers", servers_count (entry->servers)),
         JL_TEXT ("from", from),
         JL_MS ("age_ms", loop_now (entry->loop) - servers_asked_at (entry->servers)));
@@ -170,11 +170,11 @@
 {
   Entry *entry = host;
 
-  if (list && servers_take_read (entry->servers, list, asked_at))
+  if (list && servers_apply_read (entry->servers, list, asked_at))
     list_changed (entry, "own reading", true);
   else if (list == NULL)
     {
-      count_up (COUNT_LIST_FAILURES);
+      count_inc (COUNT_LIST_FAILURES);
       jlog (JLOG_WARN, "list-failed", NULL, JL_TEXT ("why", why));
     }
 }
@@ -185,21 +185,22 @@
 static void
 read_list_if_old (Entry *entry, int64_t now)
 {
-  ReaderNeed need = { .calls = reader_calls (entry->reader, servers_count (entry->servers)),
-                      .readers = MAX (entry->entries, 4),
-                      .rate = entry->settings->list_rate,
-                      .for_others = broker_askers (place_broker (entry->place)) > 0 };
-  int64_t every = reader_interval (&need);
+  ReaderFallback need
+      = { .calls = reader_estimate_calls (entry->reader, servers_count (entry->servers)),
+          .readers = MAX (entry->entries, 4),
+          .rate = entry->settings->list_rate,
+          .for_others = broker_asker_count (place_own_broker (entry->place)) > 0 };
+  int64_t every = reader_fallback_interval (&need);
   int64_t newest = MAX (servers_asked_at (entry->servers), entry->started);
 
   /* Without a catalogue nothing can be sent, and voters that have one have the list. */
-  if (entry->cat == NULL || now - newest < reader_age_borne (&need))
+  if (entry->cat == NULL || now - newest < reader_max_age (&need))
     {
       entry->list_at = 0;
       return;
     }
   if (entry->list_at == 0)
-    entry->list_at = now + reader_first (&need, instance_random ());
+    entry->list_at = now + reader_first_delay (&need, instance_random ());
   if (now < entry->list_at)
     return;
   entry->list_at = now + every / 2 + (int64_t) (instance_random () % (uint64_t) every);
@@ -215,7 +216,7 @@
 {
   for (unsigned i = 0; i < view->voters.voters_len; i++)
     mesh_dial (entry->mesh, view->voters.voters_val[i]);
-  count_up (COUNT_GREETINGS);
+  count_inc (COUNT_GREETINGS);
   jlog (JLOG_INFO, "greeted", NULL, JL_INT ("peer", peer->ip),
         JL_INT ("voters", view->voters.voters_len));
 }
@@ -239,31 +240,32 @@
   else if (entry->newest_from == peer)
     entry->newest = 0;
   if (view->proved || entry->newest == 0)
-    witness_voter (entry->witness, view->proved ? peer : NULL);
+    crashrep_set_voter (entry->witness, view->proved ? peer : NULL);
   if (view->proved && view->entries > 0)
     {
       entry->entries = view->entries;
-      budget_share (entry->budget, 1.0 / view->entries);
+      budget_set_share (entry->budget, 1.0 / view->entries);
     }
-  place_view (entry->place, peer, view);
+  place_apply_view (entry->place, peer, view);
 }
 
 static void
 on_up (void *host, MeshPeer *peer)
 {
-  place_up (((Entry *) host)->place, peer);
+  place_link_up (((Entry *) host)->place, peer);
   jlog (JLOG_INFO, "link-up", NULL, JL_INT ("peer", peer->ip), JL_TEXT ("domain", peer->domain));
 }
 
 static void
-took_list (Entry *entry, MeshPeer *peer, ServersTaken taken)
+took_list (Entry *entry, MeshPeer *peer, ServersResult taken)
 {
   bool from_voter = peer->role == MESH_VOTER;
   MeshMsg want = { .kind = MESH_LIST_REQUEST };
 
-  if (taken == SERVERS_TAKEN)
+  if (taken == SERVERS_APPLIED)
     list_changed (entry, from_voter ? "voter" : "deputy", from_voter);
-  else if (taken == SERVERS_FOREIGN && servers_may_want (entry->servers, loop_now (entry->loop)))
+  else if (taken == SERVERS_UNKNOWN_BASE
+           && servers_may_request (entry->servers, loop_now (entry->loop)))
     mesh_send (peer, &want);
 }
 
@@ -294,16 +296,16 @@
         send_whole_list (entry, peer);
       break;
     case MESH_PACKED_LIST:
-      took_list (entry, peer, servers_take_packed (entry->servers, &msg->MeshMsg_u.packed, now));
+      took_list (entry, peer, servers_apply_packed (entry->servers, &msg->MeshMsg_u.packed, now));
       break;
     case MESH_LIST:
-      took_list (entry, peer, servers_take_message (entry->servers, &msg->MeshMsg_u.list, now));
+      took_list (entry, peer, servers_apply_message (entry->servers, &msg->MeshMsg_u.list, now));
       break;
     case MESH_ROLLOUTS:
-      versions_take (entry->versions, &msg->MeshMsg_u.rollouts);
+      versions_update (entry->versions, &msg->MeshMsg_u.rollouts);
       break;
     default:
-      if (!witness_message (entry->witness, peer, msg))
+      if (!crashrep_message (entry->witness, peer, msg))
         place_message (entry->place, peer, msg);
       break;
     }
@@ -318,8 +320,8 @@
         JL_MS ("silent_ms", loop_now (entry->loop) - peer->heard));
   if (entry->newest_from == peer)
     entry->newest = 0;
-  witness_down (entry->witness, peer);
-  place_down (entry->place, peer);
+  crashrep_peer_down (entry->witness, peer);
+  place_link_down (entry->place, peer);
 }
 
 static const MeshOps mesh_ops = { on_up, on_message, on_down };
@@ -343,25 +345,25 @@
 static void
 on_verdicts_changed (void *host)
 {
-  requests_review (((Entry *) host)->requests);
+  requests_recheck (((Entry *) host)->requests);
 }
 
 static void
 on_request (void *owner, HCall *call)
 {
-  requests_take (((Entry *) owner)->requests, call);
+  requests_handle (((Entry *) owner)->requests, call);
 }
 
 static void
 on_gone (void *owner, HCall *call)
 {
-  requests_gone (((Entry *) owner)->requests, call);
+  requests_caller_left (((Entry *) owner)->requests, call);
 }
 
 static void
 on_room (void *owner, HCall *call)
 {
-  requests_room (((Entry *) owner)->requests, call);
+  requests_caller_drained (((Entry *) owner)->requests, call);
 }
 
 static const HSrvOps callers_ops = { on_request, on_gone, on_room };
@@ -371,7 +373,7 @@
 {
   bool waited = loop_now (entry->loop) - entry->started > CONFIRM_MOST;
 
-  bool placed = servers_asked_at (entry->servers) > 0 || place_by_voter (entry->place);
+  bool placed = servers_asked_at (entry->servers) > 0 || place_uses_voter (entry->place);
 
   return entry->leaving_since == 0 && entry->cat && placed && (entry->confirmed || waited);
 }
@@ -408,7 +410,7 @@
   if (entry->leaving_since == 0 || entry->closed || now - entry->leaving_since < LEAVE_LEAST)
     return;
   entry->closed = true;
-  jlog (JLOG_INFO, "close", NULL, JL_INT ("open", requests_open (entry->requests)),
+  jlog (JLOG_INFO, "close", NULL, JL_INT ("open", requests_open_count (entry->requests)),
         JL_INT ("connections", hsrv_connections (entry->callers)));
   hsrv_close_idle (entry->callers);
 }
@@ -423,7 +425,7 @@
 
   hsrv_held (entry->callers, &held);
   return since > most
-         || (since > LEAVE_LEAST && requests_open (entry->requests) == 0
+         || (since > LEAVE_LEAST && requests_open_count (entry->requests) == 0
              && hsrv_busy (entry->callers) == 0 && held.answers == 0);
 }
 
@@ -436,8 +438,8 @@
 speak (MeshPeer *peer, void *data)
 {
   Entry *entry = data;
-  const Broker *broker = place_broker (entry->place);
-  bool waits = broker_waits (broker, peer) || broker_takes_over (broker);
+  const Broker *broker = place_own_broker (entry->place);
+  bool waits = broker_peer_waits (broker, peer) || broker_is_taking_over (broker);
 
   if (!peer->dialled)
     mesh_keep_alive (peer, waits ? TICK : SPEAK_EVERY);
@@ -457,12 +459,12 @@
           JL_MS ("list_age_ms", now - servers_asked_at (entry->servers)));
   entry->was_ready = ready;
   read_list_if_old (entry, now);
-  witness_tick (entry->witness);
+  crashrep_tick (entry->witness);
   mesh_each (entry->mesh, speak, entry);
   close_when_noticed (entry, now);
   if (entry->leaving_since && may_end (entry, now))
     {
-      jlog (JLOG_INFO, "stop", NULL, JL_INT ("open", requests_open (entry->requests)),
+      jlog (JLOG_INFO, "stop", NULL, JL_INT ("open", requests_open_count (entry->requests)),
             JL_MS ("after_ms", now - entry->leaving_since));
       loop_stop (entry->loop);
     }
@@ -479,7 +481,7 @@
   entry->leaving_since = loop_now (entry->loop);
   hsrv_last_answers (entry->callers);
   mesh_say (entry->mesh, true, entry->cat ? rt_cat_version (entry->cat) : 0);
-  jlog (JLOG_INFO, "leave", NULL, JL_INT ("open", requests_open (entry->requests)),
+  jlog (JLOG_INFO, "leave", NULL, JL_INT ("open", requests_open_count (entry->requests)),
         JL_INT ("connections", hsrv_connections (entry->callers)));
 }
 
@@ -517,7 +519,7 @@
 describe (Instance *base)
 {
   Entry *entry = (Entry *) base;
-  char *servers = broker_describe (place_broker (entry->place));
+  char *servers = broker_describe (place_own_broker (entry->place));
   GString *out = g_string_new (NULL);
 
   g_string_append_printf (
@@ -527,11 +529,12 @@
       "foxtail_server_connections_opened_total %" G_GUINT64_FORMAT
       "\nfoxtail_scheduler{by=\"%s\"} 1\nfoxtail_list_age_seconds %g\n",
       is_ready (entry), entry->cat ? rt_cat_version (entry->cat) : 0,
-      requests_open (entry->requests), place_waiting (entry->place),
-      hsrv_connections (entry->callers), hcli_opened (entry->cli), place_by (entry->place),
+      requests_open_count (entry->requests), place_waiting_count (entry->place),
+      hsrv_connections (entry->callers), hcli_opened (entry->cli),
+      place_scheduler_name (entry->place),
       (double) (loop_now (entry->loop) - servers_asked_at (entry->servers)) / 1e6);
   describe_held (entry, out);
-  witness_describe (entry->witness, out);
+  crashrep_describe (entry->witness, out);
   mesh_describe (entry->mesh, out);
   g_string_append (out, "# servers as this entry sees them\n");
   g_string_append (out, servers);
@@ -550,7 +553,7 @@
   mesh_free (entry->mesh);
   reader_free (entry->reader);
   requests_free (entry->requests);
-  witness_free (entry->witness);
+  crashrep_free (entry->witness);
   versions_free (entry->versions);
   place_free (entry->place);
   hcli_free (entry->cli);
@@ -572,9 +575,9 @@
   if (entry->mesh == NULL)
     return FT_IO;
   entry->place = place_new (entry->loop, entry->mesh, s->ip, &place_ops, entry);
-  instance_broker (s, place_broker (entry->place), false);
-  entry->witness = witness_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
-  entry->versions = versions_new (place_broker (entry->place));
+  instance_broker (s, place_own_broker (entry->place), false);
+  entry->witness = crashrep_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
+  entry->versions = versions_new (place_own_broker (entry->place));
   RequestsConf conf = { entry->loop,   entry->seam,    entry->cli,     entry->place,
                         entry->budget, entry->servers, entry->witness, entry->versions };
   entry->requests = requests_new (&conf);
--- a/node/greet.c
+++ b/node/greet.c
@@ -179,7 +179,7 @@
   view->voters.voters_len = greet->voter_count;
   view->voters.voters_val = (u_int *) greet->voters;
   mesh_send (peer, &msg);
-  count_up (COUNT_GREETINGS);
+  count_inc (COUNT_GREETINGS);
 }
 
 static void
--- a/node/instance.c
+++ b/node/instance.c
@@ -37,7 +37,7 @@
   BrokerConf conf = { settings->handover_wait_ms * FT_MS, settings->return_part,
                       settings->return_place_part, settings->fair_shares };
 
-  broker_margin (broker, settings->limit_overage, (double) settings->limit_slack,
-                 (double) settings->limit_window_s, alone);
+  broker_set_margin (broker, settings->limit_overage, (double) settings->limit_slack,
+                     (double) settings->limit_window_s, alone);
   broker_configure (broker, &conf);
 }
--- a/node/instance.h
+++ b/node/instance.h
@@ -35,7 +35,8 @@
  * names the field. */
 Mesh *instance_links (const Settings *settings, MeshRole role, Loop *loop, const MeshOps *ops,
                       void *host, FtError *error);
-/* Gives a scheduler what the settings say of limits' margins and of load. alone: see quota_margin.
+/* Gives a scheduler what the settings say of limits' margins and of load. alone: see
+ * quota_set_margin.
  */
 void instance_broker (const Settings *settings, Broker *broker, bool alone);
 /* A random number that is not 0. */
--- a/node/main.c
+++ b/node/main.c
@@ -106,7 +106,7 @@
 {
   Process *process = owner;
   char *extra = process->instance->ops->describe (process->instance);
-  char *text = count_text (extra);
+  char *text = count_format (extra);
   GString *fields = g_string_new (NULL);
 
   hwrite_field (fields, "Content-Type", "text/plain; version=0.0.4");
@@ -139,9 +139,9 @@
 on_turned (void *data, const LoopTurn *turn)
 {
   (void) data;
-  count_time (TIMED_TURN, turn->took_us);
+  count_observe (TIMED_TURN, turn->took_us);
   if (turn->late_us >= 0)
-    count_time (TIMED_LATE, turn->late_us);
+    count_observe (TIMED_LATE, turn->late_us);
   if (turn->took_us >= SLOW_TURN)
     jlog (JLOG_INFO, "slow-turn", NULL, JL_MS ("took_ms", turn->took_us),
           JL_MS ("late_ms", turn->late_us), JL_TEXT ("longest", turn->longest),
--- a/node/operators.c
+++ b/node/operators.c
@@ -9,7 +9,7 @@
 #include "operators.h"
 #include "content.h"
 #include "jlog.h"
-#include "rollcalls.h"
+#include "rollapi.h"
 #include "squeeze.h"
 
 #include <string.h>
@@ -23,8 +23,8 @@
 typedef struct
 {
   uint64_t ticket;
-  uint64_t number;   /* of a catalogue; 0: it is none */
-  RollReply rollout; /* its service NULL: it is none */
+  uint64_t number;      /* of a catalogue; 0: it is none */
+  RollApiReply rollout; /* its service NULL: it is none */
   HCall *call;
   int64_t until;
 } Change;
@@ -211,7 +211,7 @@
 /* ---- Roll-outs ---- */
 
 static void
-reply_rollout (HCall *call, RollReply *reply)
+reply_rollout (HCall *call, RollApiReply *reply)
 {
   const char *text = reply->body ? reply->body->str : "{}\n";
 
@@ -219,7 +219,7 @@
     reply_text (call, 200, g_string_new (NULL), text, strlen (text));
   else
     reply_error (call, reply->status, reply->field, reply->why);
-  rollcall_clear (reply);
+  rollapi_reply_clear (reply);
 }
 
 /* False: it is no such call. */
@@ -227,18 +227,18 @@
 take_rollout_call (Operators *operators, HCall *call)
 {
   const HMsg *msg = hcall_msg (call);
-  RollCall kind = rollcall_of (operators->seam, hmsg_method (msg), hmsg_target (msg));
+  RollApiCall kind = rollapi_classify (operators->seam, hmsg_method (msg), hmsg_target (msg));
   Change change = { .call = call, .until = loop_now (operators->loop) + CHANGE_MOST };
 
-  if (kind == ROLLCALL_NONE)
+  if (kind == ROLLAPI_NONE)
     return false;
   if (!in_charge (operators))
     {
       pass_on (operators, call);
       return true;
     }
-  rollcall_answer (operators->seam, operators->rollouts, operators->cat, kind, msg,
-                   hcall_body (call), &change.rollout);
+  rollapi_handle (operators->seam, operators->rollouts, operators->cat, kind, msg,
+                  hcall_body (call), &change.rollout);
   change.ticket = change.rollout.ticket;
   if (change.rollout.status)
     reply_rollout (call, &change.rollout);
@@ -286,7 +286,7 @@
   for (unsigned i = 0; i < operators->changes->len; i++)
     if (g_array_index (operators->changes, Change, i).call == call)
       {
-        rollcall_clear (&g_array_index (operators->changes, Change, i).rollout);
+        rollapi_reply_clear (&g_array_index (operators->changes, Change, i).rollout);
         drop_change (operators, i);
         return;
       }
@@ -309,11 +309,11 @@
               JL_INT ("term", operators->status.term));
       if (status == FT_OK && change.rollout.service)
         {
-          rollcall_committed (operators->rollouts, &change.rollout);
+          rollapi_order_committed (operators->rollouts, &change.rollout);
           reply_rollout (change.call, &change.rollout);
           return;
         }
-      rollcall_clear (&change.rollout);
+      rollapi_reply_clear (&change.rollout);
       if (status == FT_OK)
         reply_text (change.call, 200, g_string_new (NULL), "{}\n", 3);
       else
@@ -332,7 +332,7 @@
       Change change = g_array_index (operators->changes, Change, i);
       if (now < change.until)
         continue;
-      rollcall_clear (&change.rollout);
+      rollapi_reply_clear (&change.rollout);
       drop_change (operators, i);
       reply_error (change.call, 503, "", "it is not known whether the change was accepted");
     }
@@ -371,7 +371,7 @@
     return;
   hsrv_free (operators->srv);
   for (unsigned i = 0; i < operators->changes->len; i++)
-    rollcall_clear (&g_array_index (operators->changes, Change, i).rollout);
+    rollapi_reply_clear (&g_array_index (operators->changes, Change, i).rollout);
   g_array_unref (operators->changes);
   g_free (operators);
 }
--- a/node/place.c
+++ b/node/place.c
@@ -93,7 +93,7 @@
   if (item->at)
     pmsg_done (item->at, item->number, &withdrawn);
   else
-    broker_done (place->own, item->number, &withdrawn);
+    broker_end (place->own, item->number, &withdrawn);
 }
 
 /* Failure: an entry behind a lossy path goes between schedulers several times a second, and each
@@ -112,13 +112,13 @@
 static void
 share (Place *place)
 {
-  unsigned askers = broker_askers (place->own), all = MAX (place->entries, 1);
+  unsigned askers = broker_asker_count (place->own), all = MAX (place->entries, 1);
   double places = (1.0 + askers) / all;
-  double overcommit = askers > 0 && broker_hands_over (place->own) ? 1 : OVERCOMMIT;
+  double overcommit = askers > 0 && broker_handover_enabled (place->own) ? 1 : OVERCOMMIT;
   double limits = (double) (askers + (place->current == NULL)) / all;
 
-  broker_expected (place->own, all);
-  broker_share (place->own, MIN (1, places * overcommit), MIN (1, limits), place->self);
+  broker_set_expected (place->own, all);
+  broker_set_shares (place->own, MIN (1, places * overcommit), MIN (1, limits), place->self);
 }
 
 static bool
@@ -138,7 +138,7 @@
 static void
 note_counted (const Place *place, Item *item)
 {
-  if (broker_hands_over (place->own)
+  if (broker_handover_enabled (place->own)
       && (item->at == NULL ? is_deputy (place) : item->at->heard - item->asked_at > COUNTED_AFTER))
     item->counted = true;
 }
@@ -157,18 +157,18 @@
     broker_take_over (place->own);
   if (before)
     say_turned_away (before);
-  jlog (JLOG_INFO, "scheduler", NULL, JL_TEXT ("by", place_by (place)), JL_TEXT ("why", why),
-        JL_INT ("peer", next ? next->ip : 0), JL_INT ("term", place->term),
+  jlog (JLOG_INFO, "scheduler", NULL, JL_TEXT ("by", place_scheduler_name (place)),
+        JL_TEXT ("why", why), JL_INT ("peer", next ? next->ip : 0), JL_INT ("term", place->term),
         JL_INT ("waiting", place->waiting));
   if (next == NULL || next->role == MESH_ENTRY)
-    count_up (COUNT_FALL_BACKS);
+    count_inc (COUNT_FALL_BACKS);
   pmsg_notices (place);
   g_hash_table_iter_init (&iter, place->items);
   while (next && g_hash_table_iter_next (&iter, NULL, &value))
     if (((Item *) value)->running)
       pmsg_ask (place, next, value);
-  if (next && broker_hands_over (place->own))
-    pmsg_reported (place, next);
+  if (next && broker_handover_enabled (place->own))
+    pmsg_report_end (place, next);
   g_hash_table_iter_init (&iter, place->items);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -264,7 +264,7 @@
 }
 
 void
-place_view (Place *place, MeshPeer *peer, const MeshView *view)
+place_apply_view (Place *place, MeshPeer *peer, const MeshView *view)
 {
   if (peer->role != MESH_VOTER)
     return;
@@ -289,10 +289,10 @@
 }
 
 void
-place_up (Place *place, MeshPeer *peer)
+place_link_up (Place *place, MeshPeer *peer)
 {
   if (!peer->dialled && peer->role == MESH_ENTRY)
-    broker_up (place->own, peer);
+    broker_link_up (place->own, peer);
 }
 
 static void
@@ -306,15 +306,15 @@
 }
 
 void
-place_down (Place *place, MeshPeer *peer)
+place_link_down (Place *place, MeshPeer *peer)
 {
   GHashTableIter iter;
   gpointer value;
 
   if (!peer->dialled)
-    broker_down (place->own, peer);
+    broker_link_down (place->own, peer);
   g_hash_table_remove (place->passed_over, peer);
-  spent_forget (place->spent, peer);
+  spent_forget_scheduler (place->spent, peer);
   if (place->voter == peer)
     place->voter = NULL;
   if (place->current == peer)
@@ -362,19 +362,19 @@
 note_report (Place *place, const MeshPeer *peer, const char *org, u_int fill)
 {
   if (fill != MESH_FILL_UNKNOWN)
-    spent_report (place->spent, peer, org, fill / 1e3);
+    spent_record_report (place->spent, peer, org, fill / 1e3);
 }
 
 static void
 on_own_grant (void *host, uint64_t number, const Grant *grant)
 {
   Place *place = host;
-  Item *item = place_item (place, number);
+  Item *item = place_find (place, number);
 
   if (item == NULL || item->running || item->at)
     return;
   run (place, item, grant->server.id);
-  spent_granted (place->spent, NULL, item->org, item->cost);
+  spent_record_grant (place->spent, NULL, item->org, item->cost);
   place->ops->grant (place->host, number, grant);
 }
 
@@ -382,7 +382,7 @@
 on_own_refuse (void *host, uint64_t number, const SchedRefusal *refusal)
 {
   Place *place = host;
-  Item *item = place_item (place, number);
+  Item *item = place_find (place, number);
 
   if (item == NULL || item->running || item->at)
     return;
@@ -398,13 +398,13 @@
 static bool
 is_withdrawn_from (const Place *place, const Item *item, const MeshPeer *peer)
 {
-  return item->at != peer && broker_hands_over (place->own);
+  return item->at != peer && broker_handover_enabled (place->own);
 }
 
 static void
 on_grant (Place *place, MeshPeer *peer, const MeshGrant *from)
 {
-  Item *item = place_item (place, from->request);
+  Item *item = place_find (place, from->request);
 
   if (item == NULL || item->running)
     {
@@ -418,7 +418,7 @@
     withdraw (place, item);
   run (place, item, from->server);
   item->paced = from->paced;
-  spent_granted (place->spent, peer, item->org, item->cost);
+  spent_record_grant (place->spent, peer, item->org, item->cost);
   note_report (place, peer, item->org, from->org_fill);
   broker_adopt (place->own, &item->ask, from->server, item->cost);
   Grant grant = { .server = { .id = from->server,
@@ -426,16 +426,16 @@
                               .addr = { from->ip, (uint16_t) from->port },
                               .leaving = from->ip == 0 },
                   .listed_at = loop_now (place->loop) - from->list_age_ms * FT_MS,
-                  .rest_most = from->max_idle_ms * FT_MS };
+                  .max_idle_us = from->max_idle_ms * FT_MS };
   place->ops->grant (place->host, from->request, &grant);
 }
 
 static void
 on_refuse (Place *place, const MeshPeer *peer, const MeshRefuse *from)
 {
-  Item *item = place_item (place, from->request);
+  Item *item = place_find (place, from->request);
   SchedRefusal refusal
-      = { .reason = from->reason < FT_REASONS ? from->reason : FT_REASON_SHORTAGE };
+      = { .reason = from->reason < FT_REASON_COUNT ? from->reason : FT_REASON_SHORTAGE };
 
   if (item == NULL || item->running || item->at != peer)
     return;
@@ -455,9 +455,9 @@
 static void
 take_message (Place *place, MeshPeer *peer, const MeshMsg *msg)
 {
-  if (msg->kind == MESH_ASK && !broker_asked (place->own, peer))
+  if (msg->kind == MESH_ASK && !broker_peer_asked (place->own, peer))
     {
-      broker_expect (place->own, peer);
+      broker_note_asker (place->own, peer);
       share (place);
     }
   broker_message (place->own, peer, msg);
@@ -514,7 +514,7 @@
 }
 
 Broker *
-place_broker (Place *place)
+place_own_broker (Place *place)
 {
   return place->own;
 }
@@ -539,57 +539,57 @@
 }
 
 void
-place_first (Place *place, uint64_t request, int64_t after_us)
+place_report_first (Place *place, uint64_t request, int64_t after_us)
 {
-  const Item *item = place_item (place, request);
+  const Item *item = place_find (place, request);
   MeshMsg msg = { .kind = MESH_FIRST_EVENT };
 
-  broker_first (place->own, request, after_us);
+  broker_report_first (place->own, request, after_us);
   msg.MeshMsg_u.first = (MeshFirstEvent){ request, after_us };
   if (item)
     pmsg_tell_all (item, &msg);
 }
 
 void
-place_silent (Place *place, uint64_t request)
+place_report_silence (Place *place, uint64_t request)
 {
-  const Item *item = place_item (place, request);
+  const Item *item = place_find (place, request);
   MeshMsg msg = { .kind = MESH_SILENCE };
 
-  broker_silent (place->own, request);
+  broker_report_silence (place->own, request);
   msg.MeshMsg_u.silent.request = request;
   if (item)
     pmsg_tell_all (item, &msg);
 }
 
 void
-place_done (Place *place, uint64_t request, const SchedResult *result)
+place_end (Place *place, uint64_t request, const SchedResult *result)
 {
-  Item *item = place_item (place, request);
+  Item *item = place_find (place, request);
 
   if (item == NULL)
     return;
   pmsg_done_all (item, result);
   drop (place, item);
-  broker_done (place->own, request, result);
+  broker_end (place->own, request, result);
 }
 
 bool
-place_by_voter (const Place *place)
+place_uses_voter (const Place *place)
 {
   return place->current && place->current->role == MESH_VOTER;
 }
 
 const char *
-place_by (const Place *place)
+place_scheduler_name (const Place *place)
 {
   if (place->current == NULL)
     return "own";
-  return place_by_voter (place) ? "voter" : "deputy";
+  return place_uses_voter (place) ? "voter" : "deputy";
 }
 
 unsigned
-place_waiting (const Place *place)
+place_waiting_count (const Place *place)
 {
   return place->waiting;
 }
--- a/node/place.h
+++ b/node/place.h
@@ -19,30 +19,30 @@
 Place *place_new (Loop *loop, Mesh *mesh, uint32_t self, const PlaceOps *ops, void *host);
 void place_free (Place *place);
 /* A voter's or a deputy's word on who schedules. */
-void place_view (Place *place, MeshPeer *peer, const MeshView *view);
+void place_apply_view (Place *place, MeshPeer *peer, const MeshView *view);
 /* Verdicts from schedulers; other messages are ignored. */
 void place_message (Place *place, MeshPeer *peer, const MeshMsg *msg);
-void place_up (Place *place, MeshPeer *peer);
-void place_down (Place *place, MeshPeer *peer);
+void place_link_up (Place *place, MeshPeer *peer);
+void place_link_down (Place *place, MeshPeer *peer);
 /* What the entry's own scheduler works with, and other entries may ask. */
-Broker *place_broker (Place *place);
+Broker *place_own_broker (Place *place);
 
 /* cost: tokens or requests counted against the organisation's limit; 0: none, or counted before. */
 void place_ask (Place *place, const SchedAsk *ask, double cost);
-void place_first (Place *place, uint64_t request, int64_t after_us);
+void place_report_first (Place *place, uint64_t request, int64_t after_us);
 /* The head of the answer to the request said this of its server; empty: nothing. */
-NoticesTaken place_notice (Place *place, uint64_t request, const char *server,
-                           const Notice *notice);
+NoticesChange place_report_notice (Place *place, uint64_t request, const char *server,
+                                   const Notice *notice);
 /* The server said something that cannot be read. True: for the first time. */
-bool place_unread (Place *place, const char *server);
+bool place_report_unreadable (Place *place, const char *server);
 /* Why the entry sends nothing to the server, by the server's own word: "leaving", or "backoff" and
  * for how long; NULL: it may. Schedulers are told again. */
-const char *place_withholds (Place *place, const char *server, int64_t *for_us);
-void place_silent (Place *place, uint64_t request);
-void place_done (Place *place, uint64_t request, const SchedResult *result);
+const char *place_block_reason (Place *place, const char *server, int64_t *for_us);
+void place_report_silence (Place *place, uint64_t request);
+void place_end (Place *place, uint64_t request, const SchedResult *result);
 /* Who schedules for this entry: "voter", "deputy" or "own". */
-const char *place_by (const Place *place);
-bool place_by_voter (const Place *place);
-unsigned place_waiting (const Place *place);
+const char *place_scheduler_name (const Place *place);
+bool place_uses_voter (const Place *place);
+unsigned place_waiting_count (const Place *place);
 
 #endif
--- a/node/placeint.h
+++ b/node/placeint.h
@@ -46,7 +46,7 @@
 };
 
 static inline Item *
-place_item (const Place *place, uint64_t number)
+place_find (const Place *place, uint64_t number)
 {
   return g_hash_table_lookup (place->items, &number);
 }
@@ -56,7 +56,7 @@
 /* Asks the scheduler for a place, or tells it where the request runs. */
 void pmsg_ask (Place *place, MeshPeer *peer, Item *item);
 /* Says that the scheduler has been told all that runs, and what is known of the limits. */
-void pmsg_reported (Place *place, MeshPeer *peer);
+void pmsg_report_end (Place *place, MeshPeer *peer);
 /* The request has ended at its server, or waits here no more. */
 void pmsg_done (MeshPeer *peer, uint64_t number, const SchedResult *result);
 /* The same to all that have it in their ledgers. */
--- a/node/placemsg.c
+++ b/node/placemsg.c
@@ -37,9 +37,9 @@
   double full;
   int64_t age, given_for;
 
-  out.spent_tokens = (unsigned) spent_elsewhere (place->spent, peer, org, &given_for);
+  out.spent_tokens = (unsigned) spent_take_untold (place->spent, peer, org, &given_for);
   out.spent_ms = (u_int) (given_for / FT_MS);
-  if (!spent_reported (place->spent, peer, org, &full, &age))
+  if (!spent_latest_report (place->spent, peer, org, &full, &age))
     return out;
   out.org_fill = (u_int) (full * 1e3);
   out.org_fill_ms = (u_int) (age / FT_MS);
@@ -90,7 +90,7 @@
 }
 
 void
-pmsg_reported (Place *place, MeshPeer *peer)
+pmsg_report_end (Place *place, MeshPeer *peer)
 {
   MeshMsg msg = { .kind = MESH_REPORT_END };
   MeshReportEnd *out = &msg.MeshMsg_u.reported;
@@ -119,7 +119,7 @@
                      .event_us = result->event_us,
                      .answer_us = result->answer_us,
                      .broke = result->broke,
-                     .conn_idle_ms = (u_int) ((result->rested_us + FT_MS - 1) / FT_MS) };
+                     .conn_idle_ms = (u_int) ((result->conn_idle_us + FT_MS - 1) / FT_MS) };
 }
 
 void
@@ -165,7 +165,7 @@
   if (place->current)
     send_notice (place->current, 0, server, notice, age);
   else
-    broker_notice_before (place->own, server, notice, age);
+    broker_past_notice (place->own, server, notice, age);
 }
 
 void
@@ -183,11 +183,11 @@
   return false;
 }
 
-NoticesTaken
-place_notice (Place *place, uint64_t request, const char *server, const Notice *notice)
+NoticesChange
+place_report_notice (Place *place, uint64_t request, const char *server, const Notice *notice)
 {
-  const Item *item = place_item (place, request);
-  NoticesTaken taken = notices_take (place->notices, server, notice);
+  const Item *item = place_find (place, request);
+  NoticesChange taken = notices_record (place->notices, server, notice);
 
   broker_notice (place->own, request, server, notice);
   if (item == NULL || (taken == NOTICES_NONE && !item->paced))
@@ -201,22 +201,22 @@
 }
 
 bool
-place_unread (Place *place, const char *server)
+place_report_unreadable (Place *place, const char *server)
 {
-  return notices_unread (place->notices, server);
+  return notices_record_unreadable (place->notices, server);
 }
 
 const char *
-place_withholds (Place *place, const char *server, int64_t *for_us)
+place_block_reason (Place *place, const char *server, int64_t *for_us)
 {
   Notice notice;
-  const char *why = notices_forbid (place->notices, server, &notice);
+  const char *why = notices_block_reason (place->notices, server, &notice);
 
   *for_us = notice.backoff_us;
   if (why == NULL)
     return NULL;
   /* Whoever granted it has not heard, or has lost it with a list that lacked the server. */
-  broker_notice_before (place->own, server, &notice, 0);
+  broker_past_notice (place->own, server, &notice, 0);
   if (place->current)
     send_notice (place->current, 0, server, &notice, 0);
   return why;
--- a/node/publish.c
+++ b/node/publish.c
@@ -221,7 +221,7 @@
   if (contact->urgent != pub->view_urgent
       || (contact->viewed != pub->view_number && now - contact->viewed_at >= every))
     send_view (pub, contact, now);
-  else if (broker_waits (pub->broker, contact->peer))
+  else if (broker_peer_waits (pub->broker, contact->peer))
     mesh_keep_alive (contact->peer, VIEW_WAITING);
   else
     mesh_keep_alive (contact->peer, every);
--- a/node/reader.c
+++ b/node/reader.c
@@ -206,15 +206,15 @@
 }
 
 unsigned
-reader_pages (const Reader *reader)
+reader_last_pages (const Reader *reader)
 {
   return MAX (reader->pages_before, 1);
 }
 
 unsigned
-reader_calls (const Reader *reader, unsigned servers)
+reader_estimate_calls (const Reader *reader, unsigned servers)
 {
-  return MAX (reader_pages (reader), servers / PAGE_SERVERS);
+  return MAX (reader_last_pages (reader), servers / PAGE_SERVERS);
 }
 
 /* Failure: a list of 60 pages is read by a voter for a second, and is older than the entries bear
@@ -222,13 +222,13 @@
  * are the voter's, and nobody knows of a change any more. What is borne, and how often each reads,
  * follow the number of calls. */
 int64_t
-reader_age_borne (const ReaderNeed *need)
+reader_max_age (const ReaderFallback *need)
 {
   return (need->for_others ? AGE_FOR_ALL : AGE_BORNE) + need->calls * AGE_CALL;
 }
 
 int64_t
-reader_interval (const ReaderNeed *need)
+reader_fallback_interval (const ReaderFallback *need)
 {
   double rate = MAX (need->rate * RATE_PART, 0.01);
   double shared = 1e6 * need->calls * need->readers / rate;
@@ -242,15 +242,15 @@
  * moment. Symptom: thousands of calls in a second, far beyond the platform's rate. They begin at
  * different moments of the time that all of them together need. */
 int64_t
-reader_first (const ReaderNeed *need, uint64_t draw)
+reader_first_delay (const ReaderFallback *need, uint64_t draw)
 {
-  int64_t beyond = reader_interval (need) - EVERY_LEAST;
+  int64_t beyond = reader_fallback_interval (need) - EVERY_LEAST;
 
   return need->for_others || beyond <= 0 ? 0 : (int64_t) (draw % (uint64_t) beyond);
 }
 
 int64_t
-reader_every (const ReaderPlan *plan)
+reader_pass_interval (const ReaderSchedule *plan)
 {
   int64_t least = plan->in_charge ? LIST_EVERY : LIST_ALONE;
   int64_t most = MAX (least, plan->drain_us - LIST_PUSH);
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -18,7 +18,7 @@
     return 1;
   if (req->facts.has_tokens)
     return req->facts.prompt_tokens + req->facts.output_most;
-  return req->org->plain_tokens;
+  return req->org->default_tokens;
 }
 
 static unsigned
@@ -35,8 +35,8 @@
 static unsigned
 name_kept (HCli *cli, uint32_t *kept)
 {
-  const char *keys[SCHED_KEPT_MOST];
-  unsigned count = hcli_idle_keys (cli, keys, SCHED_KEPT_MOST);
+  const char *keys[SCHED_CONNECTED_MAX];
+  unsigned count = hcli_idle_keys (cli, keys, SCHED_CONNECTED_MAX);
 
   for (unsigned i = 0; i < count; i++)
     kept[i] = sched_server_digest (keys[i]);
@@ -47,7 +47,7 @@
 ask (Req *req)
 {
   SchedAsk out = { 0 };
-  uint32_t kept[SCHED_KEPT_MOST];
+  uint32_t kept[SCHED_CONNECTED_MAX];
 
   req->number = ++req->all->next_number;
   g_hash_table_insert (req->all->by_number, &req->number, req);
@@ -62,16 +62,16 @@
   out.request = req->number;
   out.service = req->service;
   out.org = req->org ? req->org->name : "";
-  out.tier = rt_order (req->route, req->org);
+  out.tier = rt_priority (req->route, req->org);
   out.stream = req->route->kind == RT_STREAM;
-  out.repeatable = rt_route_repeatable (req->route);
+  out.repeatable = rt_route_is_repeatable (req->route);
   out.prompt_tokens = req->facts.prompt_tokens;
   out.output_tokens = expected_tokens (&req->facts);
   out.shared_part = req->facts.shared_part;
   out.content = req->content;
   out.route = g_str_hash (req->route->name);
   out.gap_us = req->route->gap_us;
-  out.aim_at = req->arrived + req->route->aim_us - req->waited_before;
+  out.aim_at = req->arrived + req->route->target_us - req->waited_before;
   out.limit_at = req->begun ? req_now (req) + SILENT_EVENT : req->first_by;
   out.end_at = req->end_at;
   out.avoid = req->avoid;
@@ -85,36 +85,36 @@
 static void
 end_quarantined (Req *req, const QuarVerdict *verdict)
 {
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
   const char *why = ft_reason_info (FT_REASON_QUARANTINED)->code;
 
-  count_up (COUNT_QUARANTINED);
+  count_inc (COUNT_QUARANTINED);
   jlog (JLOG_INFO, "decision", req->id, JL_TEXT ("reason", why),
-        JL_TEXT ("content", content_text (req->content, content)), JL_INT ("ends", verdict->ends),
-        JL_MS ("known_ms", verdict->known_us), JL_TEXT ("by", "entry"));
+        JL_TEXT ("content", content_format (req->content, content)), JL_INT ("ends", verdict->ends),
+        JL_MS ("known_ms", verdict->blocked_for_us), JL_TEXT ("by", "entry"));
   if (req->begun)
     req_break_off (req, why);
   else if (req->may_have_run)
-    req_answer_own (req, 502, 0, why);
+    req_answer_error (req, 502, 0, why);
   else /* as late as a caller heeds: nothing lets the content go within its time */
-    req_answer_own (req, 503, MAX (50 * FT_MS, (req->end_at - req_now (req)) / 3), why);
+    req_answer_error (req, 503, MAX (50 * FT_MS, (req->end_at - req_now (req)) / 3), why);
 }
 
 void
 req_ask (Req *req)
 {
-  QuarVerdict verdict = witness_judge (req->all->conf.witness, req->content);
+  QuarVerdict verdict = crashrep_check (req->all->conf.witness, req->content);
 
-  if (verdict.state == QUAR_HELD)
+  if (verdict.state == QUAR_BLOCKED)
     end_quarantined (req, &verdict);
-  else if (verdict.state == QUAR_SETTLES)
-    loop_timer_set (req->all->conf.loop, &req->settle, verdict.settles_at);
+  else if (verdict.state == QUAR_RECHECK)
+    loop_timer_set (req->all->conf.loop, &req->settle, verdict.recheck_at);
   else
     ask (req);
 }
 
 void
-req_on_settled (LoopTimer *timer)
+req_on_verdict_wait_over (LoopTimer *timer)
 {
   req_ask ((Req *) ((char *) timer - offsetof (Req, settle)));
 }
@@ -122,7 +122,7 @@
 static bool
 is_stopped (const Req *req)
 {
-  return witness_judge (req->all->conf.witness, req->content).state >= QUAR_SETTLES;
+  return crashrep_check (req->all->conf.witness, req->content).state >= QUAR_RECHECK;
 }
 
 /* Gives back the place that was granted or is waited for, and asks again. */
@@ -131,13 +131,13 @@
 {
   static const SchedResult withdrawn = { .outcome = SCHED_LEFT };
 
-  place_done (req->all->conf.place, req->number, &withdrawn);
-  req_forget_number (req);
+  place_end (req->all->conf.place, req->number, &withdrawn);
+  req_clear_number (req);
   req_ask (req);
 }
 
 void
-req_on_review (LoopTimer *timer)
+req_on_recheck (LoopTimer *timer)
 {
   Requests *all = (Requests *) ((char *) timer - offsetof (Requests, review));
   GPtrArray *stopped = g_ptr_array_new ();
@@ -157,7 +157,7 @@
  * Symptom: its request, looked at in the middle of its own break, is ended twice, and the entry
  * dies. In the loop's next turn each request without a transfer waits for a place. */
 void
-requests_review (Requests *all)
+requests_recheck (Requests *all)
 {
   loop_timer_set (all->conf.loop, &all->review, loop_now (all->conf.loop));
 }
@@ -172,7 +172,7 @@
   const SeamServer *held = servers_find (all->conf.servers, id);
 
   if (held)
-    return held->leaving || versions_bar (all->conf.versions, held->service, held->version);
+    return held->leaving || versions_is_blocked (all->conf.versions, held->service, held->version);
   return servers_asked_at (all->conf.servers) > listed_at;
 }
 
@@ -182,13 +182,13 @@
 {
   Place *place = req->all->conf.place;
   int64_t left;
-  const char *why = place_withholds (place, req->server, &left);
+  const char *why = place_block_reason (place, req->server, &left);
 
   if (why == NULL)
     return false;
-  count_up (COUNT_WITHHELD);
+  count_inc (COUNT_GRANTS_RETURNED);
   jlog (JLOG_INFO, "grant-returned", req->id, JL_TEXT ("server", req->server), JL_TEXT ("why", why),
-        JL_MS ("left_ms", left), JL_TEXT ("by", place_by (place)));
+        JL_MS ("left_ms", left), JL_TEXT ("by", place_scheduler_name (place)));
   return true;
 }
 
@@ -201,12 +201,12 @@
   if (req == NULL)
     return;
   req->placed = true;
-  count_time (TIMED_WAIT, req_now (req) - req->arrived);
+  count_observe (TIMED_WAIT, req_now (req) - req->arrived);
   g_free (req->server);
   req->server = g_strdup (server->id);
   jlog (JLOG_DEBUG, "send", req->id, JL_TEXT ("server", server->id),
         JL_MS ("waited_ms", req_now (req) - req->arrived),
-        JL_TEXT ("by", place_by (all->conf.place)),
+        JL_TEXT ("by", place_scheduler_name (all->conf.place)),
         JL_MS ("list_age_ms", req_now (req) - grant->listed_at));
   if (server->leaving || is_known_gone (all, server->id, grant->listed_at) || is_withheld (req))
     {
@@ -228,14 +228,15 @@
 
   if (req == NULL)
     return;
-  req_forget_number (req);
+  req_clear_number (req);
   jlog (JLOG_INFO, "decision", req->id, JL_TEXT ("reason", info->code),
         JL_TEXT ("rule", refusal->rule), JL_MS ("retry_ms", refusal->retry_after_us),
-        JL_TEXT ("by", place_by (all->conf.place)));
+        JL_TEXT ("by", place_scheduler_name (all->conf.place)));
   if (req->begun)
     req_break_off (req, info->code);
   else if (req->may_have_run)
-    req_answer_own (req, 502, 0, "outcome-unknown");
+    req_answer_error (req, 502, 0, "outcome-unknown");
   else
-    req_answer_own (req, info->http_status == 429 ? 429 : 503, refusal->retry_after_us, info->code);
+    req_answer_error (req, info->http_status == 429 ? 429 : 503, refusal->retry_after_us,
+                      info->code);
 }
--- a/node/reqend.c
+++ b/node/reqend.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 void
-req_forget_number (Req *req)
+req_clear_number (Req *req)
 {
   if (req->number)
     g_hash_table_remove (req->all->by_number, &req->number);
@@ -19,7 +19,7 @@
 {
   Loop *loop = req->all->conf.loop;
 
-  req_forget_number (req);
+  req_clear_number (req);
   g_ptr_array_remove_fast (req->all->parked, req);
   loop_timer_stop (loop, &req->limit);
   loop_timer_stop (loop, &req->silence);
@@ -43,8 +43,8 @@
 void
 req_log_end (const Req *req, const char *event, unsigned status, const char *why)
 {
-  char buffer[CONTENT_TEXT];
-  const char *content = req->content ? content_text (req->content, buffer) : "";
+  char buffer[CONTENT_ID_SIZE];
+  const char *content = req->content ? content_format (req->content, buffer) : "";
   jlog (JLOG_INFO, event, req->id, JL_INT ("status", status), JL_TEXT ("why", why),
         JL_TEXT ("route", req->route ? req->route->name : ""),
         JL_TEXT ("org", req->org ? req->org->name : ""), JL_TEXT ("content", content),
@@ -52,10 +52,10 @@
         JL_TEXT ("server", req->server), JL_INT ("sends", req->sends),
         JL_INT ("may_have_run", req->may_have_run), JL_INT ("events", req->events),
         JL_MS ("first_ms", req->first_at ? req->first_at - req->arrived : -1),
-        JL_MS ("aim_ms", req->route ? req->route->aim_us : 0),
+        JL_MS ("aim_ms", req->route ? req->route->target_us : 0),
         JL_MS ("sent_ms", req->sent_at ? req->sent_at - req->arrived : -1),
         JL_MS ("back_ms", req->waited_before),
-        JL_INT ("tier", req->route ? rt_order (req->route, req->org) : 0),
+        JL_INT ("tier", req->route ? rt_priority (req->route, req->org) : 0),
         JL_INT ("prompt", req->facts.prompt_tokens), JL_INT ("most", req->facts.output_most),
         JL_INT ("guess", req->facts.output_guess), JL_MS ("pause_ms", req->pause_most),
         JL_INT ("slowness", req->slowness), JL_INT ("kept", req->rested > 0),
@@ -74,7 +74,7 @@
   req->xfer = NULL;
   if (xfer)
     {
-      witness_left (req->all->conf.witness, req->server, req->content, req->id);
+      crashrep_abandoned (req->all->conf.witness, req->server, req->content, req->id);
       hxfer_cancel (xfer);
     }
   if (req->number == 0)
@@ -84,20 +84,20 @@
   if (req->sent_at)
     result.answer_us = now - req->sent_at;
   result.broke = req->broke;
-  result.rested_us = req->rested;
-  place_done (req->all->conf.place, req->number, &result);
-  req_forget_number (req);
+  result.conn_idle_us = req->rested;
+  place_end (req->all->conf.place, req->number, &result);
+  req_clear_number (req);
 }
 
 void
-req_answer_own (Req *req, unsigned status, int64_t retry_us, const char *why)
+req_answer_error (Req *req, unsigned status, int64_t retry_us, const char *why)
 {
   GString *fields = g_string_new (NULL);
   bool refused = status == 503 || status == 429;
   char *body = g_strdup_printf ("{\"reason\":\"%s\",\"ran\":\"%s\",\"retry_after_ms\":%d}\n", why,
                                 req->may_have_run ? "unknown" : "no", (int) (retry_us / FT_MS));
 
-  count_up (refused ? COUNT_REFUSED : COUNT_UNKNOWN);
+  count_inc (refused ? COUNT_REFUSED : COUNT_UNKNOWN);
   req_log_end (req, refused ? "refuse" : "fail", status, why);
   hwrite_field (fields, "Content-Type", "application/json");
   req->all->conf.seam->write_own (fields, *req->id ? req->id : NULL, retry_us);
@@ -110,7 +110,7 @@
 void
 req_break_off (Req *req, const char *why)
 {
-  count_up (COUNT_BROKEN_OFF);
+  count_inc (COUNT_BROKEN_OFF);
   req_log_end (req, "break-off", req->status, why);
   hcall_abort (req->call);
   req_free (req);
@@ -119,8 +119,8 @@
 void
 req_finish (Req *req)
 {
-  count_up (COUNT_ANSWERED);
-  count_time (TIMED_WHOLE, req_now (req) - req->arrived);
+  count_inc (COUNT_ANSWERED);
+  count_observe (TIMED_WHOLE, req_now (req) - req->arrived);
   req_log_end (req, "answer", req->status, "");
   if (req->begun)
     hcall_end (req->call);
--- a/node/reqint.h
+++ b/node/reqint.h
@@ -7,7 +7,7 @@
 #include "patience.h"
 #include "requests.h"
 #include "retry.h"
-#include "witness.h"
+#include "crashrep.h"
 
 #define SILENT_EVENT                                                                               \
   (1200 * FT_MS) /* between events: above a long prompt's stall of neighbours                      \
@@ -78,22 +78,22 @@
  * or ended. */
 void req_ask (Req *req);
 /* When it has been held back for long enough. */
-void req_on_settled (LoopTimer *timer);
+void req_on_verdict_wait_over (LoopTimer *timer);
 /* When verdicts on contents have changed. */
-void req_on_review (LoopTimer *timer);
+void req_on_recheck (LoopTimer *timer);
 
 /* ---- Ends (reqend.c) ---- */
 
 int64_t req_now (const Req *req);
 /* Verdicts on the ask that was open are no longer for this request. */
-void req_forget_number (Req *req);
+void req_clear_number (Req *req);
 /* The line of the request's end, with all that decided it. */
 void req_log_end (const Req *req, const char *event, unsigned status, const char *why);
 /* Ends the try that is open, if one is, and tells the scheduler what came of it. */
 void req_end_try (Req *req, SchedOutcome outcome);
 /* The three ends of a request; req is gone after. An answer of this instance's own, which no server
  * has signed; retry_us: advice when to come back, 0: none. */
-void req_answer_own (Req *req, unsigned status, int64_t retry_us, const char *why);
+void req_answer_error (Req *req, unsigned status, int64_t retry_us, const char *why);
 /* The caller's connection is broken off, so that what it has cannot be taken for whole. */
 void req_break_off (Req *req, const char *why);
 /* The server's answer is whole. */
@@ -105,7 +105,7 @@
 /* Sends the request; req_after_try follows. */
 void try_send (Req *req, const Grant *grant);
 /* The caller has read on. */
-void try_room (Req *req);
+void try_caller_drained (Req *req);
 /* When the server of a try has been silent for too long. */
 void try_on_silence (LoopTimer *timer);
 
--- a/node/requests.c
+++ b/node/requests.c
@@ -37,11 +37,11 @@
 {
   switch (event)
     {
-    case RETRY_UNREACHED:
+    case RETRY_NOT_CONNECTED:
       return SCHED_UNREACHED;
     case RETRY_REJECTED:
       return SCHED_REJECTED;
-    case RETRY_GONE:
+    case RETRY_OTHER_SERVER:
       return SCHED_GONE;
     case RETRY_ANSWERED:
       return SCHED_OK;
@@ -64,11 +64,11 @@
                        .most_sends = req->route->attempts,
                        .unreached = req->unreached,
                        .left_us = req->end_at - req_now (req),
-                       .suspect = witness_judge (all->conf.witness, req->content).ends > 0,
+                       .suspect = crashrep_check (all->conf.witness, req->content).ends > 0,
                        .budget = true };
   RetryStep step = retry_next (event, &facts);
 
-  if (retry_draws (event, step) && !budget_take (all->conf.budget, req->service))
+  if (retry_uses_budget (event, step) && !budget_take (all->conf.budget, req->service))
     {
       facts.budget = false;
       step = retry_next (event, &facts);
@@ -82,7 +82,7 @@
           JL_TEXT ("fault", req->faulty ? hxfer_fault_name (req->fault) : ""));
   if (step == RETRY_WAIT)
     {
-      place_silent (all->conf.place, req->number);
+      place_report_silence (all->conf.place, req->number);
       return;
     }
   req_end_try (req, outcome_of (event));
@@ -94,21 +94,21 @@
       req->avoid = g_strdup (req->server);
       if (req->stream)
         events_drop_partial (req->stream);
-      if (event != RETRY_UNREACHED)
-        count_up (step == RETRY_RESUME ? COUNT_RESUMES : COUNT_REPEATS);
+      if (event != RETRY_NOT_CONNECTED)
+        count_inc (step == RETRY_RESUME ? COUNT_RESUMES : COUNT_REPEATS);
       req_ask (req);
       break;
     case RETRY_DELIVER:
       req_finish (req);
       break;
-    case RETRY_SAY_NOT_RUN:
-      req_answer_own (req, 503, advice (req), "no-server-took-it");
+    case RETRY_ANSWER_NOT_RUN:
+      req_answer_error (req, 503, advice (req), "no-server-took-it");
       break;
-    case RETRY_BREAK_OFF:
+    case RETRY_ABORT:
       req_break_off (req, retry_event_name (event));
       break;
     default:
-      req_answer_own (req, 502, 0, "outcome-unknown");
+      req_answer_error (req, 502, 0, "outcome-unknown");
       break;
     }
 }
@@ -122,13 +122,13 @@
 
   req_end_try (req, SCHED_LEFT);
   if (req->route == NULL)
-    req_answer_own (req, 503, ADVICE_STARTING, "no-catalogue");
+    req_answer_error (req, 503, ADVICE_STARTING, "no-catalogue");
   else if (req->begun)
     req_break_off (req, "time-limit");
   else if (req->may_have_run)
-    req_answer_own (req, 504, 0, "time-limit");
+    req_answer_error (req, 504, 0, "time-limit");
   else
-    req_answer_own (req, 503, advice (req), "time-limit");
+    req_answer_error (req, 503, advice (req), "time-limit");
 }
 
 static Req *
@@ -143,13 +143,13 @@
   req->held = g_string_new (NULL);
   req->limit.fire = on_limit;
   req->silence.fire = try_on_silence;
-  req->settle.fire = req_on_settled;
+  req->settle.fire = req_on_verdict_wait_over;
   req->arrived = req->end_at = hcall_arrived (call);
   all->conf.seam->read_request (hcall_msg (call), &req->facts);
   if (req->facts.id)
     g_strlcpy (req->id, req->facts.id, sizeof req->id);
   all->open++;
-  count_up (COUNT_REQUESTS);
+  count_inc (COUNT_REQUESTS);
   hcall_set_user (call, req);
   return req;
 }
@@ -164,13 +164,13 @@
   req->route = rt_cat_route (req->cat, host ? host : "", hmsg_target (msg));
   if (req->route == NULL)
     {
-      req_answer_own (req, 404, 0, "no-such-route");
+      req_answer_error (req, 404, 0, "no-such-route");
       return false;
     }
   req->org = rt_cat_org_by_key (req->cat, req->facts.key);
   if (req->org == NULL && rt_cat_has_orgs (req->cat) && !req->route->open)
     {
-      req_answer_own (req, 401, 0, "no-key");
+      req_answer_error (req, 401, 0, "no-key");
       return false;
     }
   return true;
@@ -202,14 +202,14 @@
                                             : req->route->timeout_us;
   req->end_at = req->arrived + patience;
   if (req->facts.patience_us)
-    req->waited_before = patience_note (all->patience, req->route->name, req->facts.patience_us);
+    req->waited_before = patience_record (all->patience, req->route->name, req->facts.patience_us);
   req->first_by = req->end_at;
   if (req->route->kind == RT_STREAM)
     req->first_by = MIN (
         req->end_at,
-        req->arrived + all->conf.seam->first_patience (req->route->aim_us, req->route->gap_us));
+        req->arrived + all->conf.seam->first_patience (req->route->target_us, req->route->gap_us));
   req->service = rt_route_target (req->route, g_random_int ());
-  budget_note (all->conf.budget, req->service);
+  budget_count_request (all->conf.budget, req->service);
   loop_timer_set (all->conf.loop, &req->limit, req->end_at);
   req_ask (req);
 }
@@ -228,7 +228,7 @@
 }
 
 void
-requests_take (Requests *all, HCall *call)
+requests_handle (Requests *all, HCall *call)
 {
   Req *req = req_new (all, call);
 
@@ -239,27 +239,27 @@
 }
 
 void
-requests_gone (Requests *all, HCall *call)
+requests_caller_left (Requests *all, HCall *call)
 {
   Req *req = hcall_user (call);
 
   (void) all;
   if (req == NULL)
     return;
-  count_up (COUNT_LEFT);
+  count_inc (COUNT_CALLERS_LEFT);
   req_log_end (req, "left", 0, "the caller closed its connection");
   req_end_try (req, SCHED_LEFT);
   req_free (req);
 }
 
 void
-requests_room (Requests *all, HCall *call)
+requests_caller_drained (Requests *all, HCall *call)
 {
   Req *req = hcall_user (call);
 
   (void) all;
   if (req)
-    try_room (req);
+    try_caller_drained (req);
 }
 
 /* ---- All of them ---- */
@@ -271,7 +271,7 @@
 
   all->conf = *conf;
   all->patience = patience_new (loop_clock (conf->loop));
-  all->review.fire = req_on_review;
+  all->review.fire = req_on_recheck;
   all->by_number = g_hash_table_new (g_int64_hash, g_int64_equal);
   all->parked = g_ptr_array_new ();
   return all;
@@ -291,7 +291,7 @@
 }
 
 void
-requests_catalogue (Requests *all, RtCat *cat)
+requests_set_catalogue (Requests *all, RtCat *cat)
 {
   rt_cat_unref (all->cat);
   all->cat = rt_cat_ref (cat);
@@ -305,7 +305,7 @@
 }
 
 unsigned
-requests_open (const Requests *all)
+requests_open_count (const Requests *all)
 {
   return all->open;
 }
--- a/node/requests.h
+++ b/node/requests.h
@@ -9,7 +9,7 @@
 #include "place.h"
 #include "servers.h"
 #include "versions.h"
-#include "witness.h"
+#include "crashrep.h"
 
 typedef struct Requests Requests;
 
@@ -19,27 +19,27 @@
   const Seam *seam;
   HCli *cli;
   Place *place;
-  Budget *budget;
+  RetryBudget *budget;
   const Servers *servers;
-  Witness *witness;
-  const RouteVersions *versions;
+  CrashReporter *witness;
+  const EntryVersions *versions;
 } RequestsConf;
 
 Requests *requests_new (const RequestsConf *conf);
 void requests_free (Requests *requests);
 /* Requests that come from now on are handled by cat; those under way keep theirs. */
-void requests_catalogue (Requests *requests, RtCat *cat);
+void requests_set_catalogue (Requests *requests, RtCat *cat);
 /* A whole request of a caller; answered from within or later. */
-void requests_take (Requests *requests, HCall *call);
+void requests_handle (Requests *requests, HCall *call);
 /* Its caller has left. */
-void requests_gone (Requests *requests, HCall *call);
+void requests_caller_left (Requests *requests, HCall *call);
 /* Its caller, who read its answer too slowly, has read on. */
-void requests_room (Requests *requests, HCall *call);
+void requests_caller_drained (Requests *requests, HCall *call);
 /* The scheduler's verdicts. */
 void requests_grant (Requests *requests, uint64_t number, const Grant *grant);
 void requests_refuse (Requests *requests, uint64_t number, const SchedRefusal *refusal);
 /* The witness's verdicts may have changed: looks again at requests that wait for a place. */
-void requests_review (Requests *requests);
-unsigned requests_open (const Requests *requests);
+void requests_recheck (Requests *requests);
+unsigned requests_open_count (const Requests *requests);
 
 #endif
--- a/node/rollcalls.c
+++ b/node/rollapi.c
@@ -1,11 +1,11 @@
-/* rollcalls.c - what an order of a version means, is checked against, and answered with.
+/* rollapi.c - what an order of a version means, is checked against, and answered with.
  *
  * Own calls:
  *     POST   /v1/rollouts           {"service": "s", "target": "v2", "limit_s": 60}
  *     GET    /v1/rollouts/SERVICE   what is known of the newest one
  *     DELETE /v1/rollouts/SERVICE   rolls back what is under way
  */
-#include "rollcalls.h"
+#include "rollapi.h"
 
 #include <string.h>
 
@@ -13,29 +13,29 @@
 #define LIMIT_MOST 604800 /* seconds; a move that takes a week is none */
 #define NAME_MOST  100    /* bytes; as versions in the list of servers */
 
-RollCall
-rollcall_of (const Seam *seam, const char *method, const char *target)
+RollApiCall
+rollapi_classify (const Seam *seam, const char *method, const char *target)
 {
   bool one = g_str_has_prefix (target, OWN_PATH "/");
 
   switch (seam->call (method, target))
     {
     case SEAM_CALL_ROLLOUT_START:
-      return ROLLCALL_START;
+      return ROLLAPI_START;
     case SEAM_CALL_ROLLOUT_STATE:
-      return ROLLCALL_STATE;
+      return ROLLAPI_STATE;
     default:
       break;
     }
   if (strcmp (method, "POST") == 0 && strcmp (target, OWN_PATH) == 0)
-    return ROLLCALL_OWN_START;
+    return ROLLAPI_OWN_START;
   if (one && strcmp (method, "GET") == 0)
-    return ROLLCALL_OWN_STATE;
-  return one && strcmp (method, "DELETE") == 0 ? ROLLCALL_OWN_ABORT : ROLLCALL_NONE;
+    return ROLLAPI_OWN_STATE;
+  return one && strcmp (method, "DELETE") == 0 ? ROLLAPI_OWN_ABORT : ROLLAPI_NONE;
 }
 
 static void
-fail (RollReply *reply, unsigned status, const char *field, const char *why)
+fail (RollApiReply *reply, unsigned status, const char *field, const char *why)
 {
   reply->status = status;
   reply->field = field;
@@ -76,7 +76,7 @@
 }
 
 static void
-take_order (Rollouts *rollouts, const RtCat *cat, const SeamRollout *order, RollReply *reply)
+take_order (Rollouts *rollouts, const RtCat *cat, const SeamRollout *order, RollApiReply *reply)
 {
   if (cat == NULL)
     {
@@ -108,7 +108,7 @@
 
 static void
 start (const Seam *seam, Rollouts *rollouts, const RtCat *cat, bool own, const GByteArray *body,
-       RollReply *reply)
+       RollApiReply *reply)
 {
   SeamRollout order = { 0 };
   FtError error = { 0 };
@@ -127,7 +127,7 @@
 }
 
 void
-rollcall_committed (const Rollouts *rollouts, RollReply *reply)
+rollapi_order_committed (const Rollouts *rollouts, RollApiReply *reply)
 {
   const MsgRollout *known = rollouts_find (rollouts, reply->service);
 
@@ -148,7 +148,8 @@
 }
 
 static void
-show (const Seam *seam, const Rollouts *rollouts, bool own, const char *service, RollReply *reply)
+show (const Seam *seam, const Rollouts *rollouts, bool own, const char *service,
+      RollApiReply *reply)
 {
   const MsgRollout *rollout = rollouts_find (rollouts, service);
 
@@ -160,13 +161,13 @@
   reply->status = 200;
   reply->body = g_string_new (NULL);
   if (own)
-    rollouts_show (rollout, reply->body);
+    rollouts_append_json (rollout, reply->body);
   else
     seam->write_rollout (reply->body, state_of (rollout), rollout->target);
 }
 
 static void
-stop (Rollouts *rollouts, const char *service, RollReply *reply)
+stop (Rollouts *rollouts, const char *service, RollApiReply *reply)
 {
   const MsgRollout *rollout = rollouts_find (rollouts, service);
 
@@ -189,34 +190,34 @@
 }
 
 void
-rollcall_answer (const Seam *seam, Rollouts *rollouts, const RtCat *cat, RollCall kind,
-                 const HMsg *msg, const GByteArray *body, RollReply *reply)
+rollapi_handle (const Seam *seam, Rollouts *rollouts, const RtCat *cat, RollApiCall kind,
+                const HMsg *msg, const GByteArray *body, RollApiReply *reply)
 {
   const char *target = hmsg_target (msg);
   char *service = NULL;
 
-  *reply = (RollReply){ .field = "" };
-  if (kind == ROLLCALL_START || kind == ROLLCALL_OWN_START)
+  *reply = (RollApiReply){ .field = "" };
+  if (kind == ROLLAPI_START || kind == ROLLAPI_OWN_START)
     {
-      start (seam, rollouts, cat, kind == ROLLCALL_OWN_START, body, reply);
+      start (seam, rollouts, cat, kind == ROLLAPI_OWN_START, body, reply);
       return;
     }
-  service = kind == ROLLCALL_STATE ? seam->rollout_service (target) : own_service (target);
+  service = kind == ROLLAPI_STATE ? seam->rollout_service (target) : own_service (target);
   if (service == NULL)
     fail (reply, 400, "service", "its name cannot be read");
-  else if (kind == ROLLCALL_OWN_ABORT)
+  else if (kind == ROLLAPI_OWN_ABORT)
     stop (rollouts, service, reply);
   else
-    show (seam, rollouts, kind == ROLLCALL_OWN_STATE, service, reply);
+    show (seam, rollouts, kind == ROLLAPI_OWN_STATE, service, reply);
   g_free (service);
 }
 
 void
-rollcall_clear (RollReply *reply)
+rollapi_reply_clear (RollApiReply *reply)
 {
   g_free (reply->service);
   g_free (reply->target);
   if (reply->body)
     g_string_free (reply->body, TRUE);
-  *reply = (RollReply){ .field = "" };
+  *reply = (RollApiReply){ .field = "" };
 }
--- a/node/rollead.c
+++ b/node/rollctl.c
@@ -1,7 +1,7 @@
-/* rollead.c - a roll-out as the voter in charge leads it: what is known becomes facts, the plan
+/* rollctl.c - a roll-out as the voter in charge leads it: what is known becomes facts, the plan
  * says what follows, and each step goes through the log. */
 #include "jlog.h"
-#include "rollint.h"
+#include "rollpriv.h"
 
 #include <string.h>
 
@@ -12,7 +12,7 @@
 #define RESERVE_AHEAD 2.0 /* times what the target gets between two notes at the present rate */
 
 void
-rollead_free (void *data)
+rollctl_active_free (void *data)
 {
   Led *led = data;
 
@@ -46,7 +46,7 @@
 }
 
 static void
-fill_trial (const PlanFacts *facts, const JudgeFacts *judged, unsigned ahead, MsgTrial *trial)
+fill_trial (const PlanInput *facts, const JudgeResult *judged, unsigned ahead, MsgTrial *trial)
 {
   *trial = (MsgTrial){ .elapsed_ms = facts->elapsed_us / FT_MS,
                        .requests = facts->placed,
@@ -58,7 +58,7 @@
 
 /* How much is reserved beyond what the target has had. */
 static unsigned
-ahead_of (const PlanFacts *facts, const PlanStep *step)
+ahead_of (const PlanInput *facts, const PlanStep *step)
 {
   double seconds = MAX ((double) facts->elapsed_us / 1e6, 0.1);
   double rate = facts->placed / seconds * step->share;
@@ -69,12 +69,12 @@
 
 static void
 stop_target (Rollouts *rollouts, const MsgRollout *rollout, Led *led, const PlanStep *step,
-             const JudgeFacts *judged)
+             const JudgeResult *judged)
 {
-  SchedVersions versions = rollouts_versions_in (rollout, MSG_ROLLOUT_ROLLED_BACK);
+  SchedVersions versions = rollouts_settings_for_phase (rollout, MSG_ROLLOUT_ROLLED_BACK);
 
   versions.watched = true;
-  broker_versions (rollouts->broker, rollout->service, &versions);
+  broker_set_versions (rollouts->broker, rollout->service, &versions);
   if (led->stopped)
     return;
   led->stopped = step->why;
@@ -87,17 +87,17 @@
 }
 
 static void
-gather (Rollouts *rollouts, const MsgRollout *rollout, const Led *led, JudgeFacts *judged,
-        PlanFacts *facts)
+gather (Rollouts *rollouts, const MsgRollout *rollout, const Led *led, JudgeResult *judged,
+        PlanInput *facts)
 {
   const Seen *seen = g_hash_table_lookup (rollouts->seen, rollout->service);
   int64_t now = loop_now (rollouts->loop);
   SchedServiceStats stats;
 
   broker_service_stats (rollouts->broker, rollout->service, &stats);
-  judge_servers (led->judge, stats.ordered.servers);
-  judge_facts (led->judge, judged);
-  *facts = (PlanFacts){ .phase = rollout->phase,
+  judge_set_servers (led->judge, stats.ordered.servers);
+  judge_get_result (led->judge, judged);
+  *facts = (PlanInput){ .phase = rollout->phase,
                         .elapsed_us = now - led->started_at,
                         .limit_us = rollout->limit_ms * FT_MS,
                         .phase_us = now - seen->phase_at,
@@ -121,8 +121,8 @@
 lead (Rollouts *rollouts, const MsgRollout *rollout, Led *led)
 {
   int64_t now = loop_now (rollouts->loop);
-  JudgeFacts judged;
-  PlanFacts facts;
+  JudgeResult judged;
+  PlanInput facts;
   PlanStep step;
 
   gather (rollouts, rollout, led, &judged, &facts);
@@ -135,11 +135,11 @@
     stop_target (rollouts, rollout, led, &step, &judged);
   else if (step.phase == MSG_ROLLOUT_TRYING)
     {
-      SchedVersions versions = rollouts_versions_in (rollout, rollout->phase);
+      SchedVersions versions = rollouts_settings_for_phase (rollout, rollout->phase);
       unsigned reserved = rollout->trial.reserved;
       versions.share = step.share;
       versions.left = MIN (step.left, reserved > facts.granted ? reserved - facts.granted : 0);
-      broker_versions (rollouts->broker, rollout->service, &versions);
+      broker_set_versions (rollouts->broker, rollout->service, &versions);
     }
   if (led->ticket && now - led->proposed_at < STEP_LOST)
     return;
@@ -162,11 +162,11 @@
   const MsgTrial *trial = &rollout->trial;
   SchedServiceStats stats;
 
-  rollouts_apply (rollouts, rollout);
+  rollouts_apply_phase (rollouts, rollout);
   broker_service_stats (rollouts->broker, rollout->service, &stats);
   led->service = g_strdup (rollout->service);
   led->number = rollout->number;
-  led->judge = judge_new (loop_clock (rollouts->loop), JUDGE_SEQUENTIAL);
+  led->judge = judge_new (loop_clock (rollouts->loop), JUDGE_CUSUM);
   judge_resume (led->judge, trial->answers, trial->bad, trial->suspicion / 1e3);
   led->started_at = loop_now (rollouts->loop) - rollouts_elapsed (rollouts, rollout->service);
   led->placed = trial->requests;
@@ -194,7 +194,7 @@
 }
 
 void
-rollead_judged (void *host, const SchedJudged *judged)
+rollctl_on_answer (void *host, const SchedVerdict *judged)
 {
   const Rollouts *rollouts = host;
   const Led *led = find_led (rollouts, judged->service);
@@ -202,7 +202,7 @@
       = { judged->route, sched_server_digest (judged->server), judged->ordered, judged->bad };
 
   if (led)
-    judge_answer (led->judge, &answer);
+    judge_add_answer (led->judge, &answer);
 }
 
 void
@@ -215,11 +215,11 @@
     {
       /* What was stopped here only is the next one's to find. */
       if (rollouts->led->len > 0)
-        rollouts_each (rollouts, rollouts_apply);
+        rollouts_for_each (rollouts, rollouts_apply_phase);
       g_ptr_array_set_size (rollouts->led, 0);
       return;
     }
-  rollouts_each (rollouts, lead_one);
+  rollouts_for_each (rollouts, lead_one);
   tell_all (rollouts->tell);
 }
 
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -15,7 +15,7 @@
  * for it; whoever takes charge counts what is reserved as spent.
  */
 #include "jlog.h"
-#include "rollint.h"
+#include "rollpriv.h"
 
 #include <string.h>
 
@@ -43,7 +43,7 @@
 
 /* What the scheduler is to do in a phase; the trial's share is added by whoever is in charge. */
 SchedVersions
-rollouts_versions_in (const MsgRollout *rollout, MsgRolloutPhase phase)
+rollouts_settings_for_phase (const MsgRollout *rollout, MsgRolloutPhase phase)
 {
   bool back = phase == MSG_ROLLOUT_TRYING || phase == MSG_ROLLOUT_ROLLED_BACK;
   SchedVersions versions = { .in_use = back ? rollout->before : rollout->target,
@@ -57,11 +57,11 @@
 }
 
 void
-rollouts_apply (Rollouts *rollouts, const MsgRollout *rollout)
+rollouts_apply_phase (Rollouts *rollouts, const MsgRollout *rollout)
 {
-  SchedVersions versions = rollouts_versions_in (rollout, rollout->phase);
+  SchedVersions versions = rollouts_settings_for_phase (rollout, rollout->phase);
 
-  broker_versions (rollouts->broker, rollout->service, &versions);
+  broker_set_versions (rollouts->broker, rollout->service, &versions);
 }
 
 static MeshVersionsPhase
@@ -156,7 +156,7 @@
 }
 
 void
-rollouts_each (Rollouts *rollouts, void (*call) (Rollouts *, const MsgRollout *))
+rollouts_for_each (Rollouts *rollouts, void (*call) (Rollouts *, const MsgRollout *))
 {
   MsgRollouts all;
 
@@ -196,12 +196,12 @@
   roll_restore (rollouts->account, &captured);
   codec_clear (CODEC (MsgRollouts), &captured);
   g_bytes_unref (bytes);
-  rollouts_each (rollouts, note_seen);
+  rollouts_for_each (rollouts, note_seen);
   uint64_t digest = digest_of_phases (rollouts);
   if (digest == rollouts->told)
     return;
   rollouts->told = digest;
-  rollouts_each (rollouts, rollouts_apply);
+  rollouts_for_each (rollouts, rollouts_apply_phase);
   tell_changed (rollouts->tell);
   if (rollouts_in_charge (rollouts))
     tell_all (rollouts->tell);
@@ -223,12 +223,12 @@
 
 /* ---- Operators ---- */
 
-RollOrder
+RollCheck
 rollouts_order (Rollouts *rollouts, const SeamRollout *order, uint64_t *ticket)
 {
   const MsgRollout *known = rollouts_find (rollouts, order->service);
   bool lately = rollouts_elapsed (rollouts, order->service) < rollouts->conf.repeat_us;
-  RollOrder verdict = roll_check (rollouts->account, order->service, order->target, lately);
+  RollCheck verdict = roll_check (rollouts->account, order->service, order->target, lately);
   MsgOp op = { .kind = MSG_OP_ROLLOUT_START };
   SchedServiceStats stats;
 
@@ -266,7 +266,7 @@
 }
 
 void
-rollouts_show (const MsgRollout *rollout, GString *out)
+rollouts_append_json (const MsgRollout *rollout, GString *out)
 {
   char *service = g_strescape (rollout->service, NULL), *why = g_strescape (rollout->why, NULL);
   char *target = g_strescape (rollout->target, NULL), *before = g_strescape (rollout->before, NULL);
@@ -318,9 +318,9 @@
   rollouts->conf = *conf;
   rollouts->account = roll_new ();
   rollouts->seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  rollouts->led = g_ptr_array_new_with_free_func (rollead_free);
+  rollouts->led = g_ptr_array_new_with_free_func (rollctl_active_free);
   rollouts->tell = tell_new (pack_for_entries, rollouts);
-  broker_watch (broker, rollead_judged, rollouts);
+  broker_set_judged_callback (broker, rollctl_on_answer, rollouts);
   return rollouts;
 }
 
--- a/node/rollouts.h
+++ b/node/rollouts.h
@@ -31,13 +31,13 @@
 /* ---- Operators; of the voter in charge ---- */
 
 /* ROLL_NEW: the order is proposed, and *ticket is the voter's, with which the verdict follows. */
-RollOrder rollouts_order (Rollouts *rollouts, const SeamRollout *order, uint64_t *ticket);
+RollCheck rollouts_order (Rollouts *rollouts, const SeamRollout *order, uint64_t *ticket);
 /* Rolls back what is under way. A ticket as above; 0: nothing is. */
 uint64_t rollouts_abort (Rollouts *rollouts, const char *service);
 /* Borrowed; NULL: none was ever ordered. */
 const MsgRollout *rollouts_find (const Rollouts *rollouts, const char *service);
 /* Appends what is known of one as a JSON object. */
-void rollouts_show (const MsgRollout *rollout, GString *out);
+void rollouts_append_json (const MsgRollout *rollout, GString *out);
 /* Lines for metrics. */
 void rollouts_describe (const Rollouts *rollouts, GString *out);
 
--- a/node/rollint.h
+++ b/node/rollpriv.h
@@ -1,7 +1,7 @@
-/* rollint.h - shared by rollouts.c, which keeps the account of roll-outs and tells others, and
- * rollead.c, which leads them; private to both. */
-#ifndef ROLLINT_H
-#define ROLLINT_H
+/* rollpriv.h - shared by rollouts.c, which keeps the account of roll-outs and tells others, and
+ * rollctl.c, which leads them; private to both. */
+#ifndef ROLLPRIV_H
+#define ROLLPRIV_H
 
 #include "judge.h"
 #include "rollouts.h"
@@ -36,10 +36,10 @@
   Voter *voter;
   Broker *broker;
   RolloutsConf conf;
-  RollAccount *account; /* as committed */
-  GHashTable *seen;     /* service: Seen */
-  GPtrArray *led;       /* Led */
-  unsigned unheard;     /* entries lost lately */
+  RolloutTable *account; /* as committed */
+  GHashTable *seen;      /* service: Seen */
+  GPtrArray *led;        /* Led */
+  unsigned unheard;      /* entries lost lately */
   Tell *tell;
   uint64_t told; /* digest of the phases that schedulers and entries have */
 };
@@ -48,17 +48,17 @@
 
 bool rollouts_in_charge (const Rollouts *rollouts);
 /* What the scheduler is to do in a phase; the trial's share is added by whoever is in charge. */
-SchedVersions rollouts_versions_in (const MsgRollout *rollout, MsgRolloutPhase phase);
+SchedVersions rollouts_settings_for_phase (const MsgRollout *rollout, MsgRolloutPhase phase);
 /* Does so in the phase that the log says. */
-void rollouts_apply (Rollouts *rollouts, const MsgRollout *rollout);
+void rollouts_apply_phase (Rollouts *rollouts, const MsgRollout *rollout);
 /* Time since the service's newest order, as far as this voter knows. */
 int64_t rollouts_elapsed (const Rollouts *rollouts, const char *service);
-void rollouts_each (Rollouts *rollouts, void (*call) (Rollouts *, const MsgRollout *));
+void rollouts_for_each (Rollouts *rollouts, void (*call) (Rollouts *, const MsgRollout *));
 
-/* ---- Leading (rollead.c) ---- */
+/* ---- Leading (rollctl.c) ---- */
 
-void rollead_free (void *led);
-/* For broker_watch; host: the Rollouts. */
-void rollead_judged (void *host, const SchedJudged *judged);
+void rollctl_active_free (void *led);
+/* For broker_set_judged_callback; host: the Rollouts. */
+void rollctl_on_answer (void *host, const SchedVerdict *judged);
 
 #endif
--- a/node/seam.h
+++ b/node/seam.h
@@ -97,7 +97,7 @@
   void (*write_request) (GString *out, const HMsg *msg, const SeamForward *forward);
   /* How long callers wait for the first event of a stream with this aim and this bound on pauses,
    * before they give it up. */
-  int64_t (*first_patience) (int64_t aim_us, int64_t gap_us);
+  int64_t (*first_patience) (int64_t target_us, int64_t gap_us);
   void (*read_answer) (const HMsg *msg, SeamAnswer *out);
   /* Appends the fields of a server's answer that go on to the caller. */
   void (*write_answer) (GString *out, const HMsg *msg);
--- a/node/servers.c
+++ b/node/servers.c
@@ -209,7 +209,7 @@
 }
 
 bool
-servers_take_read (Servers *servers, const GArray *from, int64_t asked_at)
+servers_apply_read (Servers *servers, const GArray *from, int64_t asked_at)
 {
   GHashTable *newest, *put;
 
@@ -324,47 +324,47 @@
   replace (servers, list, asked_at);
 }
 
-ServersTaken
-servers_take_message (Servers *servers, const MeshList *from, int64_t now)
+ServersResult
+servers_apply_message (Servers *servers, const MeshList *from, int64_t now)
 {
   int64_t asked_at = now - from->age_us;
 
   if (asked_at <= servers->asked_at)
-    return SERVERS_OLD;
+    return SERVERS_STALE;
   if (from->digest == servers->digest)
     {
       set_asked_at (servers, asked_at);
-      return SERVERS_TAKEN;
+      return SERVERS_APPLIED;
     }
   if (from->kind == MESH_LIST_SAME
       || (from->kind == MESH_LIST_CHANGES && from->base != servers->digest))
-    return SERVERS_FOREIGN;
+    return SERVERS_UNKNOWN_BASE;
   if (from->kind == MESH_LIST_WHOLE)
     {
       take_whole (servers, from, asked_at);
-      return SERVERS_TAKEN;
+      return SERVERS_APPLIED;
     }
   apply_changes (servers, from);
   set_asked_at (servers, asked_at);
-  return servers->digest == from->digest ? SERVERS_TAKEN : SERVERS_FOREIGN;
+  return servers->digest == from->digest ? SERVERS_APPLIED : SERVERS_UNKNOWN_BASE;
 }
 
-ServersTaken
-servers_take_packed (Servers *servers, const MeshPackedList *packed, int64_t now)
+ServersResult
+servers_apply_packed (Servers *servers, const MeshPackedList *packed, int64_t now)
 {
   GBytes *bytes = squeeze_unpack (packed->list.list_val, packed->list.list_len);
-  ServersTaken taken = SERVERS_FOREIGN;
+  ServersResult taken = SERVERS_UNKNOWN_BASE;
   MeshList list = { 0 };
   gsize size = 0;
 
   servers->wanted_at = 0;
   if (bytes == NULL)
-    return SERVERS_FOREIGN;
+    return SERVERS_UNKNOWN_BASE;
   const void *data = g_bytes_get_data (bytes, &size);
   if (codec_unpack (CODEC (MeshList), data, size, &list, NULL) == FT_OK)
     {
       list.age_us = packed->age_us;
-      taken = servers_take_message (servers, &list, now);
+      taken = servers_apply_message (servers, &list, now);
     }
   codec_clear (CODEC (MeshList), &list);
   g_bytes_unref (bytes);
@@ -375,7 +375,7 @@
  * sent it by all of them, and grants wait behind these megabytes on every link. One is asked; the
  * others only when it has not answered in time. */
 bool
-servers_may_want (Servers *servers, int64_t now)
+servers_may_request (Servers *servers, int64_t now)
 {
   if (servers->wanted_at && now - servers->wanted_at < WANT_AGAIN)
     return false;
@@ -404,7 +404,7 @@
 }
 
 void
-servers_give (const Servers *servers, Sched *sched)
+servers_give_to (const Servers *servers, Sched *sched)
 {
   SchedServer *list = g_new0 (SchedServer, servers->list->len + 1);
 
@@ -414,7 +414,7 @@
       list[i] = (SchedServer){ from->id,      from->service, from->domain, from->slots,
                                from->leaving, from->cold_us, from->version };
     }
-  sched_list (sched, list, servers->list->len);
+  sched_set_servers (sched, list, servers->list->len);
   g_free (list);
 }
 
@@ -425,7 +425,7 @@
 }
 
 bool
-servers_changed (Servers *servers)
+servers_poll_changed (Servers *servers)
 {
   bool changed = servers->digest != servers->digest_seen;
 
--- a/node/serversmsg.c
+++ b/node/serversmsg.c
@@ -66,7 +66,7 @@
 }
 
 void
-servers_message (const Servers *servers, int64_t now, guint held, MeshList *msg)
+servers_build_message (const Servers *servers, int64_t now, guint held, MeshList *msg)
 {
   unsigned since = held > SERVERS_HELD_NONE ? step_of (servers, held) : 0;
 
@@ -105,7 +105,7 @@
 }
 
 bool
-servers_pack (Servers *servers, int64_t now, guint held, MeshPackedList *msg)
+servers_build_packed (Servers *servers, int64_t now, guint held, MeshPackedList *msg)
 {
   GBytes **packed = &servers->packed[held == SERVERS_HELD_NONE];
   MeshList list;
@@ -121,9 +121,9 @@
       if (held == SERVERS_HELD_NONE)
         put_whole (servers, &list);
       else
-        servers_message (servers, now, held, &list);
+        servers_build_message (servers, now, held, &list);
       *packed = pack (&list);
-      servers_message_clear (&list);
+      servers_clear_message (&list);
     }
   if (*packed == NULL)
     return false;
@@ -138,7 +138,7 @@
 {
   MeshMsg msg = { .kind = MESH_PACKED_LIST };
 
-  return servers_pack (servers, now, held, &msg.MeshMsg_u.packed) ? mesh_pack (&msg) : NULL;
+  return servers_build_packed (servers, now, held, &msg.MeshMsg_u.packed) ? mesh_pack (&msg) : NULL;
 }
 
 static GBytes *
@@ -148,10 +148,10 @@
   MeshList *list = &msg.MeshMsg_u.list;
 
   servers->made++;
-  servers_message (servers, now, held, list);
+  servers_build_message (servers, now, held, list);
   bool many = list->servers.servers_len + list->removed.removed_len > CHANGES_PLAIN;
   GBytes *out = many ? packed_message (servers, now, held) : mesh_pack (&msg);
-  servers_message_clear (list);
+  servers_clear_message (list);
   return out;
 }
 
@@ -187,13 +187,13 @@
 }
 
 uint64_t
-servers_made (const Servers *servers)
+servers_messages_built (const Servers *servers)
 {
   return servers->made;
 }
 
 void
-servers_message_clear (MeshList *msg)
+servers_clear_message (MeshList *msg)
 {
   g_free (msg->servers.servers_val);
   g_free (msg->removed.removed_val);
--- a/node/spent.c
+++ b/node/spent.c
@@ -106,7 +106,7 @@
 }
 
 void
-spent_granted (Spent *spent, const void *scheduler, const char *org, double cost)
+spent_record_grant (Spent *spent, const void *scheduler, const char *org, double cost)
 {
   GHashTableIter iter;
   gpointer other, table;
@@ -123,7 +123,7 @@
 }
 
 double
-spent_elsewhere (Spent *spent, const void *scheduler, const char *org, int64_t *for_us)
+spent_take_untold (Spent *spent, const void *scheduler, const char *org, int64_t *for_us)
 {
   Untold *untold = untold_of (spent, untold_to (spent, scheduler), org);
   int64_t now = ft_clock_now (spent->clock);
@@ -140,7 +140,7 @@
 }
 
 void
-spent_report (Spent *spent, const void *scheduler, const char *org, double full)
+spent_record_report (Spent *spent, const void *scheduler, const char *org, double full)
 {
   Report *report = g_hash_table_lookup (spent->reports, org);
 
@@ -153,8 +153,8 @@
 }
 
 bool
-spent_reported (const Spent *spent, const void *scheduler, const char *org, double *full,
-                int64_t *age_us)
+spent_latest_report (const Spent *spent, const void *scheduler, const char *org, double *full,
+                     int64_t *age_us)
 {
   const Report *report = g_hash_table_lookup (spent->reports, org);
 
@@ -184,7 +184,7 @@
 }
 
 void
-spent_forget (Spent *spent, const void *scheduler)
+spent_forget_scheduler (Spent *spent, const void *scheduler)
 {
   GHashTableIter iter;
   gpointer value;
--- a/node/suspects.c
+++ b/node/suspects.c
@@ -5,7 +5,7 @@
  * entries with each change, and whenever a link comes up, before the catalogue that lets an entry
  * take callers. So an instance that is new, was frozen or cut off knows them before it sends.
  *
- * A content with one end is told to nobody (BLAME_TOLD).
+ * A content with one end is told to nobody (CRASHES_PUBLISH_MIN).
  */
 #include "suspects.h"
 #include "content.h"
@@ -34,7 +34,7 @@
 {
   Loop *loop;
   Voter *voter;
-  Blame *account; /* as committed */
+  CrashTable *account; /* as committed */
   Tell *tell;
   GPtrArray *proposals;
   GBytes *packed; /* the account's message, but for its index */
@@ -78,7 +78,7 @@
   MeshCrashTable *blamed = &msg.MeshMsg_u.blamed;
   MsgCrashTable all;
 
-  blame_capture (suspects->account, BLAME_TOLD, &all);
+  crashes_capture (suspects->account, CRASHES_PUBLISH_MIN, &all);
   blamed->index = index;
   blamed->suspects.suspects_val = g_new0 (MeshSuspect, all.suspects.suspects_len);
   for (unsigned i = 0; i < all.suspects.suspects_len; i++)
@@ -130,33 +130,34 @@
 log_suspect (const MsgSuspect *now, const MsgSuspect *before)
 {
   const MsgServerCrash *last = &now->latest.latest_val[now->latest.latest_len - 1];
-  bool held = now->ends >= BLAME_ENDS && (before == NULL || before->ends < BLAME_ENDS);
-  char content[CONTENT_TEXT];
+  bool held
+      = now->ends >= CRASHES_QUARANTINE && (before == NULL || before->ends < CRASHES_QUARANTINE);
+  char content[CONTENT_ID_SIZE];
 
   if (now->latest.latest_len == 0 || (before && now->ends <= before->ends))
     return;
   jlog (held ? JLOG_WARN : JLOG_INFO, held ? "quarantined" : "suspect", NULL,
-        JL_TEXT ("content", content_text (now->content, content)), JL_INT ("ends", now->ends),
+        JL_TEXT ("content", content_format (now->content, content)), JL_INT ("ends", now->ends),
         JL_TEXT ("server", last->server), JL_INT ("since_ms", last->wall_ms - now->first_ms),
         JL_INT ("index", now->index));
 }
 
 static void
-log_changes (const Blame *before, const Blame *now)
+log_changes (const CrashTable *before, const CrashTable *now)
 {
   MsgCrashTable all;
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
 
-  blame_capture (now, 0, &all);
+  crashes_capture (now, 0, &all);
   for (unsigned i = 0; i < all.suspects.suspects_len; i++)
     log_suspect (&all.suspects.suspects_val[i],
-                 blame_find (before, all.suspects.suspects_val[i].content));
+                 crashes_find (before, all.suspects.suspects_val[i].content));
   g_free (all.suspects.suspects_val);
-  blame_capture (before, 0, &all);
+  crashes_capture (before, 0, &all);
   for (unsigned i = 0; i < all.suspects.suspects_len; i++)
-    if (blame_find (now, all.suspects.suspects_val[i].content) == NULL)
+    if (crashes_find (now, all.suspects.suspects_val[i].content) == NULL)
       jlog (JLOG_INFO, "suspect-cleared", NULL,
-            JL_TEXT ("content", content_text (all.suspects.suspects_val[i].content, content)),
+            JL_TEXT ("content", content_format (all.suspects.suspects_val[i].content, content)),
             JL_INT ("ends", all.suspects.suspects_val[i].ends));
   g_free (all.suspects.suspects_val);
 }
@@ -166,7 +167,7 @@
 {
   GBytes *bytes = voter_blame (suspects->voter);
   MsgCrashTable captured = { 0 };
-  Blame *account;
+  CrashTable *account;
   gsize size;
 
   if (bytes == NULL)
@@ -174,13 +175,13 @@
   const void *data = g_bytes_get_data (bytes, &size);
   if (codec_unpack (CODEC (MsgCrashTable), data, size, &captured, NULL) != FT_OK)
     g_error ("the account of ended servers, packed here, cannot be unpacked");
-  account = blame_new ();
-  blame_restore (account, &captured);
+  account = crashes_new ();
+  crashes_restore (account, &captured);
   codec_clear (CODEC (MsgCrashTable), &captured);
   g_bytes_unref (bytes);
   if (in_charge (suspects))
     log_changes (suspects->account, account);
-  blame_free (suspects->account);
+  crashes_free (suspects->account);
   suspects->account = account;
   note_account (suspects);
   tell_entries (suspects);
@@ -240,7 +241,7 @@
   memcpy (ended->contents.contents_val, from->contents.contents_val,
           count * sizeof *from->contents.contents_val);
   ended->server = strdup (from->server);
-  if (blame_knows (suspects->account, ended))
+  if (crashes_is_recorded (suspects->account, ended))
     {
       acknowledge (suspects, peer->lifetime, from->number);
       codec_clear (CODEC (MsgOp), &op);
@@ -279,14 +280,14 @@
 static void
 take_answered (Suspects *suspects, const MeshPeer *peer, const MeshAnswered *from)
 {
-  char text[CONTENT_TEXT];
+  char text[CONTENT_ID_SIZE];
 
   for (unsigned i = 0; i < from->contents.contents_len; i++)
     {
       uint64_t content = from->contents.contents_val[i];
-      if (blame_find (suspects->account, content) == NULL || is_being_cleared (suspects, content))
+      if (crashes_find (suspects->account, content) == NULL || is_being_cleared (suspects, content))
         continue;
-      jlog (JLOG_INFO, "answered-whole", NULL, JL_TEXT ("content", content_text (content, text)),
+      jlog (JLOG_INFO, "answered-whole", NULL, JL_TEXT ("content", content_format (content, text)),
             JL_INT ("peer", peer->ip));
       clear (suspects, content);
     }
@@ -380,11 +381,11 @@
 uint64_t
 suspects_release (Suspects *suspects, uint64_t content)
 {
-  char text[CONTENT_TEXT];
+  char text[CONTENT_ID_SIZE];
 
-  if (blame_find (suspects->account, content) == NULL)
+  if (crashes_find (suspects->account, content) == NULL)
     return 0;
-  jlog (JLOG_WARN, "released", NULL, JL_TEXT ("content", content_text (content, text)));
+  jlog (JLOG_WARN, "released", NULL, JL_TEXT ("content", content_format (content, text)));
   return clear (suspects, content);
 }
 
@@ -393,7 +394,7 @@
 {
   GString *out = g_string_new ("{\"suspects\":");
 
-  blame_list (suspects->account, g_get_real_time () / 1000, out);
+  crashes_append_json (suspects->account, g_get_real_time () / 1000, out);
   g_string_append (out, "}\n");
   return g_string_free (out, FALSE);
 }
@@ -401,7 +402,7 @@
 void
 suspects_describe (const Suspects *suspects, GString *out)
 {
-  unsigned held, all = blame_count (suspects->account, &held);
+  unsigned held, all = crashes_count (suspects->account, &held);
 
   g_string_append_printf (out, "foxtail_suspects %u\nfoxtail_quarantined %u\n", all, held);
 }
@@ -415,7 +416,7 @@
 
   suspects->loop = loop;
   suspects->voter = voter;
-  suspects->account = blame_new ();
+  suspects->account = crashes_new ();
   suspects->tell = tell_new (pack_newest, suspects);
   suspects->proposals = g_ptr_array_new_with_free_func (proposal_free);
   note_account (suspects);
@@ -430,6 +431,6 @@
   tell_free (suspects->tell);
   g_ptr_array_unref (suspects->proposals);
   g_bytes_unref (suspects->packed);
-  blame_free (suspects->account);
+  crashes_free (suspects->account);
   g_free (suspects);
 }
--- a/node/try.c
+++ b/node/try.c
@@ -40,8 +40,8 @@
   if (req->first_at)
     return;
   req->first_at = now;
-  count_time (TIMED_FIRST, now - req->sent_at);
-  place_first (req->all->conf.place, req->number, now - req->sent_at);
+  count_observe (TIMED_FIRST, now - req->sent_at);
+  place_report_first (req->all->conf.place, req->number, now - req->sent_at);
 }
 
 /* The server said that it did not run the request. One that is not the server that was meant says
@@ -56,7 +56,7 @@
     }
   req->sends--;
   req->unreached++;
-  req_after_try (req, RETRY_GONE);
+  req_after_try (req, RETRY_OTHER_SERVER);
 }
 
 /* What the server says of itself counts if the answer is its own, to this request. A value that
@@ -71,16 +71,16 @@
   if (answer->elsewhere || (answer->id == NULL && *req->id))
     return;
   if (answer->unread == NULL || !notice_is_empty (notice))
-    news = place_notice (place, req->number, req->server, notice) == NOTICES_NEW;
+    news = place_report_notice (place, req->number, req->server, notice) == NOTICES_CHANGED;
   if (answer->unread)
-    news = place_unread (place, req->server) || news;
+    news = place_report_unreadable (place, req->server) || news;
   if (!notice_is_empty (notice))
-    count_up (COUNT_NOTICES);
+    count_inc (COUNT_NOTICES);
   if (news)
     jlog (JLOG_INFO, "server-notice", req->id, JL_TEXT ("server", req->server),
           JL_INT ("status", req->status), JL_INT ("rate_milli", notice->rate * 1e3),
           JL_INT ("leaving", notice->leaving), JL_MS ("backoff_ms", notice->backoff_us),
-          JL_TEXT ("unread", answer->unread), JL_TEXT ("by", place_by (place)));
+          JL_TEXT ("unread", answer->unread), JL_TEXT ("by", place_scheduler_name (place)));
 }
 
 static bool
@@ -120,7 +120,7 @@
   req->is_stream = answer.event_stream && req->status / 100 == 2;
   if (req->begun && !req->is_stream)
     {
-      req_after_try (req, RETRY_CUT); /* it cannot go on behind what the caller has */
+      req_after_try (req, RETRY_STREAM_CUT); /* it cannot go on behind what the caller has */
       return true;
     }
   if (!req->begun)
@@ -160,7 +160,7 @@
 }
 
 void
-try_room (Req *req)
+try_caller_drained (Req *req)
 {
   req->slowed = false;
   if (req->xfer == NULL)
@@ -248,7 +248,8 @@
 note_break (const Req *req)
 {
   if (!req->rejected)
-    witness_broke (req->all->conf.witness, req->server, req->addr, req->content, req->id);
+    crashrep_connection_lost (req->all->conf.witness, req->server, req->addr, req->content,
+                              req->id);
 }
 
 static void
@@ -266,9 +267,9 @@
   if (req->unframed)
     note_break (req);
   else if (is_proof (req))
-    witness_answered (req->all->conf.witness, req->server, req->content, req->sent_at);
+    crashrep_answered (req->all->conf.witness, req->server, req->content, req->sent_at);
   if (req->is_stream && events_has_partial (req->stream))
-    req_after_try (req, RETRY_CUT);
+    req_after_try (req, RETRY_STREAM_CUT);
   else if (req->is_stream)
     {
       if (!req->begun)
@@ -294,17 +295,17 @@
       req->unreached++;
       req->sends--;
       req->may_have_run = req->may_have_run_before;
-      count_up (COUNT_UNREACHED);
+      count_inc (COUNT_UNREACHED);
       if (fault == HXFER_REFUSED)
-        witness_refused (req->all->conf.witness, req->server);
-      req_after_try (req, RETRY_UNREACHED);
+        crashrep_refused (req->all->conf.witness, req->server);
+      req_after_try (req, RETRY_NOT_CONNECTED);
       return;
     }
   req->broke = !req->head_seen && req_now (req) - req->sent_at < BREAKS_AT_ONCE;
   if (req->rejected)
     after_rejection (req);
   else
-    req_after_try (req, req->begun ? RETRY_CUT : RETRY_BROKEN);
+    req_after_try (req, req->begun ? RETRY_STREAM_CUT : RETRY_BROKEN);
 }
 
 static const HXferOps xfer_ops = { on_head, on_body, on_end, on_failed };
@@ -312,7 +313,7 @@
 static int64_t
 silence_bound (const Req *req)
 {
-  double aim = (double) req->route->aim_us;
+  double aim = (double) req->route->target_us;
 
   if (req->route->kind != RT_STREAM)
     return MAX (SILENT_LEAST / 2, (int64_t) (aim * SILENT_PLAIN));
@@ -326,9 +327,9 @@
   const SeamServer *server = &grant->server;
   Requests *all = req->all;
   const GByteArray *body = hcall_body (req->call);
-  bool once = !rt_route_repeatable (req->route);
+  bool once = !rt_route_is_repeatable (req->route);
   HCliTarget target = { server->addr, server->id, CONNECT_MOST,
-                        once ? grant->rest_most : MAX (IDLE_MOST, grant->rest_most),
+                        once ? grant->max_idle_us : MAX (IDLE_MOST, grant->max_idle_us),
                         strcmp (hmsg_method (hcall_msg (req->call)), "HEAD") == 0 };
   SeamForward forward = { .server = server->name,
                           .org = req->org ? req->org->name : NULL,
@@ -345,7 +346,7 @@
   req->may_have_run_before = req->may_have_run;
   req->may_have_run = true; /* from here on only a server's word, or no connection, denies it */
   req->sent_at = req_now (req);
-  count_up (COUNT_SENDS);
+  count_inc (COUNT_SENDS);
   arm_silence (req, silence_bound (req));
   req->xfer = hcli_send (all->conf.cli, &target, message, &xfer_ops, req);
   g_string_free (message, TRUE);
@@ -362,6 +363,6 @@
 
   if (req->xfer == NULL)
     return;
-  count_up (COUNT_SILENT);
+  count_inc (COUNT_SILENT_TRIES);
   req_after_try (req, RETRY_SILENT);
 }
--- a/node/versions.c
+++ b/node/versions.c
@@ -11,7 +11,7 @@
 
 #include <string.h>
 
-struct RouteVersions
+struct EntryVersions
 {
   Broker *broker;
   uint64_t index;
@@ -25,10 +25,10 @@
   g_free (data);
 }
 
-RouteVersions *
+EntryVersions *
 versions_new (Broker *broker)
 {
-  RouteVersions *versions = g_new0 (RouteVersions, 1);
+  EntryVersions *versions = g_new0 (EntryVersions, 1);
 
   versions->broker = broker;
   versions->services = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, record_free);
@@ -36,7 +36,7 @@
 }
 
 void
-versions_free (RouteVersions *versions)
+versions_free (EntryVersions *versions)
 {
   if (versions == NULL)
     return;
@@ -45,7 +45,7 @@
 }
 
 static void
-give_to_scheduler (const RouteVersions *versions, const MeshVersions *from)
+give_to_scheduler (const EntryVersions *versions, const MeshVersions *from)
 {
   bool moved = from->phase == MESH_VERSIONS_MOVED;
   SchedVersions out = { .in_use = moved ? from->target : from->before,
@@ -55,11 +55,11 @@
 
   if (strcmp (from->before, from->target) == 0)
     out.other = "";
-  broker_versions (versions->broker, from->service, &out);
+  broker_set_versions (versions->broker, from->service, &out);
 }
 
 static void
-take_one (RouteVersions *versions, const MeshVersions *from)
+take_one (EntryVersions *versions, const MeshVersions *from)
 {
   MeshVersions *copy = g_new0 (MeshVersions, 1);
 
@@ -72,7 +72,7 @@
 }
 
 void
-versions_take (RouteVersions *versions, const MeshRollouts *from)
+versions_update (EntryVersions *versions, const MeshRollouts *from)
 {
   if (from->index <= versions->index)
     return;
@@ -84,7 +84,7 @@
 }
 
 bool
-versions_bar (const RouteVersions *versions, const char *service, const char *version)
+versions_is_blocked (const EntryVersions *versions, const char *service, const char *version)
 {
   const MeshVersions *known = g_hash_table_lookup (versions->services, service);
 
--- a/node/versions.h
+++ b/node/versions.h
@@ -4,13 +4,13 @@
 
 #include "broker.h"
 
-typedef struct RouteVersions RouteVersions;
+typedef struct EntryVersions EntryVersions;
 
-RouteVersions *versions_new (Broker *broker);
-void versions_free (RouteVersions *versions);
+EntryVersions *versions_new (Broker *broker);
+void versions_free (EntryVersions *versions);
 /* A voter's word; an older one than the newest changes nothing. */
-void versions_take (RouteVersions *versions, const MeshRollouts *rollouts);
+void versions_update (EntryVersions *versions, const MeshRollouts *rollouts);
 /* Servers of the version get no request, whoever grants it. version NULL: not known. */
-bool versions_bar (const RouteVersions *versions, const char *service, const char *version);
+bool versions_is_blocked (const EntryVersions *versions, const char *service, const char *version);
 
 #endif
--- a/node/voter.c
+++ b/node/voter.c
@@ -260,12 +260,12 @@
 static void
 keep_blame (Voter *voter)
 {
-  const Blame *blame = state_blame (voter->state);
+  const CrashTable *blame = state_blame (voter->state);
   MsgCrashTable captured = { 0 };
 
   if (blame_index (blame) == voter->blame.index)
     return;
-  blame_capture (blame, 0, &captured);
+  crashes_capture (blame, 0, &captured);
   keep_account (voter, &voter->blame, blame_index (blame),
                 codec_pack (CODEC (MsgCrashTable), &captured), REPORT_BLAME);
   g_free (captured.suspects.suspects_val);
@@ -274,7 +274,7 @@
 static void
 keep_rollouts (Voter *voter)
 {
-  const RollAccount *account = state_rollouts (voter->state);
+  const RolloutTable *account = state_rollouts (voter->state);
   MsgRollouts captured = { 0 };
 
   if (roll_index (account) == voter->rollouts.index)
--- a/src/admit.c
+++ b/src/admit.c
@@ -12,42 +12,44 @@
 #include <stdio.h>
 
 /* Tuning; each row with its reason. */
-#define CAUTION_LEAST 1.15 /* times an estimate at arrival where no higher tier takes places */
-#define CAUTION       2.5 /* the same where higher tiers take CAUTION_PART of them, and more may come */
-#define CAUTION_PART  0.3
-#define HOPELESS      1.3 /* a queued request is given up when its estimate is so far off */
-#define ADVICE_LEAST  (100 * FT_MS)
-#define FIRST_CAUTION                                                                              \
-  2.5                 /* times the best server's first event: a promised request gets any server */
-#define PART_MOST 0.9 /* of the places that promises are taken to use: others wait for the rest */
+#define CAUTION_MIN 1.15 /* times an estimate at arrival where no higher tier takes places */
+#define CAUTION_MAX                                                                                \
+  2.5 /* the same where higher tiers take CAUTION_SHARE of them, and more may come */
+#define CAUTION_SHARE   0.3
+#define HOPELESS_FACTOR 1.3 /* a queued request is given up when its estimate is so far off */
+#define RETRY_AFTER_MIN (100 * FT_MS)
+#define FIRST_EVENT_FACTOR                                                                         \
+  2.5 /* times the best server's first event: a promised request gets any server */
+#define RESERVED_SHARE_MAX                                                                         \
+  0.9 /* of the places that promises are taken to use: others wait for the rest */
 
 static void
-refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t promised_at, RetWord word,
+refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t promised_at, RetAdvice word,
         int64_t now)
 {
   SchedRefusal refusal = { .reason = reason };
   int64_t left = MAX (0, job->ask.end_at - now);
   Key key = job->key;
 
-  refusal.retry_after_us = MIN ((int64_t) MIN (wait, 1e9), left / ADVICE_PART);
-  refusal.retry_after_us = MAX (refusal.retry_after_us, ADVICE_LEAST);
-  if (word == RET_PROMISED)
+  refusal.retry_after_us = MIN ((int64_t) MIN (wait, 1e9), left / RET_WAIT_DIVISOR);
+  refusal.retry_after_us = MAX (refusal.retry_after_us, RETRY_AFTER_MIN);
+  if (word == RET_RESERVED)
     refusal.retry_after_us = promised_at - now;
   if (job->promised)
-    ret_note (sched->returns, false);
+    ret_count_outcome (sched->returns, false);
   snprintf (refusal.rule, sizeof refusal.rule,
             "tier %u: %u waiting, start in %.0f ms, of use for %.0f ms", job->ask.tier,
             wait_tier (job->service, job->ask.tier)->count, MIN (wait, 1e9) / 1e3,
             (double) (job->ask.limit_at - now) / 1e3);
   ret_explain (word, refusal.retry_after_us, refusal.rule, sizeof refusal.rule);
-  sched_forget (sched, job, now);
+  sched_remove_job (sched, job, now);
   sched->ops->refuse (sched->host, key.owner, key.request, &refusal);
 }
 
 void
 admit_refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t now)
 {
-  refuse (sched, job, reason, wait, 0, RET_PLAIN, now);
+  refuse (sched, job, reason, wait, 0, RET_NO_RESERVATION, now);
 }
 
 /* ---- Times that are promised ---- */
@@ -55,17 +57,17 @@
 static uint64_t
 line_of (const Job *job)
 {
-  return ret_line (job->service->name, job->ask.tier);
+  return ret_resource_id (job->service->name, job->ask.tier);
 }
 
 /* Where higher tiers leave no places none are promised: the caller would come and wait in vain. */
 static bool
-promise (Sched *sched, const Job *job, RetOffer *offer, int64_t now, int64_t *at)
+promise (Sched *sched, const Job *job, RetDemand *offer, int64_t now, int64_t *at)
 {
-  offer->rate = est_left_places (sched, job->service, job->ask.tier, false, now);
+  offer->rate = est_places_left (sched, job->service, job->ask.tier, false, now);
   *at = INT64_MAX;
-  return est_part_above (sched, job->service, job->ask.tier, now) < 1
-         && ret_promise (sched->returns, offer, at);
+  return est_share_above (sched, job->service, job->ask.tier, now) < 1
+         && ret_reserve (sched->returns, offer, at);
 }
 
 /* Refuses for want of places, with a time at which it is served if there is one. A time that leads
@@ -74,25 +76,25 @@
 static void
 refuse_short (Sched *sched, Job *job, double wait, int64_t now)
 {
-  RetOffer offer
-      = { .line = line_of (job),
-          .content = job->ask.content,
-          .cost = job->work_us,
-          .tell_from = now + ADVICE_LEAST,
-          .use_until = job->ask.aim_at
-                       - (int64_t) (FIRST_CAUTION * est_first_us (sched, job->service, &job->ask)),
-          .end_at = job->ask.end_at };
-  RetWord word = RET_PLAIN;
+  RetDemand offer = { .line = line_of (job),
+                      .content = job->ask.content,
+                      .cost = job->work_us,
+                      .not_before = now + RETRY_AFTER_MIN,
+                      .useful_until = job->ask.aim_at
+                                      - (int64_t) (FIRST_EVENT_FACTOR
+                                                   * est_first_us (sched, job->service, &job->ask)),
+                      .end_at = job->ask.end_at };
+  RetAdvice word = RET_NO_RESERVATION;
   int64_t at = INT64_MAX;
 
-  if (sched->returns && ret_part_of (sched->returns) > 0 && offer.content)
+  if (sched->returns && ret_share (sched->returns) > 0 && offer.content)
     {
-      word = promise (sched, job, &offer, now, &at) ? RET_PROMISED : RET_BEYOND;
+      word = promise (sched, job, &offer, now, &at) ? RET_RESERVED : RET_TOO_LATE;
       if (at < INT64_MAX)
         wait = MAX (wait, (double) (at - now));
     }
-  if (word == RET_BEYOND)
-    ret_tell (sched->returns, &offer, (int64_t) CLAMP (wait, ADVICE_LEAST, 1e9));
+  if (word == RET_TOO_LATE)
+    ret_record_wait (sched->returns, &offer, (int64_t) CLAMP (wait, RETRY_AFTER_MIN, 1e9));
   refuse (sched, job, FT_REASON_SHORTAGE, wait, at, word, now);
 }
 
@@ -101,9 +103,9 @@
 {
   *at = 0;
   *promised = false;
-  return sched->returns ? ret_state (sched->returns, line_of (job), job->ask.content,
-                                     job->ask.end_at, at, promised)
-                        : RET_NONE;
+  return sched->returns ? ret_lookup (sched->returns, line_of (job), job->ask.content,
+                                      job->ask.end_at, at, promised)
+                        : RET_UNKNOWN;
 }
 
 void
@@ -114,7 +116,7 @@
 
   job->promised = state_of (sched, job, &at, &promised) == RET_DUE;
   if (job->promised)
-    ret_redeem (sched->returns, line_of (job), job->ask.content);
+    ret_consume (sched->returns, line_of (job), job->ask.content);
 }
 
 void
@@ -125,8 +127,8 @@
 
   if (job->promised
       || (state_of (sched, job, &at, &promised) == RET_EARLY
-          && ret_redeem (sched->returns, line_of (job), job->ask.content)))
-    ret_note (sched->returns, true);
+          && ret_consume (sched->returns, line_of (job), job->ask.content)))
+    ret_count_outcome (sched->returns, true);
 }
 
 /* A caller that comes before the time that it was told gets a free place, as anybody does, but
@@ -140,7 +142,7 @@
   if (state_of (sched, job, &at, &promised) != RET_EARLY || boff_any_place (sched, job, now))
     return false;
   refuse (sched, job, FT_REASON_SHORTAGE, (double) (at - now), at,
-          promised ? RET_PROMISED : RET_BEYOND, now);
+          promised ? RET_RESERVED : RET_TOO_LATE, now);
   return true;
 }
 
@@ -152,8 +154,8 @@
 
   if (sched->returns == NULL)
     return wait;
-  double part = MIN (ret_part_of (sched->returns), PART_MOST);
-  double promised = (double) (ret_until (sched->returns, line_of (job)) - now);
+  double part = MIN (ret_share (sched->returns), RESERVED_SHARE_MAX);
+  double promised = (double) (ret_reserved_until (sched->returns, line_of (job)) - now);
   return wait + part * CLAMP (promised, 0, wait / (1 - part));
 }
 
@@ -166,10 +168,10 @@
 {
   double wait = wait_us (sched, job, ahead_us, now);
   double first = est_first_us (sched, job->service, &job->ask);
-  double above = est_part_above (sched, job->service, job->ask.tier, now) / CAUTION_PART;
-  double caution = CAUTION_LEAST + (CAUTION - CAUTION_LEAST) * MIN (1, above);
+  double above = est_share_above (sched, job->service, job->ask.tier, now) / CAUTION_SHARE;
+  double caution = CAUTION_MIN + (CAUTION_MAX - CAUTION_MIN) * MIN (1, above);
 
-  return (double) now + caution * wait_caution (job) * wait + first <= (double) job->ask.aim_at;
+  return (double) now + caution * wait_size_factor (job) * wait + first <= (double) job->ask.aim_at;
 }
 
 /* Refuses the request if it cannot be served while it is of use. Returns true when it is queued. */
@@ -179,7 +181,7 @@
   double wait = est_wait_us (sched, job->service, job->ask.tier, true, ahead_us, now);
   double first = est_first_us (sched, job->service, &job->ask);
 
-  if ((double) now + CAUTION * wait + first <= (double) job->ask.limit_at
+  if ((double) now + CAUTION_MAX * wait + first <= (double) job->ask.limit_at
       || boff_any_place (sched, job, now))
     return true;
   refuse_short (sched, job, wait, now);
@@ -196,7 +198,7 @@
 }
 
 bool
-admit_new (Sched *sched, Job *job, const Ahead *ahead, int64_t now)
+admit_new (Sched *sched, Job *job, const WaitAhead *ahead, int64_t now)
 {
   if (job->promised)
     return true;
@@ -205,7 +207,7 @@
   bool timely = can_be_timely (sched, job, ahead->timely_us, now);
   bool unfair = sched->fair ? timely_unfair (sched, job, now) : timely;
 
-  wait_note_verdict (job, timely);
+  wait_note_timely (job, timely);
   sched->counts.queued += timely && !unfair;
   if (timely || queue_or_refuse (sched, job, ahead->all_us, now))
     return true;
@@ -236,11 +238,11 @@
   cds_list_for_each_entry_safe (job, next, queue, link)
   {
     double first = est_first_us (sched, service, &job->ask);
-    int64_t opens_at = boff_opens_at (service, job->key.owner, now);
+    int64_t opens_at = boff_earliest_end (service, job->key.owner, now);
     double wait = MAX (est_wait_us (sched, service, tier->tier, job->late, *ahead, now),
                        (double) (opens_at - now));
     bool over = (double) opens_at + first > (double) job->ask.limit_at;
-    bool hopeless = (double) now + wait > (double) job->ask.limit_at + (HOPELESS - 1) * wait;
+    bool hopeless = (double) now + wait > (double) job->ask.limit_at + (HOPELESS_FACTOR - 1) * wait;
     if (over)
       admit_refuse (sched, job, FT_REASON_SHORTAGE, wait, now);
     else if (hopeless && sched->listed && (service->open == 0 || !boff_any_place (sched, job, now)))
@@ -255,7 +257,7 @@
 {
   double ahead = 0;
 
-  wait_sort_all (sched, service, now);
+  wait_move_all_late (sched, service, now);
   for (unsigned i = 0; i < service->tiers->len; i++)
     {
       Tier *tier = service->tiers->pdata[i];
--- a/src/backoff.c
+++ b/src/backoff.c
@@ -52,13 +52,13 @@
 }
 
 bool
-boff_is_over (const Server *server, uint64_t owner, int64_t now)
+boff_has_ended (const Server *server, uint64_t owner, int64_t now)
 {
   return until (server, owner) <= now;
 }
 
 void
-boff_forget (Sched *sched, uint64_t owner)
+boff_drop_owner (Sched *sched, uint64_t owner)
 {
   GHashTableIter iter;
   gpointer value;
@@ -70,7 +70,7 @@
 }
 
 int64_t
-boff_opens_at (const Service *service, uint64_t owner, int64_t now)
+boff_earliest_end (const Service *service, uint64_t owner, int64_t now)
 {
   const Server *server;
   int64_t soonest = INT64_MAX;
@@ -79,7 +79,7 @@
     return now;
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    if (server->listed && !server->leaving && server->use == USE_YES)
+    if (server->listed && !server->leaving && server->use == USE_ALL)
       soonest = MIN (soonest, MAX (until (server, owner), now));
   }
   return soonest == INT64_MAX ? now : soonest;
@@ -92,7 +92,7 @@
 
   cds_list_for_each_entry (server, &job->service->servers, link)
   {
-    if (est_has_place (sched, server, now) && boff_may (server, job->key.owner, now))
+    if (est_has_place (sched, server, now) && boff_permits (server, job->key.owner, now))
       return true;
   }
   return false;
--- a/src/budget.c
+++ b/src/budget.c
@@ -19,7 +19,7 @@
   unsigned asked[SLOTS], repeated[SLOTS];
 } Counts;
 
-struct Budget
+struct RetryBudget
 {
   FtClock *clock;
   BudgetConf conf;
@@ -27,10 +27,10 @@
   GHashTable *services; /* name: Counts */
 };
 
-Budget *
+RetryBudget *
 budget_new (FtClock *clock, const BudgetConf *conf)
 {
-  Budget *budget = g_new0 (Budget, 1);
+  RetryBudget *budget = g_new0 (RetryBudget, 1);
 
   budget->clock = clock;
   budget->conf = *conf;
@@ -40,7 +40,7 @@
 }
 
 void
-budget_free (Budget *budget)
+budget_free (RetryBudget *budget)
 {
   if (budget == NULL)
     return;
@@ -49,13 +49,13 @@
 }
 
 void
-budget_share (Budget *budget, double share)
+budget_set_share (RetryBudget *budget, double share)
 {
   budget->share = share;
 }
 
 static Counts *
-counts_of (Budget *budget, const char *service, unsigned *slot)
+counts_of (RetryBudget *budget, const char *service, unsigned *slot)
 {
   Counts *counts = g_hash_table_lookup (budget->services, service);
   int64_t span = ft_clock_now (budget->clock) / (budget->conf.window_us / SLOTS);
@@ -75,7 +75,7 @@
 }
 
 void
-budget_note (Budget *budget, const char *service)
+budget_count_request (RetryBudget *budget, const char *service)
 {
   unsigned slot;
   Counts *counts = counts_of (budget, service, &slot);
@@ -84,7 +84,7 @@
 }
 
 bool
-budget_take (Budget *budget, const char *service)
+budget_take (RetryBudget *budget, const char *service)
 {
   unsigned slot, asked = 0, repeated = 0;
   Counts *counts = counts_of (budget, service, &slot);
--- a/src/budget.h
+++ b/src/budget.h
@@ -5,7 +5,7 @@
 
 #include "foxtail.h"
 
-typedef struct Budget Budget;
+typedef struct RetryBudget RetryBudget;
 
 typedef struct
 {
@@ -14,13 +14,13 @@
   int64_t window_us; /* in any span of this length */
 } BudgetConf;
 
-Budget *budget_new (FtClock *clock, const BudgetConf *conf);
-void budget_free (Budget *budget);
+RetryBudget *budget_new (FtClock *clock, const BudgetConf *conf);
+void budget_free (RetryBudget *budget);
 /* This instance's part of the slack, 0 to 1. */
-void budget_share (Budget *budget, double share);
+void budget_set_share (RetryBudget *budget, double share);
 /* A caller's request for the service came here. */
-void budget_note (Budget *budget, const char *service);
+void budget_count_request (RetryBudget *budget, const char *service);
 /* May one be sent once more? Counts it if so. */
-bool budget_take (Budget *budget, const char *service);
+bool budget_take (RetryBudget *budget, const char *service);
 
 #endif
--- a/src/content.c
+++ b/src/content.c
@@ -47,16 +47,16 @@
 }
 
 const char *
-content_text (uint64_t id, char *buffer)
+content_format (uint64_t id, char *buffer)
 {
-  g_snprintf (buffer, CONTENT_TEXT, "%016" G_GINT64_MODIFIER "x", id);
+  g_snprintf (buffer, CONTENT_ID_SIZE, "%016" G_GINT64_MODIFIER "x", id);
   return buffer;
 }
 
 bool
 content_parse (const char *text, uint64_t *id)
 {
-  if (strlen (text) != CONTENT_TEXT - 1)
+  if (strlen (text) != CONTENT_ID_SIZE - 1)
     return false;
   for (const char *at = text; *at; at++)
     if (!g_ascii_isxdigit (*at))
--- a/src/content.h
+++ b/src/content.h
@@ -4,7 +4,7 @@
 
 #include "foxtail.h"
 
-#define CONTENT_TEXT 17 /* bytes of an identity as text, its end included */
+#define CONTENT_ID_SIZE 17 /* bytes of an identity as text, its end included */
 
 /* What a request asks of a server. Strings may be NULL, which is as empty. */
 typedef struct
@@ -19,7 +19,7 @@
 /* The same number on every instance for the same content; never 0. */
 uint64_t content_id (const Content *content);
 /* 16 hex digits into buffer; returns buffer. */
-const char *content_text (uint64_t id, char *buffer);
+const char *content_format (uint64_t id, char *buffer);
 /* False: text is no identity. */
 bool content_parse (const char *text, uint64_t *id);
 
--- a/src/blame.c
+++ b/src/crashes.c
@@ -1,4 +1,4 @@
-/* blame.c - which contents were running on servers that ended.
+/* crashes.c - which contents were running on servers that ended.
  *
  * Failure: one request ends each server that begins to run it, and its caller sends it again, under
  * another id, to another instance. Symptom: server after server ends, each taking other callers'
@@ -13,7 +13,7 @@
  * The account is bounded. When it is full the suspect with the fewest ends goes, the oldest of
  * these first: a flood of contents that met one end each cannot push out those that met more.
  */
-#include "blame.h"
+#include "crashes.h"
 #include "content.h"
 
 #include <string.h>
@@ -23,7 +23,7 @@
   2000 /* instances see one end within a second of each other; no server starts again and ends in  \
           less */
 
-struct Blame
+struct CrashTable
 {
   uint64_t index;
   GHashTable *suspects; /* content: MsgSuspect */
@@ -36,17 +36,17 @@
   g_free (data);
 }
 
-Blame *
-blame_new (void)
+CrashTable *
+crashes_new (void)
 {
-  Blame *blame = g_new0 (Blame, 1);
+  CrashTable *blame = g_new0 (CrashTable, 1);
 
   blame->suspects = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, suspect_free);
   return blame;
 }
 
 void
-blame_free (Blame *blame)
+crashes_free (CrashTable *blame)
 {
   if (blame == NULL)
     return;
@@ -66,13 +66,13 @@
 }
 
 static void
-make_room (Blame *blame)
+make_room (CrashTable *blame)
 {
   GHashTableIter iter;
   gpointer value;
   const MsgSuspect *least = NULL;
 
-  if (g_hash_table_size (blame->suspects) < BLAME_MOST)
+  if (g_hash_table_size (blame->suspects) < CRASHES_MAX_CONTENTS)
     return;
   g_hash_table_iter_init (&iter, blame->suspects);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -83,13 +83,13 @@
 }
 
 static void
-insert (Blame *blame, MsgSuspect *suspect)
+insert (CrashTable *blame, MsgSuspect *suspect)
 {
   g_hash_table_insert (blame->suspects, &suspect->content, suspect);
 }
 
 static MsgSuspect *
-suspect_of (Blame *blame, uint64_t content, int64_t wall_ms)
+suspect_of (CrashTable *blame, uint64_t content, int64_t wall_ms)
 {
   MsgSuspect *suspect = g_hash_table_lookup (blame->suspects, &content);
 
@@ -137,7 +137,7 @@
 }
 
 static bool
-add_end (Blame *blame, uint64_t index, uint64_t content, const MsgCrash *ended)
+add_end (CrashTable *blame, uint64_t index, uint64_t content, const MsgCrash *ended)
 {
   MsgSuspect *suspect = suspect_of (blame, content, ended->wall_ms);
 
@@ -153,7 +153,7 @@
 }
 
 static bool
-note_change (Blame *blame, uint64_t index, bool changed)
+note_change (CrashTable *blame, uint64_t index, bool changed)
 {
   if (changed)
     blame->index = index;
@@ -161,7 +161,7 @@
 }
 
 bool
-blame_ended (Blame *blame, uint64_t index, const MsgCrash *ended)
+crashes_add (CrashTable *blame, uint64_t index, const MsgCrash *ended)
 {
   bool changed = false;
 
@@ -186,7 +186,7 @@
 }
 
 bool
-blame_survived (Blame *blame, uint64_t index, const MsgCrashRetracted *survived)
+crashes_retract (CrashTable *blame, uint64_t index, const MsgCrashRetracted *survived)
 {
   GHashTableIter iter;
   gpointer value;
@@ -200,7 +200,7 @@
 }
 
 bool
-blame_cleared (Blame *blame, uint64_t index, const MsgCleared *cleared)
+crashes_clear (CrashTable *blame, uint64_t index, const MsgCleared *cleared)
 {
   bool changed = false;
 
@@ -211,17 +211,17 @@
 }
 
 const MsgSuspect *
-blame_find (const Blame *blame, uint64_t content)
+crashes_find (const CrashTable *blame, uint64_t content)
 {
   return g_hash_table_lookup (blame->suspects, &content);
 }
 
 bool
-blame_knows (const Blame *blame, const MsgCrash *ended)
+crashes_is_recorded (const CrashTable *blame, const MsgCrash *ended)
 {
   for (unsigned i = 0; i < ended->contents.contents_len; i++)
     {
-      const MsgSuspect *suspect = blame_find (blame, ended->contents.contents_val[i]);
+      const MsgSuspect *suspect = crashes_find (blame, ended->contents.contents_val[i]);
       if (suspect == NULL || !is_known (suspect, ended))
         return false;
     }
@@ -229,13 +229,13 @@
 }
 
 uint64_t
-blame_index (const Blame *blame)
+blame_index (const CrashTable *blame)
 {
   return blame->index;
 }
 
 unsigned
-blame_count (const Blame *blame, unsigned *quarantined)
+crashes_count (const CrashTable *blame, unsigned *quarantined)
 {
   GHashTableIter iter;
   gpointer value;
@@ -243,7 +243,7 @@
   *quarantined = 0;
   g_hash_table_iter_init (&iter, blame->suspects);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    *quarantined += ((const MsgSuspect *) value)->ends >= BLAME_ENDS;
+    *quarantined += ((const MsgSuspect *) value)->ends >= CRASHES_QUARANTINE;
   return g_hash_table_size (blame->suspects);
 }
 
@@ -254,7 +254,7 @@
 }
 
 void
-blame_capture (const Blame *blame, unsigned least, MsgCrashTable *out)
+crashes_capture (const CrashTable *blame, unsigned least, MsgCrashTable *out)
 {
   GArray *all = g_array_new (FALSE, FALSE, sizeof (MsgSuspect));
   GHashTableIter iter;
@@ -276,13 +276,13 @@
   const MsgServerCrash *ends = suspect->latest.latest_val;
   unsigned count = suspect->latest.latest_len;
   int64_t last_ms = count ? ends[count - 1].wall_ms : suspect->first_ms;
-  char content[CONTENT_TEXT];
+  char content[CONTENT_ID_SIZE];
 
   g_string_append_printf (out,
                           "{\"content\":\"%s\",\"quarantined\":%s,\"ends\":%u,"
                           "\"first_s_ago\":%.1f,\"last_s_ago\":%.1f,\"servers\":[",
-                          content_text (suspect->content, content),
-                          suspect->ends >= BLAME_ENDS ? "true" : "false", suspect->ends,
+                          content_format (suspect->content, content),
+                          suspect->ends >= CRASHES_QUARANTINE ? "true" : "false", suspect->ends,
                           (double) (wall_ms - suspect->first_ms) / 1e3,
                           (double) (wall_ms - last_ms) / 1e3);
   for (unsigned i = 0; i < count; i++)
@@ -295,11 +295,11 @@
 }
 
 void
-blame_list (const Blame *blame, int64_t wall_ms, GString *out)
+crashes_append_json (const CrashTable *blame, int64_t wall_ms, GString *out)
 {
   MsgCrashTable all;
 
-  blame_capture (blame, 0, &all);
+  crashes_capture (blame, 0, &all);
   g_string_append_c (out, '[');
   for (unsigned i = 0; i < all.suspects.suspects_len; i++)
     {
@@ -323,7 +323,7 @@
 }
 
 void
-blame_restore (Blame *blame, const MsgCrashTable *in)
+crashes_restore (CrashTable *blame, const MsgCrashTable *in)
 {
   g_hash_table_remove_all (blame->suspects);
   blame->index = in->index;
--- a/src/curve.c
+++ b/src/curve.c
@@ -18,19 +18,21 @@
 #include <math.h>
 
 /* Tuning; each row with its reason. */
-#define LATENCY_FIRST 10000.0 /* microseconds, before anything was seen */
-#define GROWTH_FIRST  5e-6    /* a token: 50,000 of them take a quarter more than in proportion */
-#define LATENCY_LEAST 500.0   /* both move by a part of themselves, and do not come back from 0 */
-#define GROWTH_LEAST  2e-7    /* likewise: 50,000 tokens take a hundredth more */
-#define EACH_FIRST    0.003   /* of an output token's time */
-#define STEP          0.25    /* of a sample's error: four samples replace most of the past */
-#define STEP_COMMON   0.1     /* the same for what all servers teach */
-#define ERROR_MOST    1.0 /* a sample that waited for something else is no more wrong than that */
+#define LATENCY_INITIAL_US 10000.0 /* microseconds, before anything was seen */
+#define GROWTH_INITIAL     5e-6 /* a token: 50,000 of them take a quarter more than in proportion */
+#define LATENCY_MIN_US     500.0 /* both move by a part of themselves, and do not come back from 0 */
+#define GROWTH_MIN         2e-7  /* likewise: 50,000 tokens take a hundredth more */
+#define UNIT_RATIO_INITIAL 0.003 /* of an output token's time */
+#define STEP               0.25  /* of a sample's error: four samples replace most of the past */
+#define COMMON_STEP        0.1   /* the same for what all servers teach */
+#define ERROR_MAX          1.0 /* a sample that waited for something else is no more wrong than that */
 
 void
 curve_init (Curve *curve)
 {
-  *curve = (Curve){ .latency_us = LATENCY_FIRST, .growth = GROWTH_FIRST, .each = EACH_FIRST };
+  *curve = (Curve){ .latency_us = LATENCY_INITIAL_US,
+                    .growth = GROWTH_INITIAL,
+                    .each = UNIT_RATIO_INITIAL };
 }
 
 double
@@ -40,7 +42,7 @@
 }
 
 double
-curve_last (const Curve *curve, unsigned tokens)
+curve_marginal_units (const Curve *curve, unsigned tokens)
 {
   return 1 + 2 * curve->growth * tokens;
 }
@@ -54,15 +56,15 @@
     *unit_us = curve->each * token_us;
   double flat = *unit_us * tokens, grown = flat * curve->growth * tokens;
   double expected = curve->latency_us + flat + grown;
-  double error = CLAMP (took_us / expected - 1, -ERROR_MOST, ERROR_MOST);
+  double error = CLAMP (took_us / expected - 1, -ERROR_MAX, ERROR_MAX);
   double of_latency = curve->latency_us / expected;
   double of_unit = (flat + grown) / expected;
   double of_growth = grown / expected;
   double norm = of_latency * of_latency + of_unit * of_unit + of_growth * of_growth;
 
   curve->latency_us
-      = MAX (LATENCY_LEAST, curve->latency_us * exp (STEP_COMMON * error * of_latency / norm));
-  curve->growth = MAX (GROWTH_LEAST, curve->growth * exp (STEP_COMMON * error * of_growth / norm));
+      = MAX (LATENCY_MIN_US, curve->latency_us * exp (COMMON_STEP * error * of_latency / norm));
+  curve->growth = MAX (GROWTH_MIN, curve->growth * exp (COMMON_STEP * error * of_growth / norm));
   *unit_us *= exp (STEP * error * of_unit / norm);
-  curve->each += STEP_COMMON * of_unit * (*unit_us / token_us - curve->each);
+  curve->each += COMMON_STEP * of_unit * (*unit_us / token_us - curve->each);
 }
--- a/src/ent.c
+++ b/src/ent.c
@@ -139,7 +139,7 @@
 static bool
 must_withhold (const EntTable *ent, const EntReq *req)
 {
-  return req->content && quar_judge (ent->node->quar, req->content).state >= QUAR_SETTLES;
+  return req->content && quar_check (ent->node->quar, req->content).state >= QUAR_RECHECK;
 }
 
 /* Sends a request to the scheduler unless too many servers have crashed while running its content.
@@ -189,11 +189,11 @@
 }
 
 FtStatus
-ft_node_ask (FtNode *node, const FtNodeAsk *ask)
+ft_node_submit (FtNode *node, const FtNodeRequest *ask)
 {
   EntTable *ent = node->ent;
   int64_t now = ft_clock_now (node->clock);
-  unsigned blocks = MIN (ask->block_count, FT_BLOCKS_MOST);
+  unsigned blocks = MIN (ask->block_count, FT_BLOCKS_MAX);
 
   if (find_request (ent, ask->request))
     return FT_CONFLICT;
@@ -205,8 +205,8 @@
   req->prompt_tokens = ask->prompt_tokens;
   req->most_tokens = ask->most_tokens;
   req->content = ask->content;
-  req->first_token_due = now + ask->first_in;
-  req->answer_due = now + ask->due_in;
+  req->first_token_due = now + ask->first_token_in_us;
+  req->answer_due = now + ask->deadline_in_us;
   req->block_count = blocks;
   if (blocks)
     memcpy (req->blocks, ask->blocks, blocks * sizeof (uint64_t));
@@ -245,7 +245,7 @@
 }
 
 static void
-send_done (FtNode *node, const EntReq *req, FtDone how, unsigned tokens)
+send_done (FtNode *node, const EntReq *req, FtOutcome how, unsigned tokens)
 {
   Msg msg = { .kind = MSG_DONE };
   MsgDone *out = &msg.Msg_u.done;
@@ -261,7 +261,7 @@
 }
 
 void
-ft_node_done (FtNode *node, uint64_t request, FtDone how, unsigned tokens)
+ft_node_end_request (FtNode *node, uint64_t request, FtOutcome how, unsigned tokens)
 {
   EntReq *req = find_request (node->ent, request);
 
@@ -270,23 +270,23 @@
   /* Removed first: sending the message may bring decisions on other requests at once. */
   g_hash_table_remove (node->ent->requests, &req->request);
   cds_list_del (&req->link);
-  if (how == FT_DONE_WHOLE && req->content)
-    susp_answered (node, req->content);
+  if (how == FT_OUTCOME_COMPLETE && req->content)
+    susp_on_answer (node, req->content);
   send_done (node, req, how, tokens);
   request_free (req);
 }
 
 void
-ft_node_server_ended (FtNode *node, uint64_t request, int64_t wall_ms)
+ft_node_report_crash (FtNode *node, uint64_t request, int64_t wall_ms)
 {
   const EntReq *req = find_request (node->ent, request);
 
   if (req && req->server && req->content)
-    susp_ended (node, req->pool->name, req->server, req->content, wall_ms);
+    susp_propose_crash (node, req->pool->name, req->server, req->content, wall_ms);
 }
 
 static void
-resubmit (FtNode *node, EntReq *req, FtDone how)
+resubmit (FtNode *node, EntReq *req, FtOutcome how)
 {
   send_done (node, req, how, 0);
   g_clear_pointer (&req->server, g_free);
@@ -296,12 +296,12 @@
 }
 
 void
-ft_node_ask_again (FtNode *node, uint64_t request)
+ft_node_resubmit (FtNode *node, uint64_t request)
 {
   EntReq *req = find_request (node->ent, request);
 
   if (req && req->state == MSG_ASK_RUNNING && req->tokens == 0)
-    resubmit (node, req, FT_DONE_REFUSED);
+    resubmit (node, req, FT_OUTCOME_NOT_CONNECTED);
 }
 
 /* The request that a decision is about; NULL if the decision is not of the pool's current holder
@@ -330,7 +330,7 @@
   /* The scheduler's list of servers may be older than ours and grant a server that is leaving, so
    * the entry checks the server's state once more before the dispatch. */
   if ((server && server->state != FT_SERVER_LIVE) || must_withhold (ent, req))
-    resubmit (node, req, FT_DONE_CANCELLED);
+    resubmit (node, req, FT_OUTCOME_CANCELLED);
   else
     node->ops->grant (node->host, req->request, req->server);
 }
@@ -394,7 +394,7 @@
 {
   if (now <= MIN (req->first_token_due, req->answer_due) + FT_SECOND)
     return;
-  send_done (ent->node, req, FT_DONE_CANCELLED, 0);
+  send_done (ent->node, req, FT_OUTCOME_CANCELLED, 0);
   refuse (ent, req, FT_REASON_NO_SCHEDULER, 0, 2000,
           "no decision came before the first token was due");
 }
@@ -404,19 +404,19 @@
 static void
 check_quarantine (EntTable *ent, EntReq *req)
 {
-  QuarVerdict verdict = quar_judge (ent->node->quar, req->content);
+  QuarVerdict verdict = quar_check (ent->node->quar, req->content);
   char rule[128];
 
-  if (verdict.state == QUAR_HELD)
+  if (verdict.state == QUAR_BLOCKED)
     {
       g_snprintf (rule, sizeof rule,
                   "%u servers crashed while running content %016" G_GINT64_MODIFIER "x",
                   verdict.ends, req->content);
       if (!req->withheld)
-        send_done (ent->node, req, FT_DONE_CANCELLED, 0);
+        send_done (ent->node, req, FT_OUTCOME_CANCELLED, 0);
       refuse (ent, req, FT_REASON_QUARANTINED, 0, 0, rule);
     }
-  else if (req->withheld && verdict.state != QUAR_SETTLES)
+  else if (req->withheld && verdict.state != QUAR_RECHECK)
     {
       req->withheld = false;
       if (req->pool->holder)
