--- a/src/estimate.c
+++ b/src/estimate.c
@@ -6,8 +6,8 @@
  * Speeds are learned from the time of first events (curve.c) and between events, since they differ
  * more than fourfold inside one pool. A prompt is computed in chunks between the tokens of its
  * neighbours; when these chunks would stretch a neighbour's pause beyond its bound, each neighbour
- * counts as HARM_US. A request that would be late on every free server, while a busy one could
- * still serve it on time, waits for that one as long as it can.
+ * counts as DELAY_COST_US. A request that would be late on every free server, while a busy one
+ * could still serve it on time, waits for that one as long as it can.
  */
 #include "schedint.h"
 
@@ -15,39 +15,44 @@
 #include <string.h>
 
 /* Tuning; each row with its reason. */
-#define TOKEN_US           6000.0 /* time of a token before any was seen; large models take 2 to 30 ms */
-#define ANSWER_US          40000.0 /* a plain service's answer before any was seen */
-#define CHUNK              1024 /* tokens of a prompt that engines compute at once, a usual setting */
-#define LEARN              0.25 /* weight of a new sample: four samples replace most of the past */
-#define HARM_US            400000.0 /* cost of making one neighbour late, as much as finishing later */
-#define LATE_US            1500000.0 /* cost of being late where another server would not be */
-#define GAP_USED           0.85 /* of a neighbour's bound that a pause may reach by our estimate */
-#define REST_ANY           (3600 * FT_SECOND) /* as long as the server says that it keeps it */
-#define REST_FEARED        (200.0 * FT_MS) /* shorter than what a server forgets in a burst of load */
-#define REST_TOGETHER      (2 * FT_SECOND) /* breaks at several servers that have one cause */
-#define REST_SERVERS       4 /* of a large service: fewer may be faults of their own */
-#define REST_SERVERS_LEAST 2 /* of a small one */
-#define NEW_BROKE_FOR      (5 * FT_SECOND) /* a fault that breaks new connections may last so long */
-#define REST_DOUBLES                                                                               \
+#define DEFAULT_TOKEN_US                                                                           \
+  6000.0 /* time of a token before any was seen; large models take 2 to 30 ms */
+#define DEFAULT_ANSWER_US 40000.0 /* a plain service's answer before any was seen */
+#define CHUNK             1024 /* tokens of a prompt that engines compute at once, a usual setting */
+#define SAMPLE_WEIGHT     0.25 /* weight of a new sample: four samples replace most of the past */
+#define DELAY_COST_US     400000.0 /* cost of making one neighbour late, as much as finishing later */
+#define LATE_COST_US      1500000.0 /* cost of being late where another server would not be */
+#define GAP_USABLE        0.85 /* of a neighbour's bound that a pause may reach by our estimate */
+#define IDLE_UNBOUNDED    (3600 * FT_SECOND) /* as long as the server says that it keeps it */
+#define IDLE_AFTER_BREAK  (200.0 * FT_MS) /* shorter than what a server forgets in a burst of load \
+                                           */
+#define BREAKS_TOGETHER    (2 * FT_SECOND) /* breaks at several servers that have one cause */
+#define BROKEN_SERVERS_MAX 4 /* of a large service: fewer may be faults of their own */
+#define BROKEN_SERVERS_MIN 2 /* of a small one */
+#define NEW_CONN_FAULT_TIME                                                                        \
+  (5 * FT_SECOND) /* a fault that breaks new connections may last so long */
+#define IDLE_DOUBLING_US                                                                           \
   2.5e6 /* microseconds: a fault of seconds is met once or twice more, and 15 s                    \
            after it connections are kept as before */
-#define OPEN_ENGINE_US                                                                             \
-  100e3              /* worth of a connection that is there, to an engine: a tenth of an answer */
-#define OPEN_US 30e3 /* the same to a plain service: its set-up, and it holds a place meanwhile */
-#define OWN_TIER                                                                                   \
+#define CONNECT_ENGINE_US                                                                          \
+  100e3 /* worth of a connection that is there, to an engine: a tenth of an answer */
+#define CONNECT_PLAIN_US                                                                           \
+  30e3 /* the same to a plain service: its set-up, and it holds a place meanwhile */
+#define OWN_TIER_SHARE                                                                             \
   0.7 /* of the arrivals of a late request's tier that go before it: those on time                 \
        */
-#define FAILED_US   2000000.0 /* cost of a lost answer, as much as finishing later by so much */
-#define FAILED_ONCE 0.2       /* share that one failure leaves ... */
-#define FAILED_SPREAD                                                                              \
+#define FAILURE_COST_US 2000000.0 /* cost of a lost answer, as much as finishing later by so much  \
+                                   */
+#define SINGLE_FAILURE 0.2        /* share that one failure leaves ... */
+#define COMMON_FAILURES                                                                            \
   8 /* ... which counts as the request's fault where one in so many of the servers that answered   \
-       in FAILED_FOR has met one, and more than one has */
-#define FAILED_FOR  5e6 /* microseconds over which failures are forgotten: servers restart */
-#define SUMMARY_FOR (10 * FT_MS) /* speeds change more slowly than that */
-#define LEFT_LEAST  0.05 /* of the places: what is left to a tier however much goes before it */
-#define SLOW_TIMES  1.6  /* times the best server's token: waiting for another may pay */
+       in FAILURE_DECAY_US has met one, and more than one has */
+#define FAILURE_DECAY_US 5e6 /* microseconds over which failures are forgotten: servers restart */
+#define SUMMARY_LIFETIME (10 * FT_MS) /* speeds change more slowly than that */
+#define LEFT_LEAST       0.05 /* of the places: what is left to a tier however much goes before it */
+#define SLOW_FACTOR      1.6  /* times the best server's token: waiting for another may pay */
 
-#define PART_SPREAD                                                                                \
+#define GRANT_MARGIN_SIGMAS                                                                        \
   2.0 /* standard deviations of what a part of the instances runs, kept free while others may yet  \
          report more than their part */
 
@@ -67,21 +72,21 @@
 
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    if (server->token_us <= 0 || server->use == USE_TRIED)
+    if (server->token_us <= 0 || server->use == USE_ON_TRIAL)
       continue;
     total += server->token_us;
     count++;
     if (best == 0 || server->token_us < best)
       best = server->token_us;
   }
-  sum->best_token = count ? best : TOKEN_US;
-  sum->mean_token = count ? total / count : TOKEN_US;
+  sum->best_token_us = count ? best : DEFAULT_TOKEN_US;
+  sum->mean_token_us = count ? total / count : DEFAULT_TOKEN_US;
 }
 
 static bool
 is_lately (int64_t at, int64_t now)
 {
-  return at > 0 && (double) (now - at) < FAILED_FOR;
+  return at > 0 && (double) (now - at) < FAILURE_DECAY_US;
 }
 
 const Summary *
@@ -94,9 +99,9 @@
 
   if (now < sum->until)
     return sum;
-  sum->until = now + SUMMARY_FOR;
+  sum->until = now + SUMMARY_LIFETIME;
   summarize_speeds (service);
-  sum->least_unit = sum->least_answer = sum->places = 0;
+  sum->min_prompt_unit = sum->min_answer_us = sum->places = 0;
   sum->slots = 0;
   sum->any_usable = false;
   cds_list_for_each_entry (server, &service->servers, link)
@@ -106,30 +111,30 @@
         sum->slots += server->running;
         continue;
       }
-    double token = server->token_us > 0 ? server->token_us : sum->mean_token;
+    double token = server->token_us > 0 ? server->token_us : sum->mean_token_us;
     double unit = prompt_unit (server, token);
-    double answer = server->answer_us > 0 ? server->answer_us : ANSWER_US;
-    if (!sum->any_usable || unit < sum->least_unit)
-      sum->least_unit = unit;
-    if (!sum->any_usable || answer < sum->least_answer)
-      sum->least_answer = answer;
+    double answer = server->answer_us > 0 ? server->answer_us : DEFAULT_ANSWER_US;
+    if (!sum->any_usable || unit < sum->min_prompt_unit)
+      sum->min_prompt_unit = unit;
+    if (!sum->any_usable || answer < sum->min_answer_us)
+      sum->min_answer_us = answer;
     sum->any_usable = true;
     sum->slots += server->slots;
     bool fails = is_lately (server->failed_at, now);
     used += fails || is_lately (server->answered_at, now);
     failed += fails;
     double places
-        = est_places (sched, server) * (service->conf.engine ? sum->best_token / token : 1);
+        = est_places (sched, server) * (service->conf.engine ? sum->best_token_us / token : 1);
     sum->places += pace_places (sched, server, places);
   }
-  sum->many_failed = failed > 1 && failed * FAILED_SPREAD >= used;
+  sum->many_failed = failed > 1 && failed * COMMON_FAILURES >= used;
   return sum;
 }
 
 double
 est_token_us (const Server *server)
 {
-  return server->token_us > 0 ? server->token_us : server->service->summary.mean_token;
+  return server->token_us > 0 ? server->token_us : server->service->summary.mean_token_us;
 }
 
 double
@@ -142,21 +147,21 @@
 static double
 answer_us (const Server *server)
 {
-  return server->answer_us > 0 ? server->answer_us : ANSWER_US;
+  return server->answer_us > 0 ? server->answer_us : DEFAULT_ANSWER_US;
 }
 
 void
 est_learn (double *value, double sample)
 {
-  *value = *value > 0 ? *value + LEARN * (sample - *value) : sample;
+  *value = *value > 0 ? *value + SAMPLE_WEIGHT * (sample - *value) : sample;
 }
 
 double
 est_work_us (const Sched *sched, Service *service, const SchedAsk *ask)
 {
   if (!service->conf.engine)
-    return est_summary (sched, service)->least_answer;
-  double token = est_summary (sched, service)->best_token;
+    return est_summary (sched, service)->min_answer_us;
+  double token = est_summary (sched, service)->best_token_us;
   double prompt = curve_units (&service->curve, ask->prompt_tokens) * service->curve.each;
   return (prompt + ask->output_tokens) * token;
 }
@@ -193,15 +198,15 @@
 
   if (part > 1)
     return true;
-  if (sched->part_guessed)
-    most = MAX (most - PART_SPREAD * sqrt (most * (1 - part)), most / 2);
+  if (sched->others_unknown)
+    most = MAX (most - GRANT_MARGIN_SIGMAS * sqrt (most * (1 - part)), most / 2);
   return service->running + 1 <= most && server->running < places_of (sched, server, part);
 }
 
 bool
 est_usable (const Server *server, int64_t now)
 {
-  return server->listed && !server->leaving && server->use == USE_YES && now >= server->out_until;
+  return server->listed && !server->leaving && server->use == USE_ALL && now >= server->out_until;
 }
 
 bool
@@ -226,7 +231,7 @@
 harm_us (const Server *server, const SchedAsk *ask)
 {
   const Service *service = server->service;
-  double chunk = CHUNK * curve_last (&service->curve, ask->prompt_tokens)
+  double chunk = CHUNK * curve_marginal_units (&service->curve, ask->prompt_tokens)
                  * prompt_unit (server, est_token_us (server));
   double chunks = ceil ((double) (ask->prompt_tokens + server->pending_tokens) / CHUNK);
   unsigned stride = service->conf.stride;
@@ -236,8 +241,8 @@
 
   cds_list_for_each_entry (job, &server->runs, link)
   {
-    if (job->first_seen && job->ask.gap_us > 0 && pause > GAP_USED * (double) job->ask.gap_us)
-      harm += HARM_US;
+    if (job->first_seen && job->ask.gap_us > 0 && pause > GAP_USABLE * (double) job->ask.gap_us)
+      harm += DELAY_COST_US;
   }
   return harm;
 }
@@ -250,7 +255,7 @@
   if (!server->service->conf.engine)
     {
       double over = server->running >= server->slots ? 1 : 0;
-      out.first_us = HOP_US + answer_us (server) * (1 + over);
+      out.first_us = NETWORK_US + answer_us (server) * (1 + over);
       out.finish_us = out.first_us + answer_us (server) * server->running / MAX (server->slots, 1);
     }
   else
@@ -258,7 +263,7 @@
       double ahead = (double) MAX (0, server->prompts_until - now);
       double own = est_prompt_us (server, ask->prompt_tokens);
       out.first_us
-          = HOP_US + server->service->curve.latency_us + ahead + own + est_token_us (server);
+          = NETWORK_US + server->service->curve.latency_us + ahead + own + est_token_us (server);
       out.finish_us = out.first_us + ask->output_tokens * est_token_us (server);
       out.harm_us = harm_us (server, ask);
     }
@@ -280,14 +285,14 @@
 }
 
 bool
-est_kept_place (const Sched *sched, const Job *job, int64_t now)
+est_connected_place (const Sched *sched, const Job *job, int64_t now)
 {
   for (unsigned i = 0; i < job->ask.kept_count; i++)
     {
       const Server *server
           = g_hash_table_lookup (sched->by_digest, GUINT_TO_POINTER (job->kept[i]));
       if (server && server->service == job->service && est_has_place (sched, server, now)
-          && boff_may (server, job->key.owner, now))
+          && boff_permits (server, job->key.owner, now))
         return true;
     }
   return false;
@@ -298,7 +303,7 @@
 {
   if (server->kept_by == sched->choices)
     return 0;
-  return server->service->conf.engine ? OPEN_ENGINE_US : OPEN_US;
+  return server->service->conf.engine ? CONNECT_ENGINE_US : CONNECT_PLAIN_US;
 }
 
 /* Failure: servers, or what is between, forget connections that rest for a moment, without a word.
@@ -306,14 +311,14 @@
  * first one on only connections that have hardly rested are used for such at that server, and once
  * some servers do it at all of the service; that bound doubles while nothing breaks. */
 int64_t
-est_rest_most (const Server *server, int64_t now)
+est_max_idle_us (const Server *server, int64_t now)
 {
-  int64_t broke_at = MAX (server->rest_broke_at, server->service->rest_broke_at);
+  int64_t broke_at = MAX (server->idle_broke_at, server->service->idle_broke_at);
 
   if (broke_at == 0)
-    return REST_ANY;
-  double times = exp2 ((double) (now - broke_at) / REST_DOUBLES);
-  return (int64_t) MIN ((double) REST_ANY, REST_FEARED * times);
+    return IDLE_UNBOUNDED;
+  double times = exp2 ((double) (now - broke_at) / IDLE_DOUBLING_US);
+  return (int64_t) MIN ((double) IDLE_UNBOUNDED, IDLE_AFTER_BREAK * times);
 }
 
 /* Where new connections break as well the rest is not the cause, and new ones are no cure. */
@@ -322,13 +327,13 @@
 {
   Server *server;
 
-  service->new_broke_at = now;
-  service->rest_broke_at = 0;
-  cds_list_for_each_entry (server, &service->servers, link) server->rest_broke_at = 0;
+  service->new_conn_broke_at = now;
+  service->idle_broke_at = 0;
+  cds_list_for_each_entry (server, &service->servers, link) server->idle_broke_at = 0;
 }
 
 void
-est_broke (Server *server, bool rested, int64_t now)
+est_note_broken (Server *server, bool rested, int64_t now)
 {
   Service *service = server->service;
   unsigned all = 0, lately = 0;
@@ -338,16 +343,16 @@
       forget_rests (service, now);
       return;
     }
-  if (service->new_broke_at && now - service->new_broke_at < NEW_BROKE_FOR)
+  if (service->new_conn_broke_at && now - service->new_conn_broke_at < NEW_CONN_FAULT_TIME)
     return;
-  server->rest_broke_at = now;
+  server->idle_broke_at = now;
   cds_list_for_each_entry (server, &service->servers, link)
   {
     all++;
-    lately += server->rest_broke_at > 0 && now - server->rest_broke_at < REST_TOGETHER;
+    lately += server->idle_broke_at > 0 && now - server->idle_broke_at < BREAKS_TOGETHER;
   }
-  if (lately >= CLAMP (all / 4, REST_SERVERS_LEAST, REST_SERVERS))
-    service->rest_broke_at = now;
+  if (lately >= CLAMP (all / 4, BROKEN_SERVERS_MIN, BROKEN_SERVERS_MAX))
+    service->idle_broke_at = now;
 }
 
 /* Failure: many servers fail a part of what they get, and fail it fast, so their places are free
@@ -361,16 +366,16 @@
   double share = server->failures;
 
   if (server->service->summary.many_failed)
-    share -= FAILED_ONCE;
+    share -= SINGLE_FAILURE;
   if (server->failed_at == 0 || share <= 0)
     return 0;
-  return FAILED_US * share * exp ((double) (server->failed_at - now) / FAILED_FOR);
+  return FAILURE_COST_US * share * exp ((double) (server->failed_at - now) / FAILURE_DECAY_US);
 }
 
 static double
 total (const Estimate *estimate)
 {
-  return estimate->finish_us + estimate->harm_us + (estimate->late ? LATE_US : 0);
+  return estimate->finish_us + estimate->harm_us + (estimate->late ? LATE_COST_US : 0);
 }
 
 bool
@@ -401,7 +406,7 @@
   cds_list_for_each_entry (server, &job->service->servers, link)
   {
     if (!est_usable (server, now) || server->trial || server->pace.rate > 0
-        || !boff_may (server, job->key.owner, now) || est_has_place (sched, server, now)
+        || !boff_permits (server, job->key.owner, now) || est_has_place (sched, server, now)
         || (job->avoid && strcmp (job->avoid, server->id) == 0))
       continue;
     Estimate here = estimate (server, &job->ask, now);
@@ -423,7 +428,7 @@
   cds_list_for_each_entry (server, &job->service->servers, link)
   {
     if (!est_has_place (sched, server, now) || !est_fits_memory (sched, server, &job->ask)
-        || !boff_may (server, job->key.owner, now)
+        || !boff_permits (server, job->key.owner, now)
         || (job->avoid && strcmp (job->avoid, server->id) == 0))
       continue;
     if (server->trial && job->ask.repeatable)
@@ -440,7 +445,7 @@
   if (best == NULL || (!chosen.late && chosen.harm_us == 0) || now >= job->ask.aim_at)
     return best;
   bool slow = job->service->conf.engine
-              && est_token_us (best) > SLOW_TIMES * job->service->summary.best_token;
+              && est_token_us (best) > SLOW_FACTOR * job->service->summary.best_token_us;
   return (slow || chosen.harm_us > 0) && better_if_free (sched, job, best_total, now) ? NULL : best;
 }
 
@@ -451,16 +456,17 @@
   const Summary *sum = est_summary (sched, service);
 
   if (!service->conf.engine)
-    return HOP_US + sum->least_answer;
-  return HOP_US + service->curve.latency_us
-         + curve_units (&service->curve, ask->prompt_tokens) * sum->least_unit + sum->best_token;
+    return NETWORK_US + sum->min_answer_us;
+  return NETWORK_US + service->curve.latency_us
+         + curve_units (&service->curve, ask->prompt_tokens) * sum->min_prompt_unit
+         + sum->best_token_us;
 }
 
 /* Places that the arrivals of one tier take, and of all tiers above it. */
 static double
 taken_by (const Tier *tier, int64_t now)
 {
-  return tier->inflow * exp (-(double) (now - tier->inflow_at) / INFLOW_US);
+  return tier->inflow * exp (-(double) (now - tier->inflow_at) / ARRIVAL_WINDOW_US);
 }
 
 static double
@@ -479,7 +485,7 @@
 }
 
 double
-est_part_above (const Sched *sched, Service *service, unsigned number, int64_t now)
+est_share_above (const Sched *sched, Service *service, unsigned number, int64_t now)
 {
   double all = est_summary (sched, service)->places;
 
@@ -487,13 +493,13 @@
 }
 
 double
-est_left_places (const Sched *sched, Service *service, unsigned number, bool behind, int64_t now)
+est_places_left (const Sched *sched, Service *service, unsigned number, bool behind, int64_t now)
 {
   double all = est_summary (sched, service)->places;
   double taken = taken_above (service, number, now);
 
   if (behind)
-    taken += OWN_TIER * taken_by (wait_tier (service, number), now);
+    taken += OWN_TIER_SHARE * taken_by (wait_tier (service, number), now);
   return MAX (all - taken, all * LEFT_LEAST);
 }
 
@@ -501,7 +507,7 @@
 est_wait_us (const Sched *sched, Service *service, unsigned number, bool behind, double work_ahead,
              int64_t now)
 {
-  double left = est_left_places (sched, service, number, behind, now);
+  double left = est_places_left (sched, service, number, behind, now);
 
   return left > 0 ? work_ahead / left : 1e12;
 }
--- a/src/find.c
+++ b/src/find.c
@@ -9,10 +9,10 @@
 typedef struct
 {
   uint64_t number;
-  FtFindKind kind;
+  FtQueryKind kind;
   char *id;
   int64_t send_at, deadline;
-  unsigned pending; /* FT_FIND_ANSWER: instances that have not replied */
+  unsigned pending; /* FT_QUERY_ANSWER: instances that have not replied */
 } Query;
 
 void
@@ -32,7 +32,7 @@
   msg.Msg_u.query.number = query->number;
   msg.Msg_u.query.kind = (MsgQueryKind) query->kind;
   msg.Msg_u.query.id = query->id;
-  if (query->kind != FT_FIND_ANSWER)
+  if (query->kind != FT_QUERY_ANSWER)
     {
       query->send_at = now + NODE_RESEND_INTERVAL;
       node_send (node, node->assumed_leader, &msg);
@@ -50,7 +50,7 @@
 }
 
 uint64_t
-ft_node_find (FtNode *node, FtFindKind kind, const char *id)
+ft_node_query (FtNode *node, FtQueryKind kind, const char *id)
 {
   Query *query = g_new0 (Query, 1);
 
@@ -64,8 +64,8 @@
 }
 
 void
-ft_node_answer (FtNode *node, uint32_t to, uint64_t number, FtStatus status, const void *body,
-                size_t size)
+ft_node_reply_query (FtNode *node, uint32_t to, uint64_t number, FtStatus status, const void *body,
+                     size_t size)
 {
   Msg msg = { .kind = MSG_QUERY_REPLY };
 
@@ -102,7 +102,7 @@
 
   if (query == NULL || reply->status == FT_NOT_LEADER)
     return;
-  if (query->kind == FT_FIND_ANSWER && reply->status != FT_OK && --query->pending > 0)
+  if (query->kind == FT_QUERY_ANSWER && reply->status != FT_OK && --query->pending > 0)
     return;
   end_query (node, query, reply->status, reply->body.body_val, reply->body.body_len);
 }
--- a/src/foxtail.h
+++ b/src/foxtail.h
@@ -32,15 +32,15 @@
 typedef enum
 {
   FT_OK = 0,
-  FT_INVALID = -1,    /* an argument or a document breaks a rule */
-  FT_NOT_FOUND = -2,  /* no such object */
-  FT_CONFLICT = -3,   /* another change, claim or object took the place */
-  FT_STALE = -4,      /* an epoch, term or revision that has ended */
-  FT_IO = -5,         /* storage failed; nothing was promised */
-  FT_CORRUPT = -6,    /* stored data fails its checksum */
-  FT_FULL = -7,       /* a stated bound is reached */
-  FT_NOT_LEADER = -8, /* this voter is not in charge; ask the one it names */
-  FT_REPEAT = -9      /* the same was done before; its result stands */
+  FT_INVALID = -1,     /* an argument or a document breaks a rule */
+  FT_NOT_FOUND = -2,   /* no such object */
+  FT_CONFLICT = -3,    /* another change, claim or object took the place */
+  FT_STALE = -4,       /* an epoch, term or revision that has ended */
+  FT_IO = -5,          /* storage failed; nothing was promised */
+  FT_CORRUPT = -6,     /* stored data fails its checksum */
+  FT_FULL = -7,        /* a stated bound is reached */
+  FT_NOT_LEADER = -8,  /* this voter is not in charge; ask the one it names */
+  FT_ALREADY_DONE = -9 /* the same was done before; its result stands */
 } FtStatus;
 
 /* One English line for a status; "unknown status" for any other number. */
@@ -144,7 +144,7 @@
   FT_REASON_NO_SCHEDULER,
   FT_REASON_STALE_CATALOGUE,
   FT_REASON_SHUTTING_DOWN,
-  FT_REASON_CLAIM_ELSEWHERE,
+  FT_REASON_CLAIM_RUNNING,
   FT_REASON_CLAIM_MISMATCH,
   FT_REASON_CLAIM_UNAVAILABLE,
   FT_REASON_OUTCOME_UNKNOWN,
@@ -152,7 +152,7 @@
   FT_REASON_CALLER_GONE,
   FT_REASON_NO_SUCH_REQUEST,
   FT_REASON_QUARANTINED,
-  FT_REASONS
+  FT_REASON_COUNT
 } FtReason;
 
 typedef struct
@@ -187,7 +187,7 @@
 {
   FT_FIELD_STRING,
   FT_FIELD_INTEGER,
-  FT_FIELD_WHOLE, /* the whole part of a number that may have a fraction */
+  FT_FIELD_TRUNCATED, /* the whole part of a number that may have a fraction */
   FT_FIELD_BOOL,
   FT_FIELD_STRINGS /* an array of strings, a GPtrArray with g_free */
 } FtFieldType;
@@ -306,9 +306,9 @@
 /* The server now holds the blocks (chained hashes of the prompt's leading blocks). */
 void ft_prefix_add (FtPrefix *index, unsigned server, const uint64_t *blocks, unsigned count);
 /* The server said that it dropped one block. */
-void ft_prefix_drop (FtPrefix *index, unsigned server, uint64_t block);
+void ft_prefix_remove (FtPrefix *index, unsigned server, uint64_t block);
 /* Events of the server are missing: trust in what is known of it is halved. */
-void ft_prefix_gap (FtPrefix *index, unsigned server);
+void ft_prefix_note_gap (FtPrefix *index, unsigned server);
 /* The server restarted or left: nothing is known of it. */
 void ft_prefix_clear (FtPrefix *index, unsigned server);
 /* Expected number of leading blocks that the server holds, 0 to count. */
@@ -321,7 +321,7 @@
  * how many were written. */
 #define FT_BLOCK_BYTES  256
 #define FT_BLOCK_TOKENS 64 /* a token is taken as four bytes of text */
-#define FT_BLOCKS_MOST  64
+#define FT_BLOCKS_MAX   64
 unsigned ft_prefix_hash (const char *prompt, size_t length, uint64_t seed, uint64_t *blocks,
                          unsigned most);
 
@@ -340,12 +340,12 @@
   unsigned weight; /* the organisation's share within its tier */
   FtLimits limits; /* the organisation's limits in this pool */
   unsigned prompt_tokens;
-  unsigned most_tokens; /* the caller's own bound on the answer; 0: none */
-  int64_t first_in;     /* first token due this long from now */
-  int64_t due_in;       /* whole answer due this long from now */
+  unsigned most_tokens;      /* the caller's own bound on the answer; 0: none */
+  int64_t first_token_in_us; /* first token due this long from now */
+  int64_t deadline_in_us;    /* whole answer due this long from now */
   const uint64_t *blocks;
   unsigned block_count;
-} FtAsk;
+} FtPoolRequest;
 
 typedef struct
 {
@@ -394,7 +394,8 @@
 } FtServerState;
 
 /* Adds a server or changes its state. A new incarnation forgets cache and speed. */
-FtStatus ft_pool_server (FtPool *pool, const char *name, uint64_t incarnation, FtServerState state);
+FtStatus ft_pool_update_server (FtPool *pool, const char *name, uint64_t incarnation,
+                                FtServerState state);
 /* Numbers of the server's own report, age old when it was read. */
 void ft_pool_report (FtPool *pool, const char *name, unsigned running, unsigned waiting,
                      int64_t age);
@@ -402,30 +403,31 @@
 void ft_pool_cache_event (FtPool *pool, const char *name, uint64_t number, bool stored,
                           uint64_t block);
 /* A request asks to run. The decision may come at once or from a later call. */
-FtStatus ft_pool_ask (FtPool *pool, const FtAsk *ask);
+FtStatus ft_pool_submit (FtPool *pool, const FtPoolRequest *ask);
 /* A request that another scheduler granted before runs on server, having produced tokens. */
-FtStatus ft_pool_adopt (FtPool *pool, const FtAsk *ask, const char *server, unsigned tokens,
+FtStatus ft_pool_adopt (FtPool *pool, const FtPoolRequest *ask, const char *server, unsigned tokens,
                         bool paused);
 /* tokens: produced in all so far. */
 void ft_pool_progress (FtPool *pool, uint32_t entry, uint64_t request, unsigned tokens);
 
 typedef enum
 {
-  FT_DONE_WHOLE,
-  FT_DONE_FAILED,   /* the server failed it after the dispatch */
-  FT_DONE_REFUSED,  /* the connection was refused: the server never saw it */
-  FT_DONE_CANCELLED /* the caller left */
-} FtDone;
+  FT_OUTCOME_COMPLETE,
+  FT_OUTCOME_FAILED,        /* the server failed it after the dispatch */
+  FT_OUTCOME_NOT_CONNECTED, /* the connection was refused: the server never saw it */
+  FT_OUTCOME_CANCELLED      /* the caller left */
+} FtOutcome;
 
-void ft_pool_done (FtPool *pool, uint32_t entry, uint64_t request, FtDone how, unsigned tokens);
+void ft_pool_end_request (FtPool *pool, uint32_t entry, uint64_t request, FtOutcome how,
+                          unsigned tokens);
 /* All requests of an entry that died are forgotten. */
-void ft_pool_entry_gone (FtPool *pool, uint32_t entry);
+void ft_pool_remove_entry (FtPool *pool, uint32_t entry);
 /* The organisation's share and limits have changed; acts on its waiting requests too. */
-void ft_pool_org (FtPool *pool, const char *org, unsigned weight, const FtLimits *limits);
+void ft_pool_update_org (FtPool *pool, const char *org, unsigned weight, const FtLimits *limits);
 /* Runs what is due: expiries, probes, grants. Call every 50 ms or so. */
 void ft_pool_tick (FtPool *pool);
 /* While held back, nothing is granted: a successor's ledger is being rebuilt. */
-void ft_pool_hold (FtPool *pool, bool held);
+void ft_pool_set_held (FtPool *pool, bool held);
 
 typedef struct
 {
@@ -443,7 +445,7 @@
 typedef enum
 {
   FT_REQ_RECEIVED,
-  FT_REQ_ASKED,
+  FT_REQ_SUBMITTED,
   FT_REQ_GRANTED,
   FT_REQ_DISPATCHED,
   FT_REQ_STREAMING,
@@ -463,20 +465,20 @@
 const char *ft_req_state_name (FtReqState state);
 /* Moves on; FT_INVALID when the state machine has no such step. In particular a dispatch is
  * possible once only, and a refusal that says "not run" only before it. */
-FtStatus ft_req_move (FtReq *req, FtReqState to);
+FtStatus ft_req_set_state (FtReq *req, FtReqState to);
 /* A refused connect before any byte: back from granted to asked. */
-FtStatus ft_req_ask_again (FtReq *req);
+FtStatus ft_req_undo_grant (FtReq *req);
 bool ft_req_was_dispatched (const FtReq *req);
 
 /* One piece of the answer, number offset (0 is the first). FT_CONFLICT: seen before, dropped;
  * FT_FULL: bound reached. A piece ahead of its turn is kept and put in order. */
-FtStatus ft_req_piece (FtReq *req, unsigned offset, const char *data, size_t length);
+FtStatus ft_req_add_piece (FtReq *req, unsigned offset, const char *data, size_t length);
 /* The next offset that is missing, and the bytes before it. */
-unsigned ft_req_next (const FtReq *req);
+unsigned ft_req_next_piece (const FtReq *req);
 const char *ft_req_bytes (const FtReq *req, size_t *length);
 /* The backend server said that the answer has pieces pieces in all. Whole once all are here. */
-void ft_req_end (FtReq *req, unsigned pieces);
-bool ft_req_whole (const FtReq *req);
+void ft_req_set_piece_count (FtReq *req, unsigned pieces);
+bool ft_req_is_complete (const FtReq *req);
 
 /* ---- Node: one instance's part in everything (node.c) ---------------------------------------- */
 
@@ -484,14 +486,14 @@
 
 typedef enum
 {
-  FT_FIND_ANSWER,    /* id: a request's; asked of every instance's shell */
-  FT_FIND_REFUSAL,   /* id: a request's; JSON of the record */
-  FT_FIND_CLAIM,     /* id: an idempotency key with its organisation; JSON */
-  FT_FIND_HISTORY,   /* id: "" or how many; JSON array of verdicts, newest first */
-  FT_FIND_IN_FORCE,  /* id: a revision; JSON with the instances that lack it */
-  FT_FIND_CATALOGUE, /* text of the catalogue */
-  FT_FIND_SUSPECTS   /* id: Unix time now, ms; JSON array of contents that ran on ended servers */
-} FtFindKind;
+  FT_QUERY_ANSWER,    /* id: a request's; asked of every instance's shell */
+  FT_QUERY_REFUSAL,   /* id: a request's; JSON of the record */
+  FT_QUERY_CLAIM,     /* id: an idempotency key with its organisation; JSON */
+  FT_QUERY_HISTORY,   /* id: "" or how many; JSON array of verdicts, newest first */
+  FT_QUERY_IN_FORCE,  /* id: a revision; JSON with the instances that lack it */
+  FT_QUERY_CATALOGUE, /* text of the catalogue */
+  FT_QUERY_SUSPECTS   /* id: Unix time now, ms; JSON array of contents that ran on ended servers */
+} FtQueryKind;
 
 /* What a node wants done. Called from within the ft_node functions; must not call back. */
 typedef struct
@@ -503,14 +505,15 @@
   void (*refuse) (void *host, const FtRefusal *refusal);
   void (*pause) (void *host, uint64_t request);
   void (*resume) (void *host, uint64_t request);
-  /* The end of ft_node_change, ft_node_claim, ft_node_claim_end or ft_node_release. */
+  /* The end of ft_node_propose_catalogue, ft_node_claim, ft_node_end_claim or
+   * ft_node_release_content. */
   void (*verdict) (void *host, uint64_t number, FtStatus status, uint64_t revision,
                    const char *text);
   /* A catalogue came in force here. */
   void (*catalogue) (void *host, FtCat *cat);
-  /* Another instance looks for an answer; reply with ft_node_answer. */
+  /* Another instance looks for an answer; reply with ft_node_reply_query. */
   void (*question) (void *host, uint32_t from, uint64_t number, const char *id);
-  /* The end of ft_node_find. */
+  /* The end of ft_node_query. */
   void (*found) (void *host, uint64_t number, FtStatus status, const void *body, size_t size);
 } FtNodeOps;
 
@@ -540,8 +543,8 @@
 void ft_node_flush (FtNode *node);
 
 /* The platform's list: one backend server of a pool. */
-void ft_node_server (FtNode *node, const char *pool, const char *name, uint64_t incarnation,
-                     FtServerState state);
+void ft_node_update_server (FtNode *node, const char *pool, const char *name, uint64_t incarnation,
+                            FtServerState state);
 void ft_node_report (FtNode *node, const char *pool, const char *name, unsigned running,
                      unsigned waiting, int64_t age);
 void ft_node_cache_event (FtNode *node, const char *pool, const char *name, uint64_t number,
@@ -552,31 +555,32 @@
   uint64_t request; /* the caller's number, never used twice in one incarnation */
   const char *pool, *org, *class_name;
   unsigned prompt_tokens, most_tokens;
-  int64_t first_in, due_in;
+  int64_t first_token_in_us, deadline_in_us;
   const uint64_t *blocks;
   unsigned block_count;
   uint64_t content; /* identity of what is asked, the same for each repeat; 0: not known */
-} FtNodeAsk;
+} FtNodeRequest;
 
 /* Asks the pool's scheduler, wherever it is; ops->grant or ops->refuse follow. */
-FtStatus ft_node_ask (FtNode *node, const FtNodeAsk *ask);
+FtStatus ft_node_submit (FtNode *node, const FtNodeRequest *ask);
 void ft_node_progress (FtNode *node, uint64_t request, unsigned tokens);
-void ft_node_done (FtNode *node, uint64_t request, FtDone how, unsigned tokens);
-/* The process of the backend server has ended while it ran the request. Before ft_node_done. */
-void ft_node_server_ended (FtNode *node, uint64_t request, int64_t wall_ms);
+void ft_node_end_request (FtNode *node, uint64_t request, FtOutcome how, unsigned tokens);
+/* The process of the backend server has ended while it ran the request. Before ft_node_end_request.
+ */
+void ft_node_report_crash (FtNode *node, uint64_t request, int64_t wall_ms);
 /* The grant met a refused connection: asks again, elsewhere. */
-void ft_node_ask_again (FtNode *node, uint64_t request);
+void ft_node_resubmit (FtNode *node, uint64_t request);
 
 /* Can the instance prove that its catalogue is in force? If not it must not take new requests. */
-bool ft_node_fresh (FtNode *node);
+bool ft_node_is_fresh (FtNode *node);
 /* Until when, if nothing more is heard. */
 int64_t ft_node_fresh_until (FtNode *node);
 /* The catalogue in force here, borrowed; NULL: none yet. */
 FtCat *ft_node_catalogue (FtNode *node);
 
 /* These return a number that ops->verdict or ops->found repeats. wall_ms: Unix time. */
-uint64_t ft_node_change (FtNode *node, const char *change_id, const char *author, uint64_t base,
-                         const char *text, int64_t wall_ms);
+uint64_t ft_node_propose_catalogue (FtNode *node, const char *change_id, const char *author,
+                                    uint64_t base, const char *text, int64_t wall_ms);
 uint64_t ft_node_claim (FtNode *node, const char *key, const char *digest, const char *request_id,
                         int64_t wall_ms);
 typedef enum
@@ -584,18 +588,18 @@
   FT_CLAIM_RELEASED, /* it provably did not run */
   FT_CLAIM_ANSWERED,
   FT_CLAIM_UNKNOWN
-} FtClaimEnd;
-uint64_t ft_node_claim_end (FtNode *node, const char *key, const char *request_id, FtClaimEnd end,
-                            int64_t wall_ms);
+} FtClaimOutcome;
+uint64_t ft_node_end_claim (FtNode *node, const char *key, const char *request_id,
+                            FtClaimOutcome end, int64_t wall_ms);
 /* Lets a content under which servers ended go: it is sent again, and its ends count from 0. */
-uint64_t ft_node_release (FtNode *node, uint64_t content);
-uint64_t ft_node_find (FtNode *node, FtFindKind kind, const char *id);
-void ft_node_answer (FtNode *node, uint32_t to, uint64_t number, FtStatus status, const void *body,
-                     size_t size);
+uint64_t ft_node_release_content (FtNode *node, uint64_t content);
+uint64_t ft_node_query (FtNode *node, FtQueryKind kind, const char *id);
+void ft_node_reply_query (FtNode *node, uint32_t to, uint64_t number, FtStatus status,
+                          const void *body, size_t size);
 /* Keeps a refusal for auditors, on the voters' disks within about a second. */
-void ft_node_note_refusal (FtNode *node, const char *id, const char *org, FtReason reason,
-                           unsigned tier, int64_t retry_after_ms, const char *rule,
-                           int64_t wall_ms);
+void ft_node_record_refusal (FtNode *node, const char *id, const char *org, FtReason reason,
+                             unsigned tier, int64_t retry_after_ms, const char *rule,
+                             int64_t wall_ms);
 /* Shutdown: hands leases over; true once none is held. */
 bool ft_node_leave (FtNode *node);
 
@@ -608,7 +612,7 @@
 } FtNodeStatus;
 void ft_node_status (FtNode *node, FtNodeStatus *status);
 /* Does the instance hold the pool's lease, proved, by its own clock? */
-bool ft_node_holds (FtNode *node, const char *pool);
+bool ft_node_holds_lease (FtNode *node, const char *pool);
 /* The scheduler of a pool, when it runs here; NULL otherwise. */
 FtPool *ft_node_pool (FtNode *node, const char *pool);
 
--- a/src/handover.c
+++ b/src/handover.c
@@ -41,7 +41,7 @@
   unsigned expected;
   int64_t began;
   bool active, ended;
-  HandSettled last;
+  HandResult last;
   struct cds_list_head held; /* the oldest first */
   unsigned held_count;
 };
@@ -82,7 +82,7 @@
 }
 
 void
-hand_wait (Hand *hand, int64_t most_us)
+hand_set_max_wait (Hand *hand, int64_t most_us)
 {
   hand->wait_us = most_us;
 }
@@ -94,7 +94,7 @@
 {
   int64_t after = ft_clock_now (hand->clock) - hand->began;
 
-  hand->last = (HandSettled){ hand->reported, hand->expected, after, why };
+  hand->last = (HandResult){ hand->reported, hand->expected, after, why };
   hand->active = false;
   hand->ended = true;
 }
@@ -141,7 +141,7 @@
 }
 
 bool
-hand_asked (Hand *hand, uint64_t owner, unsigned expected)
+hand_note_request (Hand *hand, uint64_t owner, unsigned expected)
 {
   unsigned known = g_hash_table_size (hand->owners);
 
@@ -155,7 +155,7 @@
 }
 
 void
-hand_reported (Hand *hand, uint64_t owner)
+hand_note_report (Hand *hand, uint64_t owner)
 {
   hand->reported += state_of (hand, owner) != HAS_REPORTED;
   set_state (hand, owner, HAS_REPORTED);
@@ -163,7 +163,7 @@
 }
 
 void
-hand_gone (Hand *hand, uint64_t owner)
+hand_owner_gone (Hand *hand, uint64_t owner)
 {
   hand->reported -= state_of (hand, owner) == HAS_REPORTED;
   g_hash_table_remove (hand->owners, &owner);
@@ -172,23 +172,23 @@
 }
 
 double
-hand_part (const Hand *hand)
+hand_share (const Hand *hand)
 {
-  if (hand_settled (hand) || hand->expected == 0)
+  if (hand_is_over (hand) || hand->expected == 0)
     return 1;
   return MIN (1, (double) hand->reported / hand->expected);
 }
 
 bool
-hand_settled (const Hand *hand)
+hand_is_over (const Hand *hand)
 {
   return !hand->active || ft_clock_now (hand->clock) - hand->began >= hand->wait_us;
 }
 
 bool
-hand_ended (Hand *hand, HandSettled *out)
+hand_take_result (Hand *hand, HandResult *out)
 {
-  if (hand->active && hand_settled (hand))
+  if (hand->active && hand_is_over (hand))
     end (hand, "time");
   if (!hand->ended)
     return false;
@@ -202,7 +202,7 @@
 bool
 hand_hold (Hand *hand, const SchedAsk *ask)
 {
-  if (hand_settled (hand) || hand->held_count >= HELD_MOST)
+  if (hand_is_over (hand) || hand->held_count >= HELD_MOST)
     return false;
   Held *held = g_new0 (Held, 1);
   held->ask = *ask;
@@ -223,17 +223,17 @@
 }
 
 const SchedAsk *
-hand_due (Hand *hand)
+hand_next_due (Hand *hand)
 {
   Held *held = oldest (hand);
 
-  if (held == NULL || (!hand_settled (hand) && ft_clock_now (hand->clock) < held->until))
+  if (held == NULL || (!hand_is_over (hand) && ft_clock_now (hand->clock) < held->until))
     return NULL;
   return &held->ask;
 }
 
 void
-hand_release (Hand *hand)
+hand_free_due (Hand *hand)
 {
   Held *held = oldest (hand);
 
@@ -242,7 +242,7 @@
 }
 
 void
-hand_drop (Hand *hand, uint64_t owner, uint64_t request)
+hand_cancel (Hand *hand, uint64_t owner, uint64_t request)
 {
   Held *held, *next;
 
@@ -254,7 +254,7 @@
 }
 
 void
-hand_drop_owner (Hand *hand, uint64_t owner)
+hand_cancel_owner (Hand *hand, uint64_t owner)
 {
   Held *held, *next;
 
--- a/src/handover.h
+++ b/src/handover.h
@@ -16,41 +16,41 @@
 Hand *hand_new (FtClock *clock);
 void hand_free (Hand *hand);
 /* Longest time of a handover, microseconds; 0, as at first: there are none. */
-void hand_wait (Hand *hand, int64_t most_us);
+void hand_set_max_wait (Hand *hand, int64_t most_us);
 /* Everything is handed over anew by so many owners; what was reported before stays reported. Not
  * soon after a handover in which fewer than half of them reported. */
 void hand_begin (Hand *hand, unsigned expected);
 /* The owner asks for something. One that is new, where less than half of the expected ask here,
  * begins a handover: true. */
-bool hand_asked (Hand *hand, uint64_t owner, unsigned expected);
+bool hand_note_request (Hand *hand, uint64_t owner, unsigned expected);
 /* The owner has told what it holds. */
-void hand_reported (Hand *hand, uint64_t owner);
+void hand_note_report (Hand *hand, uint64_t owner);
 /* The owner's link is down or it asks another scheduler; it is no longer waited for. */
-void hand_gone (Hand *hand, uint64_t owner);
+void hand_owner_gone (Hand *hand, uint64_t owner);
 /* The part of places and limits that may be given away, 0 to 1. */
-double hand_part (const Hand *hand);
-bool hand_settled (const Hand *hand);
+double hand_share (const Hand *hand);
+bool hand_is_over (const Hand *hand);
 
 typedef struct
 {
   unsigned reported, expected;
   int64_t after_us;
   const char *why;
-} HandSettled;
+} HandResult;
 
 /* True once for each handover that has ended. */
-bool hand_ended (Hand *hand, HandSettled *out);
+bool hand_take_result (Hand *hand, HandResult *out);
 
 /* ---- Asks that wait for the end of a handover ---- */
 
 /* Copies the ask. False: it is not to wait, since nothing is being handed over or too many wait. */
 bool hand_hold (Hand *hand, const SchedAsk *ask);
-/* The oldest ask that is to be decided now, until hand_release; NULL: none. */
-const SchedAsk *hand_due (Hand *hand);
-/* Frees what hand_due returned. */
-void hand_release (Hand *hand);
+/* The oldest ask that is to be decided now, until hand_free_due; NULL: none. */
+const SchedAsk *hand_next_due (Hand *hand);
+/* Frees what hand_next_due returned. */
+void hand_free_due (Hand *hand);
 /* An ask was withdrawn; all of an owner's were. */
-void hand_drop (Hand *hand, uint64_t owner, uint64_t request);
-void hand_drop_owner (Hand *hand, uint64_t owner);
+void hand_cancel (Hand *hand, uint64_t owner, uint64_t request);
+void hand_cancel_owner (Hand *hand, uint64_t owner);
 
 #endif
--- a/src/health.c
+++ b/src/health.c
@@ -8,14 +8,14 @@
 #include "schedint.h"
 
 /* Tuning; each row with its reason. */
-#define OUT_FIRST    (300 * FT_MS)    /* first time out: a restart or a lost packet */
-#define REJECTED_OUT (40 * FT_MS)     /* a full server: until one of its places is free */
-#define GONE_OUT     (10 * FT_SECOND) /* lists show a lost server for some seconds */
-#define FAIL_LEARN   0.2              /* weight of a new outcome in the share of failures */
-#define FAIL_OUT                                                                                   \
+#define OUT_MIN        (300 * FT_MS)    /* first time out: a restart or a lost packet */
+#define OUT_REJECTED   (40 * FT_MS)     /* a full server: until one of its places is free */
+#define OUT_GONE       (10 * FT_SECOND) /* lists show a lost server for some seconds */
+#define FAILURE_WEIGHT 0.2              /* weight of a new outcome in the share of failures */
+#define FAILURE_SHARE_MAX                                                                          \
   0.7 /* share of failures that takes a server out: six in a row; one that fails four in ten is of \
          use when the others are full */
-#define FAIL_TIMES 1.8 /* and so many times its service's mean */
+#define FAILURE_MEAN_FACTOR 1.8 /* and so many times its service's mean */
 
 static double
 mean_failures (const Service *service)
@@ -54,7 +54,7 @@
 {
   if (now < server->out_until)
     return;
-  server->out_for = CLAMP (server->out_for * 2, OUT_FIRST, OUT_MOST);
+  server->out_for = CLAMP (server->out_for * 2, OUT_MIN, OUT_MAX);
   server->out_at = now;
   server->out_until = now + server->out_for;
   server->trial = true;
@@ -68,7 +68,7 @@
 static bool
 says_nothing_new (const Server *server, int64_t granted_at)
 {
-  return server->trial && server->out_failing && granted_at <= server->out_at;
+  return server->trial && server->out_for_failures && granted_at <= server->out_at;
 }
 
 static void
@@ -76,17 +76,17 @@
 {
   unsigned all, out = count_out (server->service, &all);
 
-  server->failures += FAIL_LEARN * (1 - server->failures);
+  server->failures += FAILURE_WEIGHT * (1 - server->failures);
   server->failed_at = now;
   if (says_nothing_new (server, granted_at))
     return;
   if (server->trial)
     take_out (sched, server, "failed its trial", now);
-  else if (server->failures > FAIL_OUT
-           && server->failures > FAIL_TIMES * mean_failures (server->service)
+  else if (server->failures > FAILURE_SHARE_MAX
+           && server->failures > FAILURE_MEAN_FACTOR * mean_failures (server->service)
            && (out + 1) * 2 <= all)
     {
-      server->out_failing = true;
+      server->out_for_failures = true;
       take_out (sched, server, "fails more than the others", now);
     }
 }
@@ -94,18 +94,18 @@
 static void
 judge_success (Sched *sched, Server *server, int64_t granted_at, int64_t now)
 {
-  server->failures -= FAIL_LEARN * server->failures;
+  server->failures -= FAILURE_WEIGHT * server->failures;
   server->answered_at = now;
   if (says_nothing_new (server, granted_at))
     return;
   server->out_until = 0;
   if (!server->trial)
     {
-      if (server->failures < FAIL_OUT / 4)
+      if (server->failures < FAILURE_SHARE_MAX / 4)
         server->out_for = 0;
       return;
     }
-  server->trial = server->out_failing = false;
+  server->trial = server->out_for_failures = false;
   sched->ops->believes (sched->host, server->id, false, "answered", 0);
 }
 
@@ -113,16 +113,16 @@
  * as if it were dark, and a third of a service's places are lost at worst load. Only a server that
  * has answered nothing since is taken out. */
 void
-health_silent (Sched *sched, Server *server, int64_t granted_at, int64_t now)
+health_note_silence (Sched *sched, Server *server, int64_t granted_at, int64_t now)
 {
-  server->failures += FAIL_LEARN * (1 - server->failures);
+  server->failures += FAILURE_WEIGHT * (1 - server->failures);
   if (server->answered_at <= granted_at)
     take_out (sched, server, "does not answer", now);
 }
 
 void
-health_judge (Sched *sched, Server *server, const SchedResult *result, int64_t granted_at,
-              int64_t now)
+health_update (Sched *sched, Server *server, const SchedResult *result, int64_t granted_at,
+               int64_t now)
 {
   switch (result->outcome)
     {
@@ -136,19 +136,19 @@
       take_out (sched, server, "takes no connection", now);
       break;
     case SCHED_SILENT:
-      health_silent (sched, server, granted_at, now);
+      health_note_silence (sched, server, granted_at, now);
       break;
     /* Failure: a server crashes and another starts at its address, while the list still shows the
      * first. Symptom: its places seem free, and one request after the other is turned away there.
      * The lifetime has ended; the list will say so. */
     case SCHED_GONE:
-      server->out_until = now + GONE_OUT;
+      server->out_until = now + OUT_GONE;
       server->trial = true;
       sched->ops->believes (sched->host, server->id, true, "another server has its address",
-                            GONE_OUT);
+                            OUT_GONE);
       break;
     case SCHED_REJECTED:
-      server->out_until = MAX (server->out_until, now + REJECTED_OUT);
+      server->out_until = MAX (server->out_until, now + OUT_REJECTED);
       break;
     case SCHED_LEFT:
       break;
--- a/src/hold.c
+++ b/src/hold.c
@@ -194,7 +194,7 @@
   held->unreported = g_hash_table_new (g_direct_hash, g_direct_equal);
   held->pool = ft_pool_new (&conf, node->clock, &pool_ops, held);
   g_hash_table_replace (hold->pools, held->name, held);
-  ft_pool_hold (held->pool, true);
+  ft_pool_set_held (held->pool, true);
   GHashTableIter iter;
   void *server;
   g_hash_table_iter_init (&iter, node->servers);
@@ -231,7 +231,7 @@
       for (unsigned i = 0; i < ft_cat_org_count (cat); i++)
         {
           const FtOrg *org = ft_cat_org_at (cat, i);
-          ft_pool_org (held->pool, org->name, (unsigned) org->weight, &org->limits);
+          ft_pool_update_org (held->pool, org->name, (unsigned) org->weight, &org->limits);
         }
     }
 }
@@ -255,22 +255,22 @@
       on_refuse (held, &out);
       return;
     }
-  FtAsk ask = { .entry = from,
-                .request = in->request,
-                .tier = class ? (unsigned) class->tier : FT_TIERS,
-                .org = in->org,
-                .class_name = in->class_name,
-                .weight = org ? (unsigned) org->weight : 1,
-                .prompt_tokens = in->prompt_tokens,
-                .most_tokens = in->most_tokens,
-                .first_in = in->first_in_us,
-                .due_in = in->due_in_us,
-                .blocks = (const uint64_t *) in->blocks.blocks_val,
-                .block_count = in->blocks.blocks_len };
+  FtPoolRequest ask = { .entry = from,
+                        .request = in->request,
+                        .tier = class ? (unsigned) class->tier : FT_TIERS,
+                        .org = in->org,
+                        .class_name = in->class_name,
+                        .weight = org ? (unsigned) org->weight : 1,
+                        .prompt_tokens = in->prompt_tokens,
+                        .most_tokens = in->most_tokens,
+                        .first_token_in_us = in->first_in_us,
+                        .deadline_in_us = in->due_in_us,
+                        .blocks = (const uint64_t *) in->blocks.blocks_val,
+                        .block_count = in->blocks.blocks_len };
   if (org)
     ask.limits = org->limits;
   if (in->state == MSG_ASK_WAITING)
-    ft_pool_ask (held->pool, &ask);
+    ft_pool_submit (held->pool, &ask);
   else
     ft_pool_adopt (held->pool, &ask, in->server, in->tokens, in->state == MSG_ASK_PAUSED);
 }
@@ -299,8 +299,8 @@
   HoldPool *held = find_pool (hold, done->pool);
 
   if (held)
-    ft_pool_done (held->pool, from, done->request, MIN (done->how, FT_DONE_CANCELLED),
-                  done->tokens);
+    ft_pool_end_request (held->pool, from, done->request, MIN (done->how, FT_OUTCOME_CANCELLED),
+                         done->tokens);
 }
 
 void
@@ -313,7 +313,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &data))
     {
       HoldPool *held = data;
-      ft_pool_entry_gone (held->pool, entry);
+      ft_pool_remove_entry (held->pool, entry);
       g_hash_table_remove (held->unreported, GUINT_TO_POINTER (entry));
     }
 }
@@ -341,7 +341,7 @@
   HoldPool *held = find_pool (hold, server->pool);
 
   if (held)
-    ft_pool_server (held->pool, server->name, server->incarnation, server->state);
+    ft_pool_update_server (held->pool, server->name, server->incarnation, server->state);
 }
 
 void
@@ -358,7 +358,7 @@
       bool reported = g_hash_table_size (held->unreported) == 0 || now >= held->report_deadline;
       bool suspend = !valid || !reported;
       if (suspend != held->suspended || held->report_deadline)
-        ft_pool_hold (held->pool, suspend);
+        ft_pool_set_held (held->pool, suspend);
       held->suspended = suspend;
       if (reported)
         held->report_deadline = 0;
--- a/src/jsrc.c
+++ b/src/jsrc.c
@@ -325,7 +325,7 @@
         *(int64_t *) slot = number;
         return FT_OK;
       }
-    case FT_FIELD_WHOLE:
+    case FT_FIELD_TRUNCATED:
       {
         double number = json_object_get_double (value);
         bool is_number = json_object_is_type (value, json_type_int)
@@ -356,7 +356,7 @@
       *(char **) slot = g_strdup (field->fallback ? field->fallback : "");
       break;
     case FT_FIELD_INTEGER:
-    case FT_FIELD_WHOLE:
+    case FT_FIELD_TRUNCATED:
       *(int64_t *) slot = field->fallback ? g_ascii_strtoll (field->fallback, NULL, 10) : 0;
       break;
     case FT_FIELD_BOOL:
--- a/src/judge.c
+++ b/src/judge.c
@@ -62,10 +62,10 @@
 struct Judge
 {
   FtClock *clock;
-  JudgeWay way;
+  JudgeMethod way;
   Group all;
   GPtrArray *routes; /* Group */
-  GQueue window;     /* Kept, oldest first; of JUDGE_WINDOWS */
+  GQueue window;     /* Kept, oldest first; of JUDGE_WINDOW */
   unsigned answers, bad, servers;
 };
 
@@ -209,7 +209,7 @@
 }
 
 static void
-window_facts (const Judge *judge, unsigned route, JudgeFacts *facts)
+window_facts (const Judge *judge, unsigned route, JudgeResult *facts)
 {
   Tally tally = { 0 };
 
@@ -242,7 +242,7 @@
 /* ---- Interface ---- */
 
 Judge *
-judge_new (FtClock *clock, JudgeWay way)
+judge_new (FtClock *clock, JudgeMethod way)
 {
   Judge *judge = g_new0 (Judge, 1);
 
@@ -274,26 +274,26 @@
 }
 
 void
-judge_servers (Judge *judge, unsigned count)
+judge_set_servers (Judge *judge, unsigned count)
 {
   judge->servers = count;
 }
 
 void
-judge_answer (Judge *judge, const JudgeAnswer *answer)
+judge_add_answer (Judge *judge, const JudgeAnswer *answer)
 {
   int64_t now = ft_clock_now (judge->clock);
 
   judge->answers += answer->ordered;
   judge->bad += answer->ordered && answer->bad;
-  if (judge->way == JUDGE_WINDOWS)
+  if (judge->way == JUDGE_WINDOW)
     keep (judge, answer, now);
   take (judge, &judge->all, answer, now);
   take (judge, group_of (judge, answer->route), answer, now);
 }
 
 static void
-note_group (const Judge *judge, const Group *group, JudgeFacts *facts)
+note_group (const Judge *judge, const Group *group, JudgeResult *facts)
 {
   double found = suspicion (judge, group);
 
@@ -306,20 +306,20 @@
 }
 
 void
-judge_facts (Judge *judge, JudgeFacts *facts)
+judge_get_result (Judge *judge, JudgeResult *facts)
 {
-  *facts = (JudgeFacts){ .answers = judge->answers,
-                         .bad = judge->bad,
-                         .before_all = share_of (&judge->all.before),
-                         .after_all = share_of (&judge->all.after) };
-  if (judge->way == JUDGE_SEQUENTIAL)
+  *facts = (JudgeResult){ .answers = judge->answers,
+                          .bad = judge->bad,
+                          .before_all = share_of (&judge->all.before),
+                          .after_all = share_of (&judge->all.after) };
+  if (judge->way == JUDGE_CUSUM)
     note_group (judge, &judge->all, facts);
   else
     window_facts (judge, 0, facts);
   for (unsigned i = 0; i < judge->routes->len; i++)
     {
       const Group *group = judge->routes->pdata[i];
-      if (judge->way == JUDGE_SEQUENTIAL)
+      if (judge->way == JUDGE_CUSUM)
         note_group (judge, group, facts);
       else
         window_facts (judge, group->route, facts);
--- a/src/judge.h
+++ b/src/judge.h
@@ -20,24 +20,24 @@
   unsigned route;               /* by which answers; 0: by all */
   double before, after;         /* share of bad answers of both versions there, of late ... */
   double before_all, after_all; /* ... and over all routes */
-} JudgeFacts;
+} JudgeResult;
 
 typedef struct Judge Judge;
 
 /* Ways to judge; see the comment atop judge.c. */
 typedef enum
 {
-  JUDGE_SEQUENTIAL,
-  JUDGE_WINDOWS
-} JudgeWay;
+  JUDGE_CUSUM,
+  JUDGE_WINDOW
+} JudgeMethod;
 
-Judge *judge_new (FtClock *clock, JudgeWay way);
+Judge *judge_new (FtClock *clock, JudgeMethod way);
 void judge_free (Judge *judge);
 /* Goes on from what another instance knew. */
 void judge_resume (Judge *judge, unsigned answers, unsigned bad, double suspicion);
 /* How many servers of the ordered version are live. */
-void judge_servers (Judge *judge, unsigned count);
-void judge_answer (Judge *judge, const JudgeAnswer *answer);
-void judge_facts (Judge *judge, JudgeFacts *facts);
+void judge_set_servers (Judge *judge, unsigned count);
+void judge_add_answer (Judge *judge, const JudgeAnswer *answer);
+void judge_get_result (Judge *judge, JudgeResult *facts);
 
 #endif
--- a/src/lead.c
+++ b/src/lead.c
@@ -216,7 +216,7 @@
   MsgCrashTable blame = { 0 };
   if (hello->blame_index != blame_index (state_blame (node->state)))
     {
-      blame_capture (state_blame (node->state), BLAME_TOLD, &blame);
+      crashes_capture (state_blame (node->state), CRASHES_PUBLISH_MIN, &blame);
       out->blame.blame_len = 1;
       out->blame.blame_val = &blame;
     }
@@ -522,7 +522,7 @@
 static FtStatus
 answer_suspects (Leader *lead, const char *id, GString *out)
 {
-  blame_list (state_blame (lead->node->state), g_ascii_strtoll (id, NULL, 10), out);
+  crashes_append_json (state_blame (lead->node->state), g_ascii_strtoll (id, NULL, 10), out);
   return FT_OK;
 }
 
--- a/src/msg.x
+++ b/src/msg.x
@@ -57,7 +57,7 @@
 struct MsgDone {
   string pool<FT_NAME_MAX>;
   unsigned hyper request;
-  unsigned int how; /* FtDone */
+  unsigned int how; /* FtOutcome */
   unsigned int tokens;
 };
 
--- a/src/node.c
+++ b/src/node.c
@@ -164,7 +164,7 @@
 }
 
 bool
-ft_node_fresh (FtNode *node)
+ft_node_is_fresh (FtNode *node)
 {
   return node->cat && !node->leaving
          && ft_clock_now (node->clock) - node->fresh_at < FRESH_PROOF_MAX_AGE;
@@ -287,7 +287,7 @@
   node->assumed_leader = from;
   node->answered_at = ft_clock_now (node->clock);
   if (reply->blame.blame_len > 0)
-    susp_account (node, &reply->blame.blame_val[0]);
+    susp_update_table (node, &reply->blame.blame_val[0]);
   if (reply->has_catalogue)
     node_apply_catalogue (node, reply->catalogue, reply->revision);
   if (!node->cat || ft_cat_revision (node->cat) < reply->revision)
@@ -316,8 +316,8 @@
 }
 
 void
-ft_node_server (FtNode *node, const char *pool, const char *name, uint64_t incarnation,
-                FtServerState state)
+ft_node_update_server (FtNode *node, const char *pool, const char *name, uint64_t incarnation,
+                       FtServerState state)
 {
   NodeServer *server = node_find_server (node, pool, name);
 
@@ -527,7 +527,7 @@
   status->voter = node->raft != NULL;
   status->leader = node->assumed_leader;
   status->revision = node->cat ? ft_cat_revision (node->cat) : 0;
-  status->fresh = ft_node_fresh (node);
+  status->fresh = ft_node_is_fresh (node);
   status->pools_held = hold_count (node->hold);
   status->requests = ent_count (node->ent);
   status->live = node->live->len;
@@ -541,7 +541,7 @@
 }
 
 bool
-ft_node_holds (FtNode *node, const char *pool)
+ft_node_holds_lease (FtNode *node, const char *pool)
 {
   return hold_get_pool (node->hold, pool) && node_lease_valid (node, ft_clock_now (node->clock));
 }
--- a/src/node.h
+++ b/src/node.h
@@ -142,13 +142,13 @@
 
 /* susp.c */
 /* Applies the voters' crash table. */
-void susp_account (FtNode *node, const MsgCrashTable *table);
+void susp_update_table (FtNode *node, const MsgCrashTable *table);
 /* The server crashed while it ran a request of this instance that has the content. */
-void susp_ended (FtNode *node, const char *pool, const char *server, uint64_t content,
-                 int64_t wall_ms);
+void susp_propose_crash (FtNode *node, const char *pool, const char *server, uint64_t content,
+                         int64_t wall_ms);
 /* A request with this content was answered completely by a server. */
-void susp_answered (FtNode *node, uint64_t content);
-uint64_t susp_propose_cleared (FtNode *node, const uint64_t *contents, unsigned count, bool silent);
+void susp_on_answer (FtNode *node, uint64_t content);
+uint64_t susp_propose_clear (FtNode *node, const uint64_t *contents, unsigned count, bool silent);
 
 /* lead.c */
 Leader *lead_new (FtNode *node);
--- a/src/notice.c
+++ b/src/notice.c
@@ -17,27 +17,27 @@
 }
 
 bool
-notice_read_rate (const char *text, double *rate)
+notice_parse_rate (const char *text, double *rate)
 {
   double value;
 
   if (!read_number (text, &value))
     return false;
-  *rate = CLAMP (value, NOTICE_RATE_LEAST, NOTICE_RATE_MOST);
+  *rate = CLAMP (value, NOTICE_RATE_MIN, NOTICE_RATE_MAX);
   return true;
 }
 
 bool
-notice_read_backoff (const char *text, int64_t *us)
+notice_parse_backoff (const char *text, int64_t *us)
 {
   double value;
 
   if (!read_number (text, &value))
     {
-      *us = NOTICE_BACKOFF_UNREAD;
+      *us = NOTICE_BACKOFF_DEFAULT;
       return false;
     }
-  *us = (int64_t) MIN (value * (double) FT_SECOND, (double) NOTICE_BACKOFF_MOST);
+  *us = (int64_t) MIN (value * (double) FT_SECOND, (double) NOTICE_BACKOFF_MAX);
   return true;
 }
 
--- a/src/notice.h
+++ b/src/notice.h
@@ -17,16 +17,17 @@
 } Notice;
 
 /* A decimal number of requests a second, brought within what can be kept. False: it is none. */
-bool notice_read_rate (const char *text, double *rate);
+bool notice_parse_rate (const char *text, double *rate);
 /* Seconds, whole or decimal, as microseconds, brought within what can be kept. An HTTP date, or a
- * value that cannot be read, gives NOTICE_BACKOFF_UNREAD and false: a backoff of unknown length. */
-bool notice_read_backoff (const char *text, int64_t *us);
+ * value that cannot be read, gives NOTICE_BACKOFF_DEFAULT and false: a backoff of unknown length.
+ */
+bool notice_parse_backoff (const char *text, int64_t *us);
 /* Does the notice say anything? */
 bool notice_is_empty (const Notice *notice);
 
-#define NOTICE_RATE_LEAST     0.05 /* requests a second: one in 20 s shows when a limit ends */
-#define NOTICE_RATE_MOST      1e6
-#define NOTICE_BACKOFF_MOST   (3600 * FT_SECOND)
-#define NOTICE_BACKOFF_UNREAD (1 * FT_SECOND)
+#define NOTICE_RATE_MIN        0.05 /* requests a second: one in 20 s shows when a limit ends */
+#define NOTICE_RATE_MAX        1e6
+#define NOTICE_BACKOFF_MAX     (3600 * FT_SECOND)
+#define NOTICE_BACKOFF_DEFAULT (1 * FT_SECOND)
 
 #endif
--- a/src/notices.c
+++ b/src/notices.c
@@ -69,8 +69,8 @@
   return heard;
 }
 
-NoticesTaken
-notices_take (Notices *notices, const char *server, const Notice *notice)
+NoticesChange
+notices_record (Notices *notices, const char *server, const Notice *notice)
 {
   int64_t now = ft_clock_now (notices->clock);
   Heard *heard = g_hash_table_lookup (notices->by_server, server);
@@ -89,11 +89,11 @@
   heard->heard_at = now;
   if (heard->rate <= 0 && !heard->leaving && !heard->unread && heard->backoff_until <= now)
     g_hash_table_remove (notices->by_server, server);
-  return same ? NOTICES_KNOWN : NOTICES_NEW;
+  return same ? NOTICES_SAME : NOTICES_CHANGED;
 }
 
 bool
-notices_unread (Notices *notices, const char *server)
+notices_record_unreadable (Notices *notices, const char *server)
 {
   Heard *heard = heard_of (notices, server);
   bool first = !heard->unread;
@@ -112,7 +112,7 @@
 }
 
 const char *
-notices_forbid (const Notices *notices, const char *server, Notice *out)
+notices_block_reason (const Notices *notices, const char *server, Notice *out)
 {
   const Heard *heard = g_hash_table_lookup (notices->by_server, server);
 
@@ -123,7 +123,7 @@
 }
 
 void
-notices_each (const Notices *notices, NoticesEach each, void *data)
+notices_each (const Notices *notices, NoticesFunc each, void *data)
 {
   int64_t now = ft_clock_now (notices->clock);
   GHashTableIter iter;
--- a/src/notices.h
+++ b/src/notices.h
@@ -11,21 +11,21 @@
 void notices_free (Notices *notices);
 typedef enum
 {
-  NOTICES_NONE,  /* nothing was said, and nothing before */
-  NOTICES_KNOWN, /* what was known; schedulers still hear of it, since it is younger */
-  NOTICES_NEW    /* something else than before */
-} NoticesTaken;
+  NOTICES_NONE,   /* nothing was said, and nothing before */
+  NOTICES_SAME,   /* what was known; schedulers still hear of it, since it is younger */
+  NOTICES_CHANGED /* something else than before */
+} NoticesChange;
 
 /* An answer of the server said this; empty: nothing. */
-NoticesTaken notices_take (Notices *notices, const char *server, const Notice *notice);
+NoticesChange notices_record (Notices *notices, const char *server, const Notice *notice);
 /* An answer of the server held a value that cannot be read. True: for the first time. */
-bool notices_unread (Notices *notices, const char *server);
+bool notices_record_unreadable (Notices *notices, const char *server);
 /* Why nothing may be sent to the server: "leaving" or "backoff"; NULL: it may. *out: what holds of
  * what it said, its backoff from now on. */
-const char *notices_forbid (const Notices *notices, const char *server, Notice *out);
+const char *notices_block_reason (const Notices *notices, const char *server, Notice *out);
 /* Calls back for each server that has said something, with what holds of it. age: of the latest
  * answer that said something. */
-typedef void (*NoticesEach) (void *data, const char *server, const Notice *notice, int64_t age);
-void notices_each (const Notices *notices, NoticesEach each, void *data);
+typedef void (*NoticesFunc) (void *data, const char *server, const Notice *notice, int64_t age);
+void notices_each (const Notices *notices, NoticesFunc each, void *data);
 
 #endif
--- a/src/org.c
+++ b/src/org.c
@@ -95,14 +95,14 @@
 }
 
 void
-org_settle (Org *org, double tokens)
+org_charge_tokens (Org *org, double tokens)
 {
   if (org->limits.tokens_per_minute)
     org->tokens.level -= tokens;
 }
 
 double
-org_expect (Org *org, const char *class_name)
+org_expected_tokens (Org *org, const char *class_name)
 {
   const double *length = g_hash_table_lookup (org->lengths, class_name);
 
@@ -110,7 +110,7 @@
 }
 
 void
-org_learn (Org *org, const char *class_name, unsigned tokens)
+org_record_answer (Org *org, const char *class_name, unsigned tokens)
 {
   double *length = g_hash_table_lookup (org->lengths, class_name);
 
--- a/src/org.h
+++ b/src/org.h
@@ -42,9 +42,9 @@
 FtReason org_admit (Org *org, double tokens, int64_t now, int64_t *wait_ms, char *rule,
                     size_t rule_size);
 /* Corrects the charge once the true number of tokens is known. */
-void org_settle (Org *org, double tokens);
+void org_charge_tokens (Org *org, double tokens);
 /* Expected answer length in tokens; learned from what the organisation's class did. */
-double org_expect (Org *org, const char *class_name);
-void org_learn (Org *org, const char *class_name, unsigned tokens);
+double org_expected_tokens (Org *org, const char *class_name);
+void org_record_answer (Org *org, const char *class_name, unsigned tokens);
 
 #endif
--- a/src/pace.c
+++ b/src/pace.c
@@ -35,7 +35,7 @@
 }
 
 bool
-pace_is_due (const Sched *sched, const Server *server, int64_t now)
+pace_bucket_has_token (const Sched *sched, const Server *server, int64_t now)
 {
   return tokens (sched, &server->pace, now) >= 1;
 }
@@ -83,11 +83,12 @@
 static bool
 is_later (const Server *server, const Job *job)
 {
-  return job && job->server == server && !job->adopted && job->granted_at > server->pace.named_at;
+  return job && job->server == server && !job->adopted
+         && job->granted_at > server->pace.announced_at;
 }
 
 void
-pace_named (const Sched *sched, Server *server, const Job *job, double rate, int64_t now)
+pace_apply_notice (const Sched *sched, Server *server, const Job *job, double rate, int64_t now)
 {
   Pace *pace = &server->pace;
   double before = pace->rate;
@@ -100,12 +101,12 @@
     open_bucket (sched, pace, rate, 0, now);
   else
     pace->rate = 0;
-  pace->named_at = now;
+  pace->announced_at = now;
   tell (sched, server, before);
 }
 
 void
-pace_named_before (const Sched *sched, Server *server, double rate, int64_t age, int64_t now)
+pace_apply_older_notice (const Sched *sched, Server *server, double rate, int64_t age, int64_t now)
 {
   Pace *pace = &server->pace;
   double most = (double) age / 1e6 * rate;
@@ -119,12 +120,12 @@
       return;
     }
   open_bucket (sched, pace, rate, most, now);
-  pace->named_at = now;
+  pace->announced_at = now;
   tell (sched, server, 0);
 }
 
 void
-sched_rate_part (Sched *sched, double part)
+sched_set_rate_share (Sched *sched, double part)
 {
   GHashTableIter iter;
   gpointer value;
--- a/src/patience.c
+++ b/src/patience.c
@@ -65,7 +65,7 @@
 }
 
 int64_t
-patience_note (Patience *patience, const char *route, int64_t waits_us)
+patience_record (Patience *patience, const char *route, int64_t waits_us)
 {
   Seen *seen = seen_of (patience, route);
 
--- a/src/pool.c
+++ b/src/pool.c
@@ -151,7 +151,7 @@
 {
   pool->conf = *conf;
   pool->servers.target_ms = conf->inter_token_ms;
-  pool->servers.window_most = conf->window;
+  pool->servers.window_max = conf->window;
 }
 
 /* ---- Queues ---- */
@@ -239,7 +239,7 @@
   job->granted_at = job->last_progress = now;
   job->prefill = MAX (0, job->prompt - cached);
   job->work_ahead = srv->backlog + job->prefill;
-  srv_start (&pool->servers, srv, job->prefill, now);
+  srv_stream_started (&pool->servers, srv, job->prefill, now);
   if (pool->servers.prefix && job->block_count)
     ft_prefix_add (pool->servers.prefix, srv->index, job->blocks, job->block_count);
   cds_list_add (&job->tier_link, &tier->run_list);
@@ -249,7 +249,7 @@
 static void
 stop_running (FtPool *pool, Job *job)
 {
-  srv_stop (&pool->servers, job->srv, job->prefill);
+  srv_stream_ended (&pool->servers, job->srv, job->prefill);
   cds_list_del (&job->tier_link);
   pool->tiers[job->tier].running--;
 }
@@ -272,7 +272,8 @@
       const Job *job;
       if (pool->conf.service)
         continue; /* a service's calls cannot be paused */
-      cds_list_for_each_entry (job, &pool->tiers[t].run_list, tier_link) if (srv_usable (job->srv))
+      cds_list_for_each_entry (job, &pool->tiers[t].run_list,
+                               tier_link) if (srv_is_usable (job->srv))
       {
         pool->violations++;
         break;
@@ -345,7 +346,7 @@
     {
       Srv *srv = pool->servers.all->pdata[i];
       /* A server that leaves or is suspect still ends what it started. */
-      bool room = srv->in_heap || (!srv_usable (srv) && srv->running < srv->window);
+      bool room = srv->in_heap || (!srv_is_usable (srv) && srv->running < srv->window);
       Job *job = srv->paused_count && room ? paused_on (srv, tier) : NULL;
       if (job)
         {
@@ -369,8 +370,8 @@
   if (pool->conf.service || !expected)
     return false;
   double ms = job->prompt / srv_mean_rate (&pool->servers);
-  return ms > LONG_PROMPT_MS && pool->servers.roomy > 0
-         && pool->servers.roomy <= pool->servers.usable * SPARE_SHARE;
+  return ms > LONG_PROMPT_MS && pool->servers.available_count > 0
+         && pool->servers.available_count <= pool->servers.usable * SPARE_SHARE;
 }
 
 /* Grants until no server has room or nothing waits. */
@@ -393,8 +394,8 @@
           }
         if (holds_back (pool, job, now))
           return;
-        Srv *srv = srv_route (&pool->servers, job->prompt, job->expected, job->blocks,
-                              job->block_count, &cached);
+        Srv *srv = srv_choose (&pool->servers, job->prompt, job->expected, job->blocks,
+                               job->block_count, &cached);
         if (srv == NULL)
           return; /* nothing of a lower tier may pass a waiting higher one */
         Job *paused = srv->paused_count ? paused_on (srv, t) : NULL;
@@ -464,7 +465,7 @@
   if (ft_reason_info (reason)->shortage)
     audit_shortage (pool, tier);
   if (job->org->limits.tokens_per_minute) /* it used nothing of its allowance */
-    org_settle (job->org, -(job->prompt + job->expected));
+    org_charge_tokens (job->org, -(job->prompt + job->expected));
   forget (pool, job);
   send_refusal (pool, &key, tier, reason, retry_ms, rule);
 }
@@ -480,7 +481,7 @@
       Job *job, *fresh = NULL;
       cds_list_for_each_entry (job, &pool->tiers[t].run_list, tier_link)
       {
-        if (!srv_usable (job->srv))
+        if (!srv_is_usable (job->srv))
           continue;
         if (job->tokens > 0)
           return job;
@@ -507,7 +508,7 @@
 static Srv *
 find_place (FtPool *pool, unsigned tier, const Job *job)
 {
-  Srv *srv = pool->held ? NULL : srv_any_place (&pool->servers, job->prompt, job->expected);
+  Srv *srv = pool->held ? NULL : srv_choose_urgent (&pool->servers, job->prompt, job->expected);
   Job *victim = srv ? NULL : find_victim (pool, tier);
 
   if (victim == NULL)
@@ -565,7 +566,7 @@
 /* ---- Asking ---- */
 
 static Org *
-find_org (FtPool *pool, const FtAsk *ask, int64_t now)
+find_org (FtPool *pool, const FtPoolRequest *ask, int64_t now)
 {
   Org *org = g_hash_table_lookup (pool->orgs, ask->org);
 
@@ -581,9 +582,9 @@
 }
 
 static Job *
-make_job (FtPool *pool, const FtAsk *ask, Org *org, int64_t now)
+make_job (FtPool *pool, const FtPoolRequest *ask, Org *org, int64_t now)
 {
-  unsigned blocks = MIN (ask->block_count, FT_BLOCKS_MOST);
+  unsigned blocks = MIN (ask->block_count, FT_BLOCKS_MAX);
   Job *job = g_malloc0 (sizeof (Job) + blocks * sizeof (uint64_t));
 
   job->key = (JobKey){ ask->entry, ask->request };
@@ -591,12 +592,12 @@
   job->org = org;
   job->class_name = g_strdup (ask->class_name);
   job->prompt = ask->prompt_tokens;
-  job->expected = pool->conf.service ? 1 : org_expect (org, ask->class_name);
+  job->expected = pool->conf.service ? 1 : org_expected_tokens (org, ask->class_name);
   if (ask->most_tokens)
     job->expected = MIN (job->expected, ask->most_tokens);
   job->asked_at = now;
-  job->first_by = now + ask->first_in;
-  job->due = now + ask->due_in;
+  job->first_by = now + ask->first_token_in_us;
+  job->due = now + ask->deadline_in_us;
   job->block_count = blocks;
   if (blocks)
     memcpy (job->blocks, ask->blocks, blocks * sizeof (uint64_t));
@@ -673,7 +674,7 @@
 }
 
 FtStatus
-ft_pool_ask (FtPool *pool, const FtAsk *ask)
+ft_pool_submit (FtPool *pool, const FtPoolRequest *ask)
 {
   int64_t now = ft_clock_now (pool->clock), wait_ms = 0;
   JobKey key = { ask->entry, ask->request };
@@ -715,7 +716,8 @@
 }
 
 FtStatus
-ft_pool_adopt (FtPool *pool, const FtAsk *ask, const char *server, unsigned tokens, bool paused)
+ft_pool_adopt (FtPool *pool, const FtPoolRequest *ask, const char *server, unsigned tokens,
+               bool paused)
 {
   int64_t now = ft_clock_now (pool->clock);
   JobKey key = { ask->entry, ask->request };
@@ -724,7 +726,7 @@
   if (g_hash_table_contains (pool->jobs, &key))
     return FT_CONFLICT;
   if (srv == NULL)
-    srv = srv_put (&pool->servers, server, 0, FT_SERVER_GONE, now);
+    srv = srv_update (&pool->servers, server, 0, FT_SERVER_GONE, now);
   if (srv == NULL)
     return FT_FULL;
   Org *org = find_org (pool, ask, now);
@@ -774,11 +776,11 @@
 }
 
 static void
-settle (FtPool *pool, Job *job, FtDone how, unsigned tokens)
+settle (FtPool *pool, Job *job, FtOutcome how, unsigned tokens)
 {
   OrgQueue *queue = &job->org->queue[job->tier];
 
-  org_settle (job->org, (double) tokens - job->expected);
+  org_charge_tokens (job->org, (double) tokens - job->expected);
   if (pool->conf.service)
     return;
   double true_work = job->charged + (tokens - job->expected) * srv_mean_gap_ms (&pool->servers);
@@ -789,12 +791,12 @@
       ft_heap_remove (&tier->active, &queue->heap);
       ft_heap_push (&tier->active, &queue->heap, queue->finish);
     }
-  if (how == FT_DONE_WHOLE)
-    org_learn (job->org, job->class_name, tokens);
+  if (how == FT_OUTCOME_COMPLETE)
+    org_record_answer (job->org, job->class_name, tokens);
 }
 
 void
-ft_pool_done (FtPool *pool, uint32_t entry, uint64_t request, FtDone how, unsigned tokens)
+ft_pool_end_request (FtPool *pool, uint32_t entry, uint64_t request, FtOutcome how, unsigned tokens)
 {
   int64_t now = ft_clock_now (pool->clock);
   JobKey key = { entry, request };
@@ -810,11 +812,11 @@
     {
       stop_running (pool, job);
       settle (pool, job, how, tokens);
-      if (how == FT_DONE_REFUSED)
+      if (how == FT_OUTCOME_NOT_CONNECTED)
         {
           job->srv->suspect = true;
           job->srv->probe_at = now + job->srv->probe_wait;
-          srv_put (&pool->servers, job->srv->name, job->srv->incarnation, job->srv->state, now);
+          srv_update (&pool->servers, job->srv->name, job->srv->incarnation, job->srv->state, now);
         }
     }
   forget (pool, job);
@@ -822,7 +824,7 @@
 }
 
 void
-ft_pool_entry_gone (FtPool *pool, uint32_t entry)
+ft_pool_remove_entry (FtPool *pool, uint32_t entry)
 {
   GHashTableIter iter;
   void *data;
@@ -833,18 +835,18 @@
     if (((Job *) data)->key.entry == entry)
       g_array_append_val (gone, ((Job *) data)->key.request);
   for (unsigned i = 0; i < gone->len; i++)
-    ft_pool_done (pool, entry, g_array_index (gone, uint64_t, i), FT_DONE_CANCELLED, 0);
+    ft_pool_end_request (pool, entry, g_array_index (gone, uint64_t, i), FT_OUTCOME_CANCELLED, 0);
   g_array_unref (gone);
 }
 
 /* ---- Servers and time ---- */
 
 FtStatus
-ft_pool_server (FtPool *pool, const char *name, uint64_t incarnation, FtServerState state)
+ft_pool_update_server (FtPool *pool, const char *name, uint64_t incarnation, FtServerState state)
 {
   int64_t now = ft_clock_now (pool->clock);
 
-  if (srv_put (&pool->servers, name, incarnation, state, now) == NULL)
+  if (srv_update (&pool->servers, name, incarnation, state, now) == NULL)
     return FT_FULL;
   pump (pool, now);
   return FT_OK;
@@ -869,16 +871,16 @@
   if (srv == NULL || pool->servers.prefix == NULL)
     return;
   if (srv->last_event && number > srv->last_event + 1)
-    ft_prefix_gap (pool->servers.prefix, srv->index);
+    ft_prefix_note_gap (pool->servers.prefix, srv->index);
   srv->last_event = MAX (srv->last_event, number);
   if (stored)
     ft_prefix_add (pool->servers.prefix, srv->index, &block, 1);
   else
-    ft_prefix_drop (pool->servers.prefix, srv->index, block);
+    ft_prefix_remove (pool->servers.prefix, srv->index, block);
 }
 
 void
-ft_pool_org (FtPool *pool, const char *name, unsigned weight, const FtLimits *limits)
+ft_pool_update_org (FtPool *pool, const char *name, unsigned weight, const FtLimits *limits)
 {
   Org *org = g_hash_table_lookup (pool->orgs, name);
 
@@ -909,7 +911,7 @@
 }
 
 void
-ft_pool_hold (FtPool *pool, bool held)
+ft_pool_set_held (FtPool *pool, bool held)
 {
   pool->held = held;
   if (!held)
--- a/src/prefix.c
+++ b/src/prefix.c
@@ -143,7 +143,7 @@
 }
 
 void
-ft_prefix_drop (FtPrefix *index, unsigned server, uint64_t hash)
+ft_prefix_remove (FtPrefix *index, unsigned server, uint64_t hash)
 {
   Block *block = g_hash_table_lookup (index->blocks, &hash);
   int slot = block ? find_holder (block, server) : -1;
@@ -153,7 +153,7 @@
 }
 
 void
-ft_prefix_gap (FtPrefix *index, unsigned server)
+ft_prefix_note_gap (FtPrefix *index, unsigned server)
 {
   index->servers[server].trust *= 0.5;
 }
--- a/src/prop.c
+++ b/src/prop.c
@@ -70,7 +70,7 @@
 
   /* Also after a timeout: evidence that only this instance has would block the content for ever. */
   if (proposal->crashed_server)
-    quar_acknowledged (node->quar, proposal->crashed_server);
+    quar_crash_recorded (node->quar, proposal->crashed_server);
   g_hash_table_remove (node->proposals, &number);
   if (!silent)
     node->ops->verdict (node->host, number, status, revision, text);
@@ -126,8 +126,8 @@
 }
 
 uint64_t
-ft_node_change (FtNode *node, const char *change_id, const char *author, uint64_t base,
-                const char *text, int64_t wall_ms)
+ft_node_propose_catalogue (FtNode *node, const char *change_id, const char *author, uint64_t base,
+                           const char *text, int64_t wall_ms)
 {
   MsgOp op = { .kind = MSG_OP_CHANGE };
   MsgChange *change = &op.MsgOp_u.change;
@@ -157,7 +157,7 @@
 }
 
 uint64_t
-ft_node_claim_end (FtNode *node, const char *key, const char *request_id, FtClaimEnd end,
+ft_node_end_claim (FtNode *node, const char *key, const char *request_id, FtClaimOutcome end,
                    int64_t wall_ms)
 {
   MsgOp op = { .kind = MSG_OP_CLAIM_END };
@@ -173,8 +173,8 @@
 }
 
 void
-ft_node_note_refusal (FtNode *node, const char *id, const char *org, FtReason reason, unsigned tier,
-                      int64_t retry_after_ms, const char *rule, int64_t wall_ms)
+ft_node_record_refusal (FtNode *node, const char *id, const char *org, FtReason reason,
+                        unsigned tier, int64_t retry_after_ms, const char *rule, int64_t wall_ms)
 {
   MsgRefusalRecord record = { 0 };
 
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -1,6 +1,6 @@
 /* quarantine.c - whether a request of some content may be sent to a server.
  *
- * What is known comes from two sources: the account of all ends that voters keep (blame.c), of
+ * What is known comes from two sources: the account of all ends that voters keep (crashes.c), of
  * which they tell whatever has two or more, and evidence that is not in it yet. Evidence counts
  * here at once, so that an instance that hears no voter still stops by itself.
  *
@@ -35,7 +35,7 @@
   unsigned ends, server_count;
   uint32_t servers[FT_SUSPECT_CRASHES_MAX];
   int64_t seen[FT_SUSPECT_CRASHES_MAX]; /* when each was first told */
-  int64_t enough_at;                    /* when it had BLAME_ENDS; 0: not yet */
+  int64_t enough_at;                    /* when it had CRASHES_QUARANTINE; 0: not yet */
 } Known;
 
 typedef struct
@@ -120,10 +120,10 @@
 }
 
 QuarVerdict
-quar_judge (const Quarantine *quar, uint64_t content)
+quar_check (const Quarantine *quar, uint64_t content)
 {
   const Known *known = g_hash_table_lookup (quar->known, &content);
-  QuarVerdict verdict = { QUAR_FREE };
+  QuarVerdict verdict = { QUAR_NO_CRASHES };
   int64_t now = ft_clock_now (quar->clock), last = 0;
 
   verdict.ends = known ? known->ends : 0;
@@ -132,12 +132,12 @@
   if (verdict.ends == 0)
     return verdict;
   verdict.state = QUAR_SUSPECT;
-  if (verdict.ends < BLAME_ENDS)
+  if (verdict.ends < CRASHES_QUARANTINE)
     return verdict;
   int64_t enough_at = known && known->enough_at ? known->enough_at : last;
-  verdict.known_us = now - enough_at;
-  verdict.settles_at = enough_at + SETTLE;
-  verdict.state = now < verdict.settles_at ? QUAR_SETTLES : QUAR_HELD;
+  verdict.blocked_for_us = now - enough_at;
+  verdict.recheck_at = enough_at + SETTLE;
+  verdict.state = now < verdict.recheck_at ? QUAR_RECHECK : QUAR_BLOCKED;
   return verdict;
 }
 
@@ -196,7 +196,7 @@
 }
 
 void
-quar_ended (Quarantine *quar, uint64_t content, const char *server, bool own)
+quar_add_crash (Quarantine *quar, uint64_t content, const char *server, bool own)
 {
   Evidence one = { content, quar_server_digest (server), own, ft_clock_now (quar->clock) };
 
@@ -213,7 +213,7 @@
 }
 
 void
-quar_acknowledged (Quarantine *quar, const char *server)
+quar_crash_recorded (Quarantine *quar, const char *server)
 {
   forget_evidence (quar, is_own_of_server, quar_server_digest (server));
 }
@@ -230,7 +230,7 @@
 }
 
 bool
-quar_server_lives (const Quarantine *quar, const char *server, int64_t sent_at)
+quar_crash_disproved (const Quarantine *quar, const char *server, int64_t sent_at)
 {
   uint32_t digest = quar_server_digest (server);
   int64_t now = ft_clock_now (quar->clock);
@@ -273,13 +273,13 @@
       known->servers[i] = record->servers[i];
       known->seen[i] = seen_before (before, record->servers[i], now);
     }
-  if (known->ends >= BLAME_ENDS)
+  if (known->ends >= CRASHES_QUARANTINE)
     known->enough_at = before && before->enough_at ? before->enough_at : now;
   return known;
 }
 
 bool
-quar_account (Quarantine *quar, uint64_t index, const QuarRecord *records, unsigned count)
+quar_update_table (Quarantine *quar, uint64_t index, const QuarRecord *records, unsigned count)
 {
   int64_t now = ft_clock_now (quar->clock);
 
@@ -299,7 +299,7 @@
 }
 
 unsigned
-quar_proofs (const Quarantine *quar, uint64_t *contents, unsigned most)
+quar_recently_answered (const Quarantine *quar, uint64_t *contents, unsigned most)
 {
   int64_t now = ft_clock_now (quar->clock);
   GHashTableIter iter;
@@ -331,7 +331,7 @@
 }
 
 unsigned
-quar_held (const Quarantine *quar)
+quar_count_blocked (const Quarantine *quar)
 {
   GHashTableIter iter;
   gpointer value;
--- a/src/quota.c
+++ b/src/quota.c
@@ -83,13 +83,13 @@
 }
 
 void
-quota_share (Quota *quota, double share)
+quota_set_share (Quota *quota, double share)
 {
   quota->share = share;
 }
 
 void
-quota_margin (Quota *quota, double overage, double slack, double window_s, bool alone)
+quota_set_margin (Quota *quota, double overage, double slack, double window_s, bool alone)
 {
   quota->overage = overage;
   quota->slack = slack;
@@ -154,7 +154,7 @@
 }
 
 void
-quota_limit (Quota *quota, const char *org, double rate, double burst)
+quota_set_limit (Quota *quota, const char *org, double rate, double burst)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
 
@@ -187,7 +187,7 @@
 }
 
 void
-quota_report (Quota *quota, const char *org, double full, int64_t at)
+quota_apply_report (Quota *quota, const char *org, double full, int64_t at)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
   bool idle = bucket && at - bucket->taken_at > IDLE;
@@ -204,7 +204,7 @@
 }
 
 double
-quota_full (Quota *quota, const char *org)
+quota_fill_level (Quota *quota, const char *org)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
 
@@ -215,7 +215,7 @@
 }
 
 bool
-quota_lacks_part (Quota *quota, const char *org, double cost, unsigned rank)
+quota_limited_by_share (Quota *quota, const char *org, double cost, unsigned rank)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
 
@@ -241,7 +241,7 @@
 }
 
 bool
-quota_take_from (Quota *quota, const QuotaAsk *ask, int64_t *wait_us)
+quota_take_request (Quota *quota, const QuotaRequest *ask, int64_t *wait_us)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, ask->org);
 
@@ -273,22 +273,22 @@
 bool
 quota_take (Quota *quota, const char *org, double cost, unsigned rank, int64_t *wait_us)
 {
-  QuotaAsk ask = { .org = org, .cost = cost, .rank = rank };
+  QuotaRequest ask = { .org = org, .cost = cost, .rank = rank };
 
-  return quota_take_from (quota, &ask, wait_us);
+  return quota_take_request (quota, &ask, wait_us);
 }
 
 bool
-quota_flow (Quota *quota, const char *org, unsigned rank, QuotaFlow *flow)
+quota_get_status (Quota *quota, const char *org, unsigned rank, QuotaStatus *flow)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
 
   if (bucket == NULL || bucket->rate <= 0)
     return false;
   fill (quota, bucket);
-  *flow = (QuotaFlow){ .rate = bucket->rate * bucket->part,
-                       .burst = bucket->burst * bucket->part,
-                       .left = capacity (bucket) - bucket->spent };
+  *flow = (QuotaStatus){ .rate = bucket->rate * bucket->part,
+                         .burst = bucket->burst * bucket->part,
+                         .left = capacity (bucket) - bucket->spent };
   for (unsigned i = 0; i < MIN (rank, RANKS_MOST); i++)
     flow->above += bucket->taken[i];
   flow->above *= exp (-(double) (bucket->at - bucket->taken_as_of) / TAKEN_US);
@@ -296,7 +296,7 @@
 }
 
 void
-quota_used (Quota *quota, const char *org, double cost, int64_t since)
+quota_charge_remote (Quota *quota, const char *org, double cost, int64_t since)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
   int64_t now = ft_clock_now (quota->clock);
@@ -326,7 +326,7 @@
 }
 
 void
-quota_give_back (Quota *quota, const char *org, double cost)
+quota_refund (Quota *quota, const char *org, double cost)
 {
   Bucket *bucket = g_hash_table_lookup (quota->buckets, org);
 
--- a/src/reason.c
+++ b/src/reason.c
@@ -1,7 +1,7 @@
 /* reason.c - the one table of reasons why a request is refused or ends without an answer. */
 #include "foxtail.h"
 
-static const FtReasonInfo table[FT_REASONS] = {
+static const FtReasonInfo table[FT_REASON_COUNT] = {
   [FT_REASON_NONE] = { "none", "No reason is recorded.", 500, FT_RAN_UNKNOWN, false },
   [FT_REASON_BAD_REQUEST]
   = { "bad-request", "The request breaks a rule of the interface.", 400, FT_RAN_NO, false },
@@ -46,7 +46,7 @@
       FT_RAN_NO, false },
   [FT_REASON_SHUTTING_DOWN]
   = { "shutting-down", "The instance is shutting down.", 503, FT_RAN_NO, false },
-  [FT_REASON_CLAIM_ELSEWHERE]
+  [FT_REASON_CLAIM_RUNNING]
   = { "still-running", "A request with this idempotency key is still running.", 409, FT_RAN_NO,
       false },
   [FT_REASON_CLAIM_MISMATCH]
@@ -74,7 +74,7 @@
 const FtReasonInfo *
 ft_reason_info (FtReason reason)
 {
-  if ((unsigned) reason >= FT_REASONS)
+  if ((unsigned) reason >= FT_REASON_COUNT)
     reason = FT_REASON_NONE;
   return &table[reason];
 }
--- a/src/req.c
+++ b/src/req.c
@@ -40,8 +40,8 @@
 step_exists (FtReqState from, FtReqState to)
 {
   static const unsigned char steps[][FT_REQ_UNKNOWN + 1] = {
-    [FT_REQ_RECEIVED] = { [FT_REQ_ASKED] = 1, [FT_REQ_REFUSED] = 1 },
-    [FT_REQ_ASKED] = { [FT_REQ_GRANTED] = 1, [FT_REQ_REFUSED] = 1 },
+    [FT_REQ_RECEIVED] = { [FT_REQ_SUBMITTED] = 1, [FT_REQ_REFUSED] = 1 },
+    [FT_REQ_SUBMITTED] = { [FT_REQ_GRANTED] = 1, [FT_REQ_REFUSED] = 1 },
     [FT_REQ_GRANTED] = { [FT_REQ_DISPATCHED] = 1, [FT_REQ_REFUSED] = 1 },
     [FT_REQ_DISPATCHED] = { [FT_REQ_STREAMING] = 1, [FT_REQ_ANSWERED] = 1, [FT_REQ_UNKNOWN] = 1 },
     [FT_REQ_STREAMING] = { [FT_REQ_ANSWERED] = 1, [FT_REQ_UNKNOWN] = 1 },
@@ -115,7 +115,7 @@
 }
 
 FtStatus
-ft_req_move (FtReq *req, FtReqState to)
+ft_req_set_state (FtReq *req, FtReqState to)
 {
   if (!step_exists (req->state, to))
     return FT_INVALID;
@@ -124,11 +124,11 @@
 }
 
 FtStatus
-ft_req_ask_again (FtReq *req)
+ft_req_undo_grant (FtReq *req)
 {
   if (req->state != FT_REQ_GRANTED)
     return FT_INVALID;
-  enter (req, FT_REQ_ASKED);
+  enter (req, FT_REQ_SUBMITTED);
   return FT_OK;
 }
 
@@ -154,7 +154,7 @@
 }
 
 FtStatus
-ft_req_piece (FtReq *req, unsigned offset, const char *data, size_t length)
+ft_req_add_piece (FtReq *req, unsigned offset, const char *data, size_t length)
 {
   if (offset < req->next || g_hash_table_contains (req->ahead, GUINT_TO_POINTER (offset)))
     return FT_CONFLICT;
@@ -172,7 +172,7 @@
 }
 
 unsigned
-ft_req_next (const FtReq *req)
+ft_req_next_piece (const FtReq *req)
 {
   return req->next;
 }
@@ -185,14 +185,14 @@
 }
 
 void
-ft_req_end (FtReq *req, unsigned pieces)
+ft_req_set_piece_count (FtReq *req, unsigned pieces)
 {
   req->ended = true;
   req->pieces = pieces;
 }
 
 bool
-ft_req_whole (const FtReq *req)
+ft_req_is_complete (const FtReq *req)
 {
   return req->ended && req->next == req->pieces;
 }
--- a/src/retry.c
+++ b/src/retry.c
@@ -26,8 +26,8 @@
 give_up (const RetryFacts *facts)
 {
   if (facts->begun)
-    return RETRY_BREAK_OFF;
-  return facts->may_have_run ? RETRY_SAY_UNKNOWN : RETRY_SAY_NOT_RUN;
+    return RETRY_ABORT;
+  return facts->may_have_run ? RETRY_ANSWER_UNKNOWN : RETRY_ANSWER_NOT_RUN;
 }
 
 /* Failure: a request ends the servers that run it. Symptom: each coming ends as many as its route
@@ -53,7 +53,7 @@
     case RETRY_SILENT:
       return RETRY_WAIT;
     default:
-      return RETRY_BREAK_OFF;
+      return RETRY_ABORT;
     }
 }
 
@@ -66,11 +66,11 @@
     {
     case RETRY_ANSWERED:
       return RETRY_DELIVER;
-    case RETRY_UNREACHED:
+    case RETRY_NOT_CONNECTED:
       if (facts->unreached < UNREACHED_MOST && facts->left_us > LEFT_LEAST)
         return facts->begun ? RETRY_RESUME : RETRY_AGAIN;
       return give_up (facts);
-    case RETRY_GONE:
+    case RETRY_OTHER_SERVER:
       if (facts->budget && facts->unreached < UNREACHED_MOST && facts->left_us > LEFT_LEAST)
         return facts->begun ? RETRY_RESUME : RETRY_AGAIN;
       return give_up (facts);
@@ -83,7 +83,7 @@
         return after_break (facts);
       return repeatable (facts) && may_send_again (facts) ? RETRY_AGAIN : RETRY_DELIVER;
     case RETRY_BROKEN:
-    case RETRY_CUT:
+    case RETRY_STREAM_CUT:
       return after_break (facts);
     case RETRY_SILENT:
       if (!repeatable (facts) || !may_send_again (facts))
@@ -94,9 +94,9 @@
 }
 
 bool
-retry_draws (RetryEvent event, RetryStep step)
+retry_uses_budget (RetryEvent event, RetryStep step)
 {
-  return event != RETRY_UNREACHED && (step == RETRY_AGAIN || step == RETRY_RESUME);
+  return event != RETRY_NOT_CONNECTED && (step == RETRY_AGAIN || step == RETRY_RESUME);
 }
 
 const char *
--- a/src/retry.h
+++ b/src/retry.h
@@ -7,14 +7,14 @@
 
 typedef enum
 {
-  RETRY_UNREACHED, /* no connection: no byte was sent */
-  RETRY_REJECTED,  /* the server states that it did not run the request */
-  RETRY_BROKEN,    /* sent; the connection broke, or what came is no answer */
-  RETRY_FAILURE,   /* a whole answer that says failure (5xx) */
-  RETRY_ANSWERED,  /* a whole answer that does not */
-  RETRY_CUT,       /* a stream broke after its head went to the caller */
-  RETRY_SILENT,    /* sent; nothing came for longer than it should take */
-  RETRY_GONE       /* another server answered at its address, and did not run the request */
+  RETRY_NOT_CONNECTED, /* no connection: no byte was sent */
+  RETRY_REJECTED,      /* the server states that it did not run the request */
+  RETRY_BROKEN,        /* sent; the connection broke, or what came is no answer */
+  RETRY_FAILURE,       /* a whole answer that says failure (5xx) */
+  RETRY_ANSWERED,      /* a whole answer that does not */
+  RETRY_STREAM_CUT,    /* a stream broke after its head went to the caller */
+  RETRY_SILENT,        /* sent; nothing came for longer than it should take */
+  RETRY_OTHER_SERVER   /* another server answered at its address, and did not run the request */
 } RetryEvent;
 
 typedef struct
@@ -33,19 +33,19 @@
 
 typedef enum
 {
-  RETRY_AGAIN,       /* ask for another server */
-  RETRY_RESUME,      /* the same, and go on behind the last event */
-  RETRY_DELIVER,     /* give the caller the server's answer */
-  RETRY_SAY_NOT_RUN, /* 503: it has not run and never will */
-  RETRY_SAY_UNKNOWN, /* 502: nothing is promised */
-  RETRY_BREAK_OFF,   /* the answer has begun: break the caller's connection */
-  RETRY_WAIT         /* go on waiting for the try */
+  RETRY_AGAIN,          /* ask for another server */
+  RETRY_RESUME,         /* the same, and go on behind the last event */
+  RETRY_DELIVER,        /* give the caller the server's answer */
+  RETRY_ANSWER_NOT_RUN, /* 503: it has not run and never will */
+  RETRY_ANSWER_UNKNOWN, /* 502: nothing is promised */
+  RETRY_ABORT,          /* the answer has begun: break the caller's connection */
+  RETRY_WAIT            /* go on waiting for the try */
 } RetryStep;
 
 RetryStep retry_next (RetryEvent event, const RetryFacts *facts);
 /* Does this step after this event draw on the budget of repeats? Whoever acts on the step takes
  * it then. */
-bool retry_draws (RetryEvent event, RetryStep step);
+bool retry_uses_budget (RetryEvent event, RetryStep step);
 const char *retry_event_name (RetryEvent event);
 const char *retry_step_name (RetryStep step);
 
--- a/src/returns.c
+++ b/src/returns.c
@@ -8,7 +8,7 @@
  * newcomers keep the rest: an answer on time is worth more to its caller than one after a refusal.
  *
  * What is promised becomes free at a line: tokens at an organisation's limit, slot time at a
- * service's places. An interval ends RETURN_EARLY before the time that the caller is told, so that
+ * service's places. An interval ends RET_EARLY_US before the time that the caller is told, so that
  * everything is set aside when the earliest caller comes.
  *
  * Failure: a caller repeats its request at once and all the time. Symptom: it is the first to ask
@@ -138,7 +138,7 @@
 }
 
 void
-ret_part (Returns *ret, double part)
+ret_set_share (Returns *ret, double part)
 {
   ret->part = part;
   while (part <= 0 && oldest (&ret->promises))
@@ -148,13 +148,13 @@
 }
 
 double
-ret_part_of (const Returns *ret)
+ret_share (const Returns *ret)
 {
   return ret->part;
 }
 
 uint64_t
-ret_line (const char *name, unsigned tier)
+ret_resource_id (const char *name, unsigned tier)
 {
   return XXH64 (name, strlen (name), tier);
 }
@@ -182,14 +182,14 @@
 
   cds_list_for_each_entry_safe (promise, next, &line->promises, link)
   {
-    if (promise->ready_at + RETURN_EARLY + RETURN_GRACE >= now)
+    if (promise->ready_at + RET_EARLY_US + RET_GRACE_US >= now)
       return;
     lapse (ret, promise);
   }
 }
 
 void
-ret_tick (Returns *ret)
+ret_expire (Returns *ret)
 {
   int64_t now = ft_clock_now (ret->clock);
   GHashTableIter iter;
@@ -208,7 +208,7 @@
 }
 
 int64_t
-ret_until (const Returns *ret, uint64_t number)
+ret_reserved_until (const Returns *ret, uint64_t number)
 {
   const Line *line = g_hash_table_lookup (ret->lines, &number);
 
@@ -216,7 +216,7 @@
 }
 
 double
-ret_aside (Returns *ret, uint64_t number, unsigned rank, uint64_t content)
+ret_reserved (Returns *ret, uint64_t number, unsigned rank, uint64_t content)
 {
   int64_t now = ft_clock_now (ret->clock);
   Line *line = g_hash_table_lookup (ret->lines, &number);
@@ -257,8 +257,8 @@
 }
 
 RetState
-ret_state (Returns *ret, uint64_t line, uint64_t content, int64_t end_at, int64_t *at,
-           bool *promised)
+ret_lookup (Returns *ret, uint64_t line, uint64_t content, int64_t end_at, int64_t *at,
+            bool *promised)
 {
   Key key = { line, content };
   int64_t now = ft_clock_now (ret->clock);
@@ -266,18 +266,18 @@
   const Promise *told = promise ? promise : g_hash_table_lookup (ret->told.by_key, &key);
 
   if (told == NULL || content == 0)
-    return RET_NONE;
-  *at = told->ready_at + RETURN_EARLY;
+    return RET_UNKNOWN;
+  *at = told->ready_at + RET_EARLY_US;
   *promised = promise != NULL;
   if (is_early (told, end_at, now))
     return RET_EARLY;
   if (promise == NULL)
-    return RET_NONE;
-  return now < promise->ready_at ? RET_OTHER : RET_DUE;
+    return RET_UNKNOWN;
+  return now < promise->ready_at ? RET_OTHER_CALLER : RET_DUE;
 }
 
 static Promise *
-add (Returns *ret, Table *table, const RetOffer *offer, int64_t ready_at)
+add (Returns *ret, Table *table, const RetDemand *offer, int64_t ready_at)
 {
   Promise *promise = g_new0 (Promise, 1);
 
@@ -307,25 +307,25 @@
 }
 
 bool
-ret_promise (Returns *ret, const RetOffer *offer, int64_t *at)
+ret_reserve (Returns *ret, const RetDemand *offer, int64_t *at)
 {
   Key key = { offer->line, offer->content };
   int64_t now = ft_clock_now (ret->clock);
-  int64_t latest = now + MAX (0, offer->end_at - now) / ADVICE_PART;
+  int64_t latest = now + MAX (0, offer->end_at - now) / RET_WAIT_DIVISOR;
 
-  if (offer->use_until)
-    latest = MIN (latest, offer->use_until);
+  if (offer->useful_until)
+    latest = MIN (latest, offer->useful_until);
   *at = INT64_MAX;
   if (ret->part <= 0 || offer->content == 0 || offer->rate <= 0)
     return false;
   double fill_us = offer->cost / (ret->part * offer->rate);
-  double start = (double) MAX (MAX (now, offer->start_at), ret_until (ret, offer->line));
-  double ready = MAX (start + fill_us, (double) (offer->tell_from - RETURN_EARLY));
-  *at = (int64_t) MIN (ceil (ready), (double) INT64_MAX / 2) + RETURN_EARLY;
+  double start = (double) MAX (MAX (now, offer->start_at), ret_reserved_until (ret, offer->line));
+  double ready = MAX (start + fill_us, (double) (offer->not_before - RET_EARLY_US));
+  *at = (int64_t) MIN (ceil (ready), (double) INT64_MAX / 2) + RET_EARLY_US;
   if (*at > latest || promise_of (ret, &key))
     return false;
   forget_told (ret, &key);
-  Promise *promise = add (ret, &ret->promises, offer, *at - RETURN_EARLY);
+  Promise *promise = add (ret, &ret->promises, offer, *at - RET_EARLY_US);
   Line *line = line_of (ret, offer->line);
   promise->fill_us = (float) fill_us;
   cds_list_add_tail (&promise->link, &line->promises);
@@ -335,20 +335,20 @@
 }
 
 void
-ret_tell (Returns *ret, const RetOffer *offer, int64_t wait_us)
+ret_record_wait (Returns *ret, const RetDemand *offer, int64_t wait_us)
 {
   Key key = { offer->line, offer->content };
   int64_t now = ft_clock_now (ret->clock);
-  int64_t heeds = MIN (wait_us, MAX (0, offer->end_at - now) / ADVICE_PART);
+  int64_t heeds = MIN (wait_us, MAX (0, offer->end_at - now) / RET_WAIT_DIVISOR);
 
   if (ret->part <= 0 || offer->content == 0)
     return;
   forget_told (ret, &key);
-  add (ret, &ret->told, offer, now + heeds - RETURN_EARLY);
+  add (ret, &ret->told, offer, now + heeds - RET_EARLY_US);
 }
 
 bool
-ret_redeem (Returns *ret, uint64_t line, uint64_t content)
+ret_consume (Returns *ret, uint64_t line, uint64_t content)
 {
   Key key = { line, content };
   Promise *promise = promise_of (ret, &key);
@@ -360,7 +360,7 @@
 }
 
 void
-ret_note (Returns *ret, bool kept)
+ret_count_outcome (Returns *ret, bool kept)
 {
   if (kept)
     ret->counts.kept++;
@@ -379,77 +379,79 @@
 /* Higher ranks may use what is set aside for lower ones. So nothing is promised to a rank where
  * those above it use more than the rest: it would be gone when the caller comes. */
 static bool
-offer_tokens (Returns *ret, Quota *quota, const RetAsk *ask, RetOffer *offer, int64_t *at)
+offer_tokens (Returns *ret, Quota *quota, const RetRequest *ask, RetDemand *offer, int64_t *at)
 {
   int64_t now = ft_clock_now (ret->clock);
-  QuotaFlow flow;
+  QuotaStatus flow;
 
   *at = INT64_MAX;
-  if (!quota_flow (quota, ask->org, ask->rank, &flow) || flow.above > (1 - ret->part) * flow.rate)
+  if (!quota_get_status (quota, ask->org, ask->rank, &flow)
+      || flow.above > (1 - ret->part) * flow.rate)
     return false;
   offer->cost = MIN (ask->cost, flow.burst);
   offer->rate = flow.rate / 1e6;
   offer->start_at = now + (int64_t) (MAX (0, -flow.left) / offer->rate);
-  return ret_promise (ret, offer, at);
+  return ret_reserve (ret, offer, at);
 }
 
 static void
-answer (Returns *ret, Quota *quota, const RetAsk *ask, int64_t *wait_us, RetWord *word)
+answer (Returns *ret, Quota *quota, const RetRequest *ask, int64_t *wait_us, RetAdvice *word)
 {
-  RetOffer offer = { .line = ret_line (ask->org, 0),
-                     .content = ask->content,
-                     .rank = ask->rank,
-                     .use_until = ask->use_until,
-                     .end_at = ask->end_at };
+  RetDemand offer = { .line = ret_resource_id (ask->org, 0),
+                      .content = ask->content,
+                      .rank = ask->rank,
+                      .useful_until = ask->useful_until,
+                      .end_at = ask->end_at };
   int64_t now = ft_clock_now (ret->clock), at;
 
-  *word = RET_PROMISED;
+  *word = RET_RESERVED;
   if (offer_tokens (ret, quota, ask, &offer, &at))
     {
       *wait_us = at - now;
       return;
     }
-  *word = RET_BEYOND;
+  *word = RET_TOO_LATE;
   if (at < INT64_MAX)
     *wait_us = MAX (*wait_us, at - now);
-  ret_tell (ret, &offer, *wait_us);
+  ret_record_wait (ret, &offer, *wait_us);
 }
 
 /* What an early caller leaves to others: it is served if the account is far from empty. */
 static double
 ease (Quota *quota, const char *org)
 {
-  QuotaFlow flow;
+  QuotaStatus flow;
 
-  return quota_flow (quota, org, 0, &flow) ? EASE_PART * flow.burst : 0;
+  return quota_get_status (quota, org, 0, &flow) ? EASE_PART * flow.burst : 0;
 }
 
 bool
-ret_take_tokens (Returns *ret, Quota *quota, const RetAsk *ask, int64_t *wait_us, RetWord *word)
+ret_take_tokens (Returns *ret, Quota *quota, const RetRequest *ask, int64_t *wait_us,
+                 RetAdvice *word)
 {
-  uint64_t line = ret_line (ask->org, 0);
-  QuotaAsk from = { .org = ask->org, .cost = ask->cost, .rank = ask->rank };
+  uint64_t line = ret_resource_id (ask->org, 0);
+  QuotaRequest from = { .org = ask->org, .cost = ask->cost, .rank = ask->rank };
   bool promised = false;
   int64_t at = 0;
 
-  *word = RET_PLAIN;
+  *word = RET_NO_RESERVATION;
   if (ret->part <= 0)
-    return quota_take_from (quota, &from, wait_us);
-  RetState state = ret_state (ret, line, ask->content, ask->end_at, &at, &promised);
+    return quota_take_request (quota, &from, wait_us);
+  RetState state = ret_lookup (ret, line, ask->content, ask->end_at, &at, &promised);
   from.set_aside = state == RET_DUE;
-  from.beside = ret_aside (ret, line, ask->rank, from.set_aside ? ask->content : 0);
+  from.beside = ret_reserved (ret, line, ask->rank, from.set_aside ? ask->content : 0);
   if (state == RET_EARLY)
     from.beside += ease (quota, ask->org);
-  bool taken = quota_take_from (quota, &from, wait_us);
-  if ((taken && state != RET_OTHER) || from.set_aside)
-    if (ret_redeem (ret, line, ask->content))
-      ret_note (ret, taken);
-  if (taken || ask->content == 0 || state == RET_OTHER)
+  bool taken = quota_take_request (quota, &from, wait_us);
+  if ((taken && state != RET_OTHER_CALLER) || from.set_aside)
+    if (ret_consume (ret, line, ask->content))
+      ret_count_outcome (ret, taken);
+  if (taken || ask->content == 0 || state == RET_OTHER_CALLER)
     return taken;
   if (state == RET_EARLY)
     {
       *wait_us = at - ft_clock_now (ret->clock);
-      *word = promised ? RET_PROMISED : RET_BEYOND;
+      *word = promised ? RET_RESERVED : RET_TOO_LATE;
     }
   else
     answer (ret, quota, ask, wait_us, word);
@@ -457,13 +459,13 @@
 }
 
 void
-ret_explain (RetWord word, int64_t wait_us, char *rule, size_t size)
+ret_explain (RetAdvice word, int64_t wait_us, char *rule, size_t size)
 {
   char text[64];
 
-  if (word == RET_PLAIN)
+  if (word == RET_NO_RESERVATION)
     return;
-  if (word == RET_PROMISED)
+  if (word == RET_RESERVED)
     g_snprintf (text, sizeof text, "; promised in %" G_GINT64_FORMAT " ms", wait_us / FT_MS);
   else
     g_strlcpy (text, "; no time to promise within the caller's", sizeof text);
--- a/src/rollout.c
+++ b/src/rollout.c
@@ -11,7 +11,7 @@
 
 #include <string.h>
 
-struct RollAccount
+struct RolloutTable
 {
   uint64_t index;
   GPtrArray *all; /* MsgRollout, by service */
@@ -24,17 +24,17 @@
   g_free (data);
 }
 
-RollAccount *
+RolloutTable *
 roll_new (void)
 {
-  RollAccount *account = g_new0 (RollAccount, 1);
+  RolloutTable *account = g_new0 (RolloutTable, 1);
 
   account->all = g_ptr_array_new_with_free_func (rollout_free);
   return account;
 }
 
 void
-roll_free (RollAccount *account)
+roll_free (RolloutTable *account)
 {
   if (account == NULL)
     return;
@@ -51,7 +51,7 @@
 }
 
 static MsgRollout *
-find (const RollAccount *account, const char *service)
+find (const RolloutTable *account, const char *service)
 {
   for (unsigned i = 0; i < account->all->len; i++)
     {
@@ -63,7 +63,7 @@
 }
 
 const MsgRollout *
-roll_find (const RollAccount *account, const char *service)
+roll_find (const RolloutTable *account, const char *service)
 {
   return find (account, service);
 }
@@ -74,8 +74,8 @@
   return rollout->phase == MSG_ROLLOUT_TRYING || rollout->phase == MSG_ROLLOUT_MOVING;
 }
 
-RollOrder
-roll_check (const RollAccount *account, const char *service, const char *target, bool lately)
+RollCheck
+roll_check (const RolloutTable *account, const char *service, const char *target, bool lately)
 {
   const MsgRollout *known = find (account, service);
 
@@ -99,7 +99,7 @@
  * was lost; both are committed. Symptom: a roll-out that has begun, or even ended, begins anew.
  * Only the order that follows the roll-out that its proposer knew counts. */
 bool
-roll_start (RollAccount *account, uint64_t index, const MsgRolloutStart *start)
+roll_apply_start (RolloutTable *account, uint64_t index, const MsgRolloutStart *start)
 {
   MsgRollout *rollout = find (account, start->service);
 
@@ -134,7 +134,7 @@
 }
 
 bool
-roll_step (RollAccount *account, uint64_t index, const MsgRolloutStep *step)
+roll_apply_step (RolloutTable *account, uint64_t index, const MsgRolloutStep *step)
 {
   MsgRollout *rollout = find (account, step->service);
 
@@ -150,13 +150,13 @@
 }
 
 uint64_t
-roll_index (const RollAccount *account)
+roll_index (const RolloutTable *account)
 {
   return account->index;
 }
 
 void
-roll_capture (const RollAccount *account, MsgRollouts *out)
+roll_capture (const RolloutTable *account, MsgRollouts *out)
 {
   unsigned count = account->all->len;
 
@@ -168,7 +168,7 @@
 }
 
 void
-roll_restore (RollAccount *account, const MsgRollouts *in)
+roll_restore (RolloutTable *account, const MsgRollouts *in)
 {
   g_ptr_array_set_size (account->all, 0);
   account->index = in->index;
--- a/src/rollout.h
+++ b/src/rollout.h
@@ -5,10 +5,10 @@
 
 #include "codec.h"
 
-typedef struct RollAccount RollAccount;
+typedef struct RolloutTable RolloutTable;
 
-RollAccount *roll_new (void);
-void roll_free (RollAccount *account);
+RolloutTable *roll_new (void);
+void roll_free (RolloutTable *account);
 
 /* What an order means beside what is known. */
 typedef enum
@@ -17,27 +17,27 @@
   ROLL_KNOWN, /* the one that is under way, or has ended lately */
   ROLL_BUSY,  /* another target's is under way */
   ROLL_FULL   /* FT_ROLLOUTS_MAX services have one */
-} RollOrder;
+} RollCheck;
 
 /* An order carries no number, so it is known by service and target: while that roll-out is under
  * way, and lately: for as long as its operator may send it again. One that was completed is never
  * begun again, since nothing is left to move. */
-RollOrder roll_check (const RollAccount *account, const char *service, const char *target,
+RollCheck roll_check (const RolloutTable *account, const char *service, const char *target,
                       bool lately);
 
 /* Operations at their index in the log; deterministic. True: the account has changed. */
-bool roll_start (RollAccount *account, uint64_t index, const MsgRolloutStart *start);
-bool roll_step (RollAccount *account, uint64_t index, const MsgRolloutStep *step);
+bool roll_apply_start (RolloutTable *account, uint64_t index, const MsgRolloutStart *start);
+bool roll_apply_step (RolloutTable *account, uint64_t index, const MsgRolloutStep *step);
 
 /* Borrowed; NULL: none was ever ordered. */
-const MsgRollout *roll_find (const RollAccount *account, const char *service);
+const MsgRollout *roll_find (const RolloutTable *account, const char *service);
 bool roll_is_active (const MsgRollout *rollout);
 /* Index of the latest change; 0: there was none. */
-uint64_t roll_index (const RollAccount *account);
+uint64_t roll_index (const RolloutTable *account);
 /* The whole account, in order of services. rollouts_val is an array of the caller's (g_free); what
  * its records point to is borrowed. */
-void roll_capture (const RollAccount *account, MsgRollouts *out);
+void roll_capture (const RolloutTable *account, MsgRollouts *out);
 /* Takes a captured account over in place of this one; in is copied. */
-void roll_restore (RollAccount *account, const MsgRollouts *in);
+void roll_restore (RolloutTable *account, const MsgRollouts *in);
 
 #endif
--- a/src/rollplan.c
+++ b/src/rollplan.c
@@ -42,14 +42,14 @@
 #define SETTLE    (400 * FT_MS) /* entries hear of the move, and of what they sent before */
 
 static int64_t
-margin (const PlanFacts *facts)
+margin (const PlanInput *facts)
 {
   return MIN (MARGIN, (int64_t) (MARGIN_PART * (double) facts->limit_us));
 }
 
 /* When everything is to move. */
 static int64_t
-move_at (const PlanFacts *facts)
+move_at (const PlanInput *facts)
 {
   int64_t most = (int64_t) (DRAIN_PART * (double) facts->limit_us);
   int64_t drain = CLAMP (facts->longest_us + SETTLE, DRAIN_LEAST, MAX (most, DRAIN_LEAST));
@@ -58,7 +58,7 @@
 }
 
 static double
-share_small (const PlanFacts *facts, int64_t move)
+share_small (const PlanInput *facts, int64_t move)
 {
   double by_move = facts->placed * (double) move / (double) MAX (facts->elapsed_us, FT_SECOND);
 
@@ -66,7 +66,7 @@
 }
 
 static double
-share_at (const PlanFacts *facts, int64_t move)
+share_at (const PlanInput *facts, int64_t move)
 {
   if (facts->suspicion >= SUSPECTED || facts->answers < ANSWERS_LEAST)
     return share_small (facts, move);
@@ -79,7 +79,7 @@
 
 /* How many more of the requests the target may get before it has moved. */
 static unsigned
-left_by_now (const PlanLimits *limits, const PlanFacts *facts)
+left_by_now (const PlanLimits *limits, const PlanInput *facts)
 {
   double allowed = SPENT_MOST * (limits->share * facts->placed + limits->slack);
 
@@ -87,7 +87,7 @@
 }
 
 static bool
-carries (const PlanFacts *facts)
+carries (const PlanInput *facts)
 {
   return facts->servers > 0 && facts->places >= CARRIES * facts->places_before;
 }
@@ -96,13 +96,13 @@
  * Symptom: the target's failures look usual beside them, and a bad version gets everything. As long
  * as many answers of either are bad, nothing can be told, and nothing moves. */
 static bool
-looks_sound (const PlanFacts *facts)
+looks_sound (const PlanInput *facts)
 {
   return facts->suspicion < SUSPECTED && facts->before <= BAD_MOST && facts->after <= BAD_MOST;
 }
 
 static const char *
-why_not_moved (const PlanFacts *facts)
+why_not_moved (const PlanInput *facts)
 {
   if (facts->servers == 0)
     return "no server of the version was there in time";
@@ -112,7 +112,7 @@
 }
 
 static void
-plan_trial (const PlanLimits *limits, const PlanFacts *facts, PlanStep *step)
+plan_trial (const PlanLimits *limits, const PlanInput *facts, PlanStep *step)
 {
   int64_t move = move_at (facts);
   bool sound = facts->answers >= ANSWERS_LEAST && looks_sound (facts);
@@ -141,7 +141,7 @@
  * does one long stream hold the move up beyond its limit if it can go on at another server, behind
  * its last event; what may run once only is waited for to its end. */
 static bool
-may_stop_others (const PlanFacts *facts, bool over)
+may_stop_others (const PlanInput *facts, bool over)
 {
   if (over)
     return facts->once_before == 0;
@@ -149,7 +149,7 @@
 }
 
 static void
-plan_move (const PlanFacts *facts, PlanStep *step)
+plan_move (const PlanInput *facts, PlanStep *step)
 {
   bool over = facts->elapsed_us >= facts->limit_us - margin (facts) / 2;
 
@@ -167,7 +167,7 @@
 }
 
 void
-plan_next (const PlanLimits *limits, const PlanFacts *facts, PlanStep *step)
+plan_next (const PlanLimits *limits, const PlanInput *facts, PlanStep *step)
 {
   *step = (PlanStep){ .phase = facts->phase };
   if (facts->phase > MSG_ROLLOUT_MOVING)
--- a/src/rollplan.h
+++ b/src/rollplan.h
@@ -27,7 +27,7 @@
   double suspicion;             /* from 1 on the target is bad */
   double before, after; /* share of bad answers of late: of the version before, the target's */
   bool in_use;          /* the target was the version in use as it was ordered */
-} PlanFacts;
+} PlanInput;
 
 typedef struct
 {
@@ -37,6 +37,6 @@
   const char *why;       /* of another phase than the one before; NULL: it stays */
 } PlanStep;
 
-void plan_next (const PlanLimits *limits, const PlanFacts *facts, PlanStep *step);
+void plan_next (const PlanLimits *limits, const PlanInput *facts, PlanStep *step);
 
 #endif
--- a/src/route.c
+++ b/src/route.c
@@ -325,7 +325,7 @@
 #define RANKS 16 /* tiers of routes that are told apart within one organisation's tier */
 
 unsigned
-rt_order (const RtRoute *route, const RtOrg *org)
+rt_priority (const RtRoute *route, const RtOrg *org)
 {
   unsigned first = org && org->has_tier ? org->tier : 0;
 
@@ -333,13 +333,13 @@
 }
 
 unsigned
-rt_order_rank (unsigned order)
+rt_priority_route_tier (unsigned order)
 {
   return order % RANKS;
 }
 
 bool
-rt_route_repeatable (const RtRoute *route)
+rt_route_is_repeatable (const RtRoute *route)
 {
   return route->kind == RT_IDEMPOTENT || (route->kind == RT_STREAM && route->resumable);
 }
--- a/src/route.h
+++ b/src/route.h
@@ -7,9 +7,9 @@
 
 typedef enum
 {
-  RT_IDEMPOTENT, /* may run more than once */
-  RT_ONCE,       /* may run once at most for each request of a caller */
-  RT_STREAM      /* answered by a stream of events; runs once unless the route is resumable */
+  RT_IDEMPOTENT,   /* may run more than once */
+  RT_AT_MOST_ONCE, /* may run once at most for each request of a caller */
+  RT_STREAM        /* answered by a stream of events; runs once unless the route is resumable */
 } RtKind;
 
 typedef struct
@@ -23,7 +23,7 @@
   char *name, *host, *prefix; /* the prefix begins and ends with a slash */
   RtKind kind;
   int64_t timeout_us; /* a request has its final answer by then; above 0 */
-  int64_t aim_us;     /* the first event, or the answer, is on time until then */
+  int64_t target_us;  /* the first event, or the answer, is on time until then */
   int64_t gap_us;     /* longest pause between two events that is on time; 0: not stated */
   unsigned tier;      /* 0 is the highest */
   unsigned attempts;  /* most servers to which one request may be sent; at least 1 */
@@ -45,11 +45,11 @@
 {
   char *name;
   bool has_tier;
-  unsigned tier;         /* goes before the route's */
-  double rate, burst;    /* a second and at once, over all instances; rate 0: no limit */
-  bool by_tokens;        /* rate and burst count tokens, else requests */
-  unsigned plain_tokens; /* what a request counts that names no tokens */
-  GPtrArray *keys;       /* char * */
+  unsigned tier;           /* goes before the route's */
+  double rate, burst;      /* a second and at once, over all instances; rate 0: no limit */
+  bool by_tokens;          /* rate and burst count tokens, else requests */
+  unsigned default_tokens; /* what a request counts that names no tokens */
+  GPtrArray *keys;         /* char * */
 } RtOrg;
 
 typedef struct
@@ -88,10 +88,10 @@
 /* One of the route's services, by weight; draw: random bits. */
 const char *rt_route_target (const RtRoute *route, uint64_t draw);
 /* Order of a request among all: the organisation's tier goes before the route's. 0 is the first. */
-unsigned rt_order (const RtRoute *route, const RtOrg *org);
+unsigned rt_priority (const RtRoute *route, const RtOrg *org);
 /* The route's own part of an order. */
-unsigned rt_order_rank (unsigned order);
+unsigned rt_priority_route_tier (unsigned order);
 /* May a request of the route run again at another server once one may have run it? */
-bool rt_route_repeatable (const RtRoute *route);
+bool rt_route_is_repeatable (const RtRoute *route);
 
 #endif
--- a/src/schedint.h
+++ b/src/schedint.h
@@ -11,9 +11,9 @@
 #include <urcu/list.h>
 
 /* Tuning that several files share; each row with its reason. */
-#define INFLOW_US 2e6            /* span over which the arrivals of a tier are averaged */
-#define HOP_US    1500.0         /* sending and the first bytes back, between failure domains */
-#define OUT_MOST  (2400 * FT_MS) /* tried every few seconds at least */
+#define ARRIVAL_WINDOW_US 2e6    /* span over which the arrivals of a tier are averaged */
+#define NETWORK_US        1500.0 /* sending and the first bytes back, between failure domains */
+#define OUT_MAX           (2400 * FT_MS) /* tried every few seconds at least */
 
 typedef struct Service Service;
 typedef struct Server Server;
@@ -41,23 +41,23 @@
   double work_us;   /* slot time on the service's best server */
   bool alone;       /* nothing else was pending on its server when it was granted */
   bool first_seen;
-  bool adopted;     /* placed by another scheduler; granted_at is when this one heard of it */
-  unsigned passed;  /* by how many connected ones of its queue that were due later */
-  bool late;        /* waits, and can no longer be on time */
-  bool promised;    /* its caller came back at its promised time: waits before newcomers */
-  bool tried;       /* is to be placed on a server of the version that is tried */
-  bool judged;      /* what its answer says of the version has been told */
-  double expect_us; /* until the first of the answer, by the version before when it was placed; 0:
-                     * unknown */
-  double allow_us;  /* the same, by its answers at the same time; at least expect_us */
+  bool adopted;       /* placed by another scheduler; granted_at is when this one heard of it */
+  unsigned passed;    /* by how many connected ones of its queue that were due later */
+  bool late;          /* waits, and can no longer be on time */
+  bool promised;      /* its caller came back at its promised time: waits before newcomers */
+  bool tried;         /* is to be placed on a server of the version that is tried */
+  bool judged;        /* what its answer says of the version has been told */
+  double expected_us; /* until the first of the answer, by the version before when it was placed; 0:
+                       * unknown */
+  double adjusted_us; /* the same, by its answers at the same time; at least expected_us */
 } Job;
 
 /* Whether a server's version gets requests. */
 typedef enum
 {
-  USE_YES,
-  USE_TRIED, /* those requests that are marked for it */
-  USE_NO
+  USE_ALL,
+  USE_ON_TRIAL, /* those requests that are marked for it */
+  USE_NONE
 } VersionUse;
 
 /* Token bucket of a server's rate limit. */
@@ -66,7 +66,7 @@
   double rate;   /* requests a second; 0: any */
   double tokens; /* requests that it may get at once, as of ... */
   int64_t filled_at;
-  int64_t named_at; /* when the latest notice was applied */
+  int64_t announced_at; /* when the latest notice was applied */
 } Pace;
 
 struct Server
@@ -91,9 +91,9 @@
   int64_t answered_at; /* when it last answered anything */
   int64_t out_at, out_until, out_for, cold_until;
   bool trial;            /* was out: one request at a time until one succeeds */
-  bool out_failing;      /* it answered, but failed too much */
+  bool out_for_failures; /* it answered, but failed too much */
   uint64_t tokens;       /* memory of its runs */
-  int64_t rest_broke_at; /* when a connection that had rested last broke as it was used */
+  int64_t idle_broke_at; /* when a connection that had rested last broke as it was used */
   uint64_t kept_by;      /* number of the latest choice whose owner has a connection there */
   Pace pace;
   unsigned tried; /* requests that it got as a server of a version that is tried */
@@ -108,34 +108,34 @@
   unsigned count;                /* of both */
   double timely_us, late_us;     /* slot time of each */
   double mean_us;                /* slot time of a request, averaged */
-  double timely_part[2];         /* part that could be on time, averaged; [1]: of large ones */
+  double timely_share[2];        /* part that could be on time, averaged; [1]: of large ones */
   double inflow;                 /* slot time arriving per time, averaged */
   int64_t inflow_at;
   Shares *shares; /* order of timely; NULL: by due time alone */
 } Tier;
 
-/* What a decision needs of all servers, worked out again after SUMMARY_FOR: a queue of hundreds
- * before a hundred servers must not look at all pairs of them. */
+/* What a decision needs of all servers, worked out again after SUMMARY_LIFETIME: a queue of
+ * hundreds before a hundred servers must not look at all pairs of them. */
 typedef struct
 {
   int64_t until;
-  double best_token, mean_token; /* time of a token: of the best server, and on average */
-  double least_unit;             /* least of prompt_unit on a usable server */
-  double least_answer;           /* of a plain service */
-  unsigned slots;                /* of usable servers, and what runs on the others */
-  double places;                 /* of usable servers, in units of the best one's speed */
+  double best_token_us, mean_token_us; /* time of a token: of the best server, and on average */
+  double min_prompt_unit;              /* least of prompt_unit on a usable server */
+  double min_answer_us;                /* of a plain service */
+  unsigned slots;                      /* of usable servers, and what runs on the others */
+  double places;                       /* of usable servers, in units of the best one's speed */
   bool any_usable;
-  bool many_failed; /* one in FAILED_SPREAD servers in use has failed something lately */
+  bool many_failed; /* one in COMMON_FAILURES servers in use has failed something lately */
 } Summary;
 
-#define PEERS_KEPT 128 /* more than come while one answer is under way, at 1,000 a second */
+#define BASELINES_MAX 128 /* more than come while one answer is under way, at 1,000 a second */
 
 /* An answer of the version before. */
 typedef struct
 {
   unsigned route;
   int64_t granted_at;
-  double times; /* of expect_us until the first of it, of a plain service until its end */
+  double times; /* of expected_us until the first of it, of a plain service until its end */
 } Peer;
 
 /* Versions of a service's servers (versions.c). */
@@ -152,8 +152,8 @@
   GHashTable *usual;                /* route: how long it took for a plain answer, learned */
   int64_t longest_us[2];            /* longest answer in the span that runs and in the one before */
   int64_t span_at;
-  Peer peers[PEERS_KEPT]; /* the latest; while answers are judged */
-  unsigned peer_count;    /* of all so far */
+  Peer peers[BASELINES_MAX]; /* the latest; while answers are judged */
+  unsigned peer_count;       /* of all so far */
 } Versions;
 
 struct Service
@@ -165,8 +165,8 @@
   GPtrArray *tiers; /* Tier, highest first */
   Curve curve;      /* of a prompt's time */
   Summary summary;
-  int64_t rest_broke_at;     /* when such last broke at several servers; 0: never */
-  int64_t new_broke_at;      /* when a new connection last did; 0 likewise */
+  int64_t idle_broke_at;     /* when such last broke at several servers; 0: never */
+  int64_t new_conn_broke_at; /* when a new connection last did; 0 likewise */
   unsigned running;          /* on all its servers */
   unsigned open;             /* servers with a free place, as of the last count */
   int64_t backoff_until;     /* no backoff at its servers lasts longer */
@@ -186,8 +186,8 @@
   double share, grant_part, rate_part;
   Returns *returns; /* NULL: no times are promised */
   uint64_t salt;
-  bool part_guessed; /* see sched_grant_part */
-  bool listed;       /* a list of servers has come */
+  bool others_unknown; /* see sched_set_grant_share */
+  bool listed;         /* a list of servers has come */
   bool fair;
   ShrWeights *weights; /* of organisations */
   SchedFair counts;
@@ -205,13 +205,13 @@
 /* Least time until the first of the answer on any usable server, microseconds. */
 double est_first_us (const Sched *sched, Service *service, const SchedAsk *ask);
 /* The part of the places that arrivals of higher tiers take, 0 to 1. */
-double est_part_above (const Sched *sched, Service *service, unsigned tier, int64_t now);
+double est_share_above (const Sched *sched, Service *service, unsigned tier, int64_t now);
 /* Time until a request of the tier would start behind work_ahead of slot time, microseconds.
  * behind: it is late, so those of its own tier that come meanwhile go before it. */
 double est_wait_us (const Sched *sched, Service *service, unsigned tier, bool behind,
                     double work_ahead, int64_t now);
 /* The places that arrivals of higher tiers leave over for it, and if behind those of its own. */
-double est_left_places (const Sched *sched, Service *service, unsigned number, bool behind,
+double est_places_left (const Sched *sched, Service *service, unsigned number, bool behind,
                         int64_t now);
 /* Moves a learned value towards a sample. */
 void est_learn (double *value, double sample);
@@ -227,11 +227,11 @@
 /* The best server with a place; NULL: none, or it is worth waiting for a busy one. */
 Server *est_choose (Sched *sched, const Job *job, int64_t now);
 /* Has a server to which the job's owner is connected a free place? */
-bool est_kept_place (const Sched *sched, const Job *job, int64_t now);
+bool est_connected_place (const Sched *sched, const Job *job, int64_t now);
 /* How long a connection to the server may have rested to be used for what may run once only. */
-int64_t est_rest_most (const Server *server, int64_t now);
+int64_t est_max_idle_us (const Server *server, int64_t now);
 /* A connection to the server broke as it was used, a new one or one that had rested. */
-void est_broke (Server *server, bool rested, int64_t now);
+void est_note_broken (Server *server, bool rested, int64_t now);
 
 /* ---- What waits (waiting.c) ---- */
 
@@ -241,21 +241,21 @@
 /* A request has been asked for. */
 void wait_note_arrival (const Job *job, int64_t now);
 /* Orders what can be on time by fair shares, NULL: by due time alone, from now on. */
-void wait_fair (Service *service, const ShrWeights *weights, int64_t now);
+void wait_set_fair (Service *service, const ShrWeights *weights, int64_t now);
 /* Puts the job into its tier's queue of those on time, or of the late ones if it is one. */
 void wait_add (Job *job, int64_t now);
 /* How much longer than it is the queue before the job is taken to be, for its size among those of
  * its tier of late. */
-double wait_caution (const Job *job);
+double wait_size_factor (const Job *job);
 /* The job is placed or can be on time, or not. */
-void wait_note_verdict (const Job *job, bool timely);
+void wait_note_timely (const Job *job, bool timely);
 /* It leaves its queue unserved, or for a place. */
 void wait_remove (Job *job);
 void wait_serve (Job *job, int64_t now);
 /* Moves those that can no longer be on time behind those that can. */
-void wait_sort_out (const Sched *sched, Service *service, Tier *tier, int64_t now);
+void wait_move_late (const Sched *sched, Service *service, Tier *tier, int64_t now);
 /* The same for all that wait, where the order is not that of due times. */
-void wait_sort_all (const Sched *sched, Service *service, int64_t now);
+void wait_move_all_late (const Sched *sched, Service *service, int64_t now);
 /* Slot time that goes before a request of the tier that comes now, late ones included if it is late
  * itself. */
 double wait_ahead_us (const Service *service, unsigned number, bool late);
@@ -265,14 +265,14 @@
 {
   double timely_us; /* if it can be on time: what goes before it in fair order */
   double all_us;    /* if it cannot: all that waits */
-} Ahead;
+} WaitAhead;
 
-Ahead wait_ahead (const Sched *sched, const Job *job, int64_t now);
+WaitAhead wait_ahead (const Sched *sched, const Job *job, int64_t now);
 
 /* ---- Records (scheduler.c) ---- */
 
 /* The job is gone, from its server or from its queue. */
-void sched_forget (Sched *sched, Job *job, int64_t now);
+void sched_remove_job (Sched *sched, Job *job, int64_t now);
 
 /* ---- Refusal (admit.c) ---- */
 
@@ -281,7 +281,7 @@
 /* Decides on a job that found no place. Returns true when it is queued; else it is refused and
  * gone.
  */
-bool admit_new (Sched *sched, Job *job, const Ahead *ahead, int64_t now);
+bool admit_new (Sched *sched, Job *job, const WaitAhead *ahead, int64_t now);
 /* Decides on a job whose owner is in backoff at all servers until then. Returns true when it is
  * queued; else it is refused and gone. */
 bool admit_in_backoff (Sched *sched, Job *job, int64_t opens_at, int64_t now);
@@ -294,35 +294,37 @@
 
 /* ---- Rate limits of servers (pace.c) ---- */
 
-bool pace_is_due (const Sched *sched, const Server *server, int64_t now);
+bool pace_bucket_has_token (const Sched *sched, const Server *server, int64_t now);
 static inline bool
 pace_has_token (const Sched *sched, const Server *server, int64_t now)
 {
-  return server->pace.rate <= 0 || pace_is_due (sched, server, now);
+  return server->pace.rate <= 0 || pace_bucket_has_token (sched, server, now);
 }
 /* A request is placed on the server. */
 void pace_take (const Sched *sched, Server *server, int64_t now);
 /* How many of its places the rate keeps busy. */
 double pace_places (const Sched *sched, const Server *server, double places);
 /* The answer to the job, NULL: it is no longer known, names the rate; 0: none. */
-void pace_named (const Sched *sched, Server *server, const Job *job, double rate, int64_t now);
+void pace_apply_notice (const Sched *sched, Server *server, const Job *job, double rate,
+                        int64_t now);
 /* An instance heard of the rate age ago, when it asked another scheduler. */
-void pace_named_before (const Sched *sched, Server *server, double rate, int64_t age, int64_t now);
+void pace_apply_older_notice (const Sched *sched, Server *server, double rate, int64_t age,
+                              int64_t now);
 
 /* ---- Backoffs (backoff.c) ---- */
 
 /* The server asked the owner to back off for so long from now on. */
 void boff_note (Server *server, uint64_t owner, int64_t us, int64_t now);
 /* May the server get a request of the owner's? */
-bool boff_is_over (const Server *server, uint64_t owner, int64_t now);
+bool boff_has_ended (const Server *server, uint64_t owner, int64_t now);
 static inline bool
-boff_may (const Server *server, uint64_t owner, int64_t now)
+boff_permits (const Server *server, uint64_t owner, int64_t now)
 {
-  return server->backoffs == NULL || boff_is_over (server, owner, now);
+  return server->backoffs == NULL || boff_has_ended (server, owner, now);
 }
-void boff_forget (Sched *sched, uint64_t owner);
+void boff_drop_owner (Sched *sched, uint64_t owner);
 /* When the first server accepts the owner's requests again; now: one does. */
-int64_t boff_opens_at (const Service *service, uint64_t owner, int64_t now);
+int64_t boff_earliest_end (const Service *service, uint64_t owner, int64_t now);
 /* Is a place free that the job's owner may have? */
 bool boff_any_place (const Sched *sched, const Job *job, int64_t now);
 
@@ -333,7 +335,7 @@
 /* The list or what is known of the versions has changed: which servers get requests? */
 void ver_assign (Service *service);
 /* A request was asked for; marks it if it is due to the version that is tried. */
-void ver_note_ask (Job *job);
+void ver_mark_request (Job *job);
 /* A server of that version for a marked job; NULL: none has a place. */
 Server *ver_choose (const Sched *sched, const Job *job, int64_t now);
 /* The job is placed on the server, and not counted there yet. */
@@ -341,14 +343,14 @@
 /* The first of its answer came; its answer ended; time passes. */
 void ver_note_first (const Sched *sched, Job *job, int64_t after_us);
 void ver_note_end (const Sched *sched, Job *job, const SchedResult *result, int64_t now);
-void ver_note_time (const Sched *sched, Service *service, int64_t now);
+void ver_check_overdue (const Sched *sched, Service *service, int64_t now);
 
 /* ---- What is believed of servers (health.c) ---- */
 
 /* Learns from the end of a request on the server. */
-void health_judge (Sched *sched, Server *server, const SchedResult *result, int64_t granted_at,
-                   int64_t now);
+void health_update (Sched *sched, Server *server, const SchedResult *result, int64_t granted_at,
+                    int64_t now);
 /* A request that was granted at granted_at has no answer for longer than it should take. */
-void health_silent (Sched *sched, Server *server, int64_t granted_at, int64_t now);
+void health_note_silence (Sched *sched, Server *server, int64_t granted_at, int64_t now);
 
 #endif
--- a/src/scheduler.c
+++ b/src/scheduler.c
@@ -16,11 +16,11 @@
 #include <string.h>
 
 /* Tuning; each row with its reason. */
-#define SCAN_MOST 48 /* waiting requests of a queue looked at in one decision */
-#define PASSED_MOST                                                                                \
+#define SCAN_MAX 48 /* waiting requests of a queue looked at in one decision */
+#define OVERTAKEN_MAX                                                                              \
   8 /* connected requests that may go before one that is due earlier: a few ms at the load that    \
        makes requests wait */
-#define TEACHES_LEAST 500 /* tokens: shorter prompts are lost in the noise of sending */
+#define LEARN_TOKENS_MIN 500 /* tokens: shorter prompts are lost in the noise of sending */
 /* ---- Records ---- */
 
 static guint
@@ -126,7 +126,7 @@
 }
 
 void
-sched_service (Sched *sched, const char *name, const SchedServiceConf *conf)
+sched_set_service (Sched *sched, const char *name, const SchedServiceConf *conf)
 {
   Service *service = service_of (sched, name);
 
@@ -145,7 +145,7 @@
 }
 
 void
-sched_versions (Sched *sched, const char *name, const SchedVersions *from)
+sched_set_versions (Sched *sched, const char *name, const SchedVersions *from)
 {
   Service *service = service_of (sched, name);
   Versions *versions = &service->versions;
@@ -168,29 +168,29 @@
 }
 
 void
-sched_share (Sched *sched, double share, uint64_t salt)
+sched_set_share (Sched *sched, double share, uint64_t salt)
 {
   sched->share = share;
   sched->salt = salt;
 }
 
 void
-sched_returns (Sched *sched, double part)
+sched_set_return_share (Sched *sched, double part)
 {
   if (sched->returns == NULL && part > 0)
-    sched->returns = ret_new (sched->clock, RET_MOST / 2);
+    sched->returns = ret_new (sched->clock, RET_MAX_RESERVATIONS / 2);
   if (sched->returns)
-    ret_part (sched->returns, part);
+    ret_set_share (sched->returns, part);
 }
 
 RetCounts
-sched_returned (const Sched *sched)
+sched_return_counts (const Sched *sched)
 {
   return sched->returns ? *ret_counts (sched->returns) : (RetCounts){ 0 };
 }
 
 void
-sched_fair (Sched *sched, bool on)
+sched_set_fair (Sched *sched, bool on)
 {
   GHashTableIter iter;
   gpointer value;
@@ -201,26 +201,26 @@
   sched->fair = on;
   g_hash_table_iter_init (&iter, sched->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    wait_fair (value, on ? sched->weights : NULL, now);
+    wait_set_fair (value, on ? sched->weights : NULL, now);
 }
 
 void
-sched_weight (Sched *sched, const char *org, double rate)
+sched_set_weight (Sched *sched, const char *org, double rate)
 {
   shr_weights_set (sched->weights, org, rate);
 }
 
 void
-sched_no_weights (Sched *sched)
+sched_clear_weights (Sched *sched)
 {
   shr_weights_clear (sched->weights);
 }
 
 void
-sched_grant_part (Sched *sched, double part, bool guessed)
+sched_set_grant_share (Sched *sched, double part, bool guessed)
 {
   sched->grant_part = part;
-  sched->part_guessed = guessed;
+  sched->others_unknown = guessed;
 }
 
 /* ---- Moves of a job ---- */
@@ -273,7 +273,7 @@
 }
 
 void
-sched_forget (Sched *sched, Job *job, int64_t now)
+sched_remove_job (Sched *sched, Job *job, int64_t now)
 {
   if (job->server)
     leave_server (job, now);
@@ -298,7 +298,7 @@
   if (!est_has_place (sched, server, now) && job->service->open > 0)
     job->service->open--;
   sched->ops->grant (sched->host, job->key.owner, job->key.request, job->org, server->id,
-                     est_rest_most (server, now));
+                     est_max_idle_us (server, now));
 }
 
 static bool
@@ -352,8 +352,8 @@
 /* Failure: places are short, and each that becomes free goes to whoever is due first, hardly ever
  * to one whose owner is connected there. Symptom: most requests wait for a new connection, which
  * holds the place meanwhile. Among those that wait one that is connected goes first; nobody is
- * passed by more than PASSED_MOST of them, and on the whole nobody waits longer, since the place is
- * taken. */
+ * passed by more than OVERTAKEN_MAX of them, and on the whole nobody waits longer, since the place
+ * is taken. */
 static void
 dispatch_connected (Sched *sched, Service *service, struct cds_list_head *queue, int64_t now)
 {
@@ -364,9 +364,9 @@
     return;
   cds_list_for_each_entry_safe (job, next, queue, link)
   {
-    if (scanned++ >= SCAN_MOST || service->open == 0 || job->passed >= PASSED_MOST)
+    if (scanned++ >= SCAN_MAX || service->open == 0 || job->passed >= OVERTAKEN_MAX)
       return;
-    if (!est_kept_place (sched, job, now))
+    if (!est_connected_place (sched, job, now))
       continue;
     Server *server = est_choose (sched, job, now);
     if (server == NULL || server->kept_by != sched->choices)
@@ -385,7 +385,7 @@
   dispatch_connected (sched, service, queue, now);
   cds_list_for_each_entry_safe (job, next, queue, link)
   {
-    if (scanned++ >= SCAN_MOST || service->open == 0)
+    if (scanned++ >= SCAN_MAX || service->open == 0)
       break;
     place (sched, job, now);
   }
@@ -395,7 +395,7 @@
 static void
 dispatch_tier (Sched *sched, Service *service, Tier *tier, int64_t now)
 {
-  wait_sort_out (sched, service, tier, now);
+  wait_move_late (sched, service, tier, now);
   dispatch_queue (sched, service, &tier->promised, now);
   dispatch_queue (sched, service, &tier->timely, now);
   dispatch_queue (sched, service, &tier->late, now);
@@ -443,7 +443,7 @@
   job->ask = *ask;
   job->ask.service = job->ask.org = job->ask.avoid = NULL;
   job->ask.kept = NULL;
-  job->ask.kept_count = MIN (ask->kept_count, SCHED_KEPT_MOST);
+  job->ask.kept_count = MIN (ask->kept_count, SCHED_CONNECTED_MAX);
   job->kept = g_memdup2 (ask->kept, job->ask.kept_count * sizeof *ask->kept);
   job->org = g_strdup (ask->org ? ask->org : "");
   job->avoid = ask->avoid && *ask->avoid ? g_strdup (ask->avoid) : NULL;
@@ -459,8 +459,8 @@
 
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    if (server->listed && !server->leaving && server->use == USE_YES
-        && now + OUT_MOST > server->out_until && (avoid == NULL || strcmp (avoid, server->id) != 0))
+    if (server->listed && !server->leaving && server->use == USE_ALL
+        && now + OUT_MAX > server->out_until && (avoid == NULL || strcmp (avoid, server->id) != 0))
       return true;
   }
   return false;
@@ -476,7 +476,7 @@
     return true;
   Job *job = job_new (sched, ask);
   Service *service = job->service;
-  Ahead ahead = wait_ahead (sched, job, now);
+  WaitAhead ahead = wait_ahead (sched, job, now);
   wait_note_arrival (job, now);
   admit_note_return (sched, job);
   wait_add (job, now);
@@ -485,12 +485,12 @@
       admit_refuse (sched, job, FT_REASON_TOO_LARGE, INFINITY, now);
       return false;
     }
-  ver_note_ask (job);
+  ver_mark_request (job);
   if (!place_tried (sched, job, now))
     dispatch (sched, service, now);
   if (job->server)
     {
-      wait_note_verdict (job, true);
+      wait_note_timely (job, true);
       return false;
     }
   if (job->avoid && !any_usable (service, now, job->avoid))
@@ -504,7 +504,7 @@
    * they are refused for want of a server a moment before the servers are known. */
   if (!sched->listed)
     return true;
-  int64_t opens_at = boff_opens_at (service, job->key.owner, now);
+  int64_t opens_at = boff_earliest_end (service, job->key.owner, now);
   if (opens_at > now)
     return admit_in_backoff (sched, job, opens_at, now);
   if (!any_usable (service, now, NULL))
@@ -537,7 +537,7 @@
 /* ---- What came of it ---- */
 
 void
-sched_first (Sched *sched, uint64_t owner, uint64_t request, int64_t after_us)
+sched_first_event (Sched *sched, uint64_t owner, uint64_t request, int64_t after_us)
 {
   Key key = { owner, request };
   int64_t now = ft_clock_now (sched->clock);
@@ -549,10 +549,10 @@
   server->answered_at = now;
   ver_note_first (sched, job, after_us);
   first_seen (job, now);
-  if (!job->service->conf.engine || !job->alone || job->ask.prompt_tokens < TEACHES_LEAST)
+  if (!job->service->conf.engine || !job->alone || job->ask.prompt_tokens < LEARN_TOKENS_MIN)
     return;
   double token = est_token_us (server);
-  double own = MAX ((double) after_us - HOP_US - token, 0.2 * (double) after_us);
+  double own = MAX ((double) after_us - NETWORK_US - token, 0.2 * (double) after_us);
   curve_learn (&job->service->curve, &server->prompt_unit, job->ask.prompt_tokens, token, own);
 }
 
@@ -579,12 +579,11 @@
   if (server == NULL)
     return;
   take_notice (sched, owner, server, notice, now);
-  pace_named (sched, server, job, notice->rate, now);
+  pace_apply_notice (sched, server, job, notice->rate, now);
 }
 
 void
-sched_notice_before (Sched *sched, uint64_t owner, const char *id, const Notice *notice,
-                     int64_t age)
+sched_older_notice (Sched *sched, uint64_t owner, const char *id, const Notice *notice, int64_t age)
 {
   int64_t now = ft_clock_now (sched->clock);
   Server *server = g_hash_table_lookup (sched->servers, id);
@@ -592,7 +591,7 @@
   if (server == NULL)
     return;
   take_notice (sched, owner, server, notice, now);
-  pace_named_before (sched, server, notice->rate, age, now);
+  pace_apply_older_notice (sched, server, notice->rate, age, now);
 }
 
 void
@@ -602,7 +601,7 @@
   Job *job = g_hash_table_lookup (sched->jobs, &key);
 
   if (job && job->server)
-    health_silent (sched, job->server, job->granted_at, ft_clock_now (sched->clock));
+    health_note_silence (sched, job->server, job->granted_at, ft_clock_now (sched->clock));
 }
 
 void
@@ -619,11 +618,11 @@
   int64_t granted_at = job->granted_at;
   if (server)
     ver_note_end (sched, job, result, now);
-  sched_forget (sched, job, now);
+  sched_remove_job (sched, job, now);
   if (server && result->broke)
-    est_broke (server, result->rested_us > 0, now);
+    est_note_broken (server, result->conn_idle_us > 0, now);
   if (server)
-    health_judge (sched, server, result, granted_at, now);
+    health_update (sched, server, result, granted_at, now);
   dispatch (sched, service, now);
 }
 
@@ -640,9 +639,9 @@
     if (((Job *) value)->key.owner == owner)
       g_ptr_array_add (gone, value);
   for (unsigned i = 0; i < gone->len; i++)
-    sched_forget (sched, gone->pdata[i], now);
+    sched_remove_job (sched, gone->pdata[i], now);
   g_ptr_array_unref (gone);
-  boff_forget (sched, owner);
+  boff_drop_owner (sched, owner);
 }
 
 /* ---- The list of servers ---- */
@@ -697,7 +696,7 @@
 }
 
 void
-sched_list (Sched *sched, const SchedServer *servers, unsigned count)
+sched_set_servers (Sched *sched, const SchedServer *servers, unsigned count)
 {
   GHashTableIter iter;
   gpointer value;
@@ -738,7 +737,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       Service *service = value;
-      ver_note_time (sched, service, now);
+      ver_check_overdue (sched, service, now);
       if (count_waiting (service) == 0) /* else each tick looks at all servers */
         continue;
       dispatch (sched, service, now);
@@ -746,5 +745,5 @@
       admit_review (sched, service, now);
     }
   if (sched->returns)
-    ret_tick (sched->returns);
+    ret_expire (sched->returns);
 }
--- a/src/scheduler.h
+++ b/src/scheduler.h
@@ -14,7 +14,7 @@
 
 typedef struct Sched Sched;
 
-#define SCHED_KEPT_MOST 32 /* servers that an ask names as connected */
+#define SCHED_CONNECTED_MAX 32 /* servers that an ask names as connected */
 
 typedef enum
 {
@@ -64,22 +64,22 @@
   unsigned route;
   bool ordered; /* its server has the version that was ordered */
   bool bad;     /* a failure, or several times slower than the version before would have been */
-} SchedJudged;
+} SchedVerdict;
 
 /* Decisions, called from within the functions below; must not call back. */
 typedef struct
 {
-  /* rest_most: how long a connection to the server may have rested to be used for a request that
+  /* max_idle_us: how long a connection to the server may have rested to be used for a request that
    * may run once only, microseconds. */
   void (*grant) (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
-                 int64_t rest_most);
+                 int64_t max_idle_us);
   void (*refuse) (void *host, uint64_t owner, uint64_t request, const SchedRefusal *refusal);
   /* A request that waited here never ran by this scheduler's grant; cost is its ask's. */
   void (*unused) (void *host, const char *org, double cost);
   /* What is believed of a server has changed: out is true while it gets no work. */
   void (*believes) (void *host, const char *server, bool out, const char *why, int64_t for_us);
   /* Once for each answer of a service whose versions are watched; may be NULL. */
-  void (*judged) (void *host, const SchedJudged *judged);
+  void (*judged) (void *host, const SchedVerdict *judged);
   /* The rate that the server takes has changed; 0: any. May be NULL. */
   void (*paced) (void *host, const char *server, double before, double rate);
 } SchedOps;
@@ -94,24 +94,24 @@
 Sched *sched_new (FtClock *clock, const SchedOps *ops, void *host);
 void sched_free (Sched *sched);
 /* Makes the service known or changes what is known of it. */
-void sched_service (Sched *sched, const char *service, const SchedServiceConf *conf);
+void sched_set_service (Sched *sched, const char *service, const SchedServiceConf *conf);
 /* The part of each server's places that may be used, and a number that spreads the remainder
  * differently over the schedulers that share them. 1 and 0 at first. */
-void sched_share (Sched *sched, double share, uint64_t salt);
+void sched_set_share (Sched *sched, double share, uint64_t salt);
 #define SCHED_UNBOUNDED 2.0
 
 /* The part of each service's places and of each server's that may be taken for now, beside that.
- * Unlike sched_share it is no measure of how long a queue lasts. With 1 a server that runs too much
- * keeps as many places of others free. SCHED_UNBOUNDED, as at first: no such bound. guessed: the
- * rest is taken by requests that are not known one by one, so chance is allowed for. */
-void sched_grant_part (Sched *sched, double part, bool guessed);
+ * Unlike sched_set_share it is no measure of how long a queue lasts. With 1 a server that runs too
+ * much keeps as many places of others free. SCHED_UNBOUNDED, as at first: no such bound. guessed:
+ * the rest is taken by requests that are not known one by one, so chance is allowed for. */
+void sched_set_grant_share (Sched *sched, double part, bool guessed);
 
 /* Requests that can be on time wait in fair order by organisation. Off at first. */
-void sched_fair (Sched *sched, bool on);
+void sched_set_fair (Sched *sched, bool on);
 /* An organisation's limit per second, 0: none. Its share is in proportion. */
-void sched_weight (Sched *sched, const char *org, double rate);
+void sched_set_weight (Sched *sched, const char *org, double rate);
 /* Forgets all of these, before those of another catalogue. */
-void sched_no_weights (Sched *sched);
+void sched_clear_weights (Sched *sched);
 
 /* Requests so far that found no place, and of which order by due time would have decided otherwise.
  */
@@ -124,13 +124,13 @@
 void sched_fair_counts (const Sched *sched, SchedFair *counts);
 
 /* The part of the rates that servers name which this scheduler may give away. 1 at first. */
-void sched_rate_part (Sched *sched, double part);
+void sched_set_rate_share (Sched *sched, double part);
 
 /* The part of the places that may be promised to callers that were refused; 0, as at first: none.
  */
-void sched_returns (Sched *sched, double part);
+void sched_set_return_share (Sched *sched, double part);
 /* What came of promises so far. */
-RetCounts sched_returned (const Sched *sched);
+RetCounts sched_return_counts (const Sched *sched);
 
 typedef struct
 {
@@ -145,7 +145,7 @@
 uint32_t sched_server_digest (const char *id);
 
 /* The whole list of servers: those that it lacks are gone. */
-void sched_list (Sched *sched, const SchedServer *servers, unsigned count);
+void sched_set_servers (Sched *sched, const SchedServer *servers, unsigned count);
 
 /* Which versions of a service's servers get requests. Without it one version is in use, and others
  * that the list shows get nothing, as long as servers of that one are listed. */
@@ -160,7 +160,7 @@
   bool watched;        /* answers are judged; see SchedOps */
 } SchedVersions;
 
-void sched_versions (Sched *sched, const char *service, const SchedVersions *versions);
+void sched_set_versions (Sched *sched, const char *service, const SchedVersions *versions);
 
 typedef struct
 {
@@ -185,7 +185,7 @@
 /* The request runs on server by another scheduler's grant. */
 void sched_adopt (Sched *sched, const SchedAsk *ask, const char *server);
 /* The first of the answer came, after_us after the request was sent. */
-void sched_first (Sched *sched, uint64_t owner, uint64_t request, int64_t after_us);
+void sched_first_event (Sched *sched, uint64_t owner, uint64_t request, int64_t after_us);
 
 /* Nothing of the answer has come for longer than it should take: the server gets nothing new until
  * it answers something. */
@@ -196,16 +196,16 @@
                    const Notice *notice);
 /* The owner was told this by the server age ago, by an answer to a request of another scheduler's.
  */
-void sched_notice_before (Sched *sched, uint64_t owner, const char *server, const Notice *notice,
-                          int64_t age);
+void sched_older_notice (Sched *sched, uint64_t owner, const char *server, const Notice *notice,
+                         int64_t age);
 
 typedef struct
 {
   SchedOutcome outcome;
-  int64_t event_us;  /* mean time between events; 0: unknown */
-  int64_t answer_us; /* from sending to the end; 0: unknown */
-  bool broke;        /* its connection broke as the request was sent ... */
-  int64_t rested_us; /* ... after it had rested for so long; 0: it was a new one */
+  int64_t event_us;     /* mean time between events; 0: unknown */
+  int64_t answer_us;    /* from sending to the end; 0: unknown */
+  bool broke;           /* its connection broke as the request was sent ... */
+  int64_t conn_idle_us; /* ... after it had rested for so long; 0: it was a new one */
 } SchedResult;
 
 /* The request has ended on its server, or is given up while it waits. */
--- a/src/schedview.c
+++ b/src/schedview.c
@@ -44,10 +44,10 @@
   for (unsigned i = 0; i < service->tiers->len; i++)
     {
       const Tier *tier = service->tiers->pdata[i];
-      if (tier->shares == NULL || shr_waiting (tier->shares) == 0)
+      if (tier->shares == NULL || shr_waiting_orgs (tier->shares) == 0)
         continue;
       g_string_append_printf (out, "# shares service=%s tier=%u organisations=%u", service->name,
-                              tier->tier, shr_waiting (tier->shares));
+                              tier->tier, shr_waiting_orgs (tier->shares));
       shr_describe (tier->shares, out, now);
       g_string_append_c (out, '\n');
     }
--- a/src/shares.c
+++ b/src/shares.c
@@ -3,7 +3,7 @@
  * The queue is always sorted by the tags that its requests have. An organisation's requests have
  * tags one after the other, from its start on: each the one before plus that one's slot time /
  * weight. A request that leaves out of turn makes the tags of its organisation stale, so they are
- * computed anew, in shr_settle and not at once: whoever walks the queue removes requests from it.
+ * computed anew, in shr_reorder and not at once: whoever walks the queue removes requests from it.
  *
  * An organisation that comes back starts at the queue's virtual time, so it has saved nothing up.
  * One that was not served for FORGET_AFTER is forgotten: its debt is one request at most.
@@ -152,7 +152,7 @@
   for (unsigned i = 0; i < SWEEP_MOST && !cds_list_empty (&shares->orgs); i++)
     {
       ShrOrg *org = cds_list_first_entry (&shares->orgs, ShrOrg, link);
-      if (now - org->used_at < FORGET_AFTER && shr_known (shares) <= KNOWN_MOST)
+      if (now - org->used_at < FORGET_AFTER && shr_known_orgs (shares) <= KNOWN_MOST)
         return;
       if (org->count == 0)
         {
@@ -348,7 +348,7 @@
 }
 
 void
-shr_settle (Shares *shares)
+shr_reorder (Shares *shares)
 {
   ShrOrg *org, *next;
 
@@ -383,17 +383,17 @@
 /* Of another organisation that may have room_us of slot time before it: what goes behind, and what
  * goes before if the newcomer waits for wait_us. Returns by how much the latter grows with it. */
 static double
-turn_of (ShrOrg *org, double room_us, double wait_us, int64_t now, ShrTurn *turn)
+turn_of (ShrOrg *org, double room_us, double wait_us, int64_t now, ShrOvertaking *turn)
 {
   double inflow = fresh_inflow (org, now);
   double more = MAX (0, room_us) - org->queued_us;
 
   if (more <= 0)
-    turn->behind_us -= more;
+    turn->overtakes_us -= more;
   else if (inflow * wait_us < more)
     return inflow;
   else
-    turn->before_us += more;
+    turn->overtaken_by_us += more;
   return 0;
 }
 
@@ -403,8 +403,8 @@
  * goes before it: a line against a concave sum of lines with a bound each. Newton's steps from
  * above do not pass it, and each but the last takes one organisation at least off its bound. */
 void
-shr_turn (Shares *shares, const char *name, double work_us, double ahead_us, double places,
-          int64_t now, ShrTurn *turn)
+shr_overtaking (Shares *shares, const char *name, double work_us, double ahead_us, double places,
+                int64_t now, ShrOvertaking *turn)
 {
   const ShrOrg unknown = { 0 }, *known = g_hash_table_lookup (shares->by_name, name);
   const ShrOrg *own = known ? known : &unknown;
@@ -416,7 +416,7 @@
   for (unsigned i = 0; i < TURN_PASSES; i++)
     {
       double before = wait;
-      *turn = (ShrTurn){ 0 };
+      *turn = (ShrOvertaking){ 0 };
       growth = 0;
       cds_list_for_each_entry (org, &shares->orgs, link)
       {
@@ -424,23 +424,23 @@
           growth += turn_of (org, (until - start_of (shares, org)) * org->weight, wait, now, turn);
       }
       double left = MAX (places - growth, places * LEFT_LEAST);
-      wait = left > 0 ? MAX (0, ahead_us - turn->behind_us + turn->before_us) / left : 0;
+      wait = left > 0 ? MAX (0, ahead_us - turn->overtakes_us + turn->overtaken_by_us) / left : 0;
       if (wait >= before * (1 - 1e-9))
         break;
     }
-  turn->before_us += growth * wait;
+  turn->overtaken_by_us += growth * wait;
 }
 
 /* ---- What operators see ---- */
 
 unsigned
-shr_waiting (const Shares *shares)
+shr_waiting_orgs (const Shares *shares)
 {
   return shares->waiting;
 }
 
 unsigned
-shr_known (const Shares *shares)
+shr_known_orgs (const Shares *shares)
 {
   return g_hash_table_size (shares->by_name);
 }
--- a/src/shares.h
+++ b/src/shares.h
@@ -49,29 +49,29 @@
 void shr_add (Shares *shares, ShrItem *item, const char *org, double work_us, int64_t due_at,
               int64_t now);
 /* It leaves the queue unserved, and its organisation is charged nothing. What waits keeps its place
- * until shr_settle. */
+ * until shr_reorder. */
 void shr_remove (Shares *shares, ShrItem *item);
 /* A request of the organisation is served, in whichever order; item: it leaves the queue; NULL: it
- * was not in it. What waits keeps its place until shr_settle. */
+ * was not in it. What waits keeps its place until shr_reorder. */
 void shr_serve (Shares *shares, ShrItem *item, const char *org, double work_us, int64_t now);
 /* Puts what waits into the order that follows from what was removed and served. */
-void shr_settle (Shares *shares);
+void shr_reorder (Shares *shares);
 
 /* How the order of a newcomer differs from the end of the queue, in slot time. */
 typedef struct
 {
-  double behind_us; /* waits, and goes behind it */
-  double before_us; /* comes until it starts, and goes before it */
-} ShrTurn;
+  double overtakes_us;    /* waits, and goes behind it */
+  double overtaken_by_us; /* comes until it starts, and goes before it */
+} ShrOvertaking;
 
 /* The turn of a newcomer with work_us of slot time, in a queue that places serve after ahead_us of
  * slot time, all that waits here included. */
-void shr_turn (Shares *shares, const char *org, double work_us, double ahead_us, double places,
-               int64_t now, ShrTurn *turn);
+void shr_overtaking (Shares *shares, const char *org, double work_us, double ahead_us,
+                     double places, int64_t now, ShrOvertaking *turn);
 
 /* Organisations with requests in the queue, and those with state. */
-unsigned shr_waiting (const Shares *shares);
-unsigned shr_known (const Shares *shares);
+unsigned shr_waiting_orgs (const Shares *shares);
+unsigned shr_known_orgs (const Shares *shares);
 /* Appends the organisations with most requests in the queue, at most a few, each as
  * " name=WAITING/PART", PART of the slot time served lately. */
 void shr_describe (const Shares *shares, GString *out, int64_t now);
--- a/src/srv.c
+++ b/src/srv.c
@@ -50,9 +50,9 @@
   set->room.root = NULL;
   set->prefix = conf->service ? NULL : ft_prefix_new (SERVERS_MOST, PREFIX_BLOCKS);
   set->slots = set->mean_gap = set->mean_rate = 0;
-  set->usable = set->roomy = 0;
+  set->usable = set->available_count = 0;
   set->target_ms = conf->inter_token_ms;
-  set->window_most = conf->window;
+  set->window_max = conf->window;
   set->service = conf->service;
 }
 
@@ -77,7 +77,7 @@
 }
 
 bool
-srv_usable (const Srv *srv)
+srv_is_usable (const Srv *srv)
 {
   return srv->state == FT_SERVER_LIVE && !srv->suspect;
 }
@@ -91,7 +91,7 @@
 static bool
 has_room (const SrvSet *set, const Srv *srv)
 {
-  if (!srv_usable (srv) || srv->running + 1 > srv->window + 1e-9)
+  if (!srv_is_usable (srv) || srv->running + 1 > srv->window + 1e-9)
     return false;
   return set->service || srv->running == 0 || backlog_ms (srv) <= BACKLOG_MS;
 }
@@ -123,7 +123,7 @@
   for (unsigned i = 0; i < set->all->len; i++)
     {
       const Srv *srv = set->all->pdata[i];
-      if (!srv_usable (srv))
+      if (!srv_is_usable (srv))
         continue;
       rates += srv->prefill_rate;
       if (srv->gap_ms <= 0)
@@ -143,7 +143,7 @@
   for (unsigned i = 0; i < set->all->len; i++)
     {
       const Srv *srv = set->all->pdata[i];
-      if (!srv_usable (srv))
+      if (!srv_is_usable (srv))
         continue;
       set->usable++;
       set->slots += floor (srv->window + 1e-9);
@@ -152,19 +152,19 @@
 }
 
 void
-srv_touch (SrvSet *set, Srv *srv)
+srv_refresh (SrvSet *set, Srv *srv)
 {
   if (srv->in_heap)
     {
       ft_heap_remove (&set->room, &srv->heap);
-      set->roomy--;
+      set->available_count--;
     }
   srv->in_heap = has_room (set, srv);
   if (srv->in_heap)
     {
       ft_heap_push (&set->room, &srv->heap,
                     srv_cost_ms (set, srv, REFERENCE_PROMPT, REFERENCE_OUT));
-      set->roomy++;
+      set->available_count++;
     }
 }
 
@@ -173,8 +173,8 @@
 {
   double before = floor (srv->window + 1e-9);
 
-  srv->window = CLAMP (window, WINDOW_LEAST, (double) set->window_most);
-  if (srv_usable (srv))
+  srv->window = CLAMP (window, WINDOW_LEAST, (double) set->window_max);
+  if (srv_is_usable (srv))
     set->slots += floor (srv->window + 1e-9) - before;
 }
 
@@ -182,7 +182,7 @@
 forget_speed (SrvSet *set, Srv *srv)
 {
   srv->window
-      = set->service ? (double) set->window_most : MIN (WINDOW_START, (double) set->window_most);
+      = set->service ? (double) set->window_max : MIN (WINDOW_START, (double) set->window_max);
   srv->gap_ms = 0;
   srv->prefill_rate = RATE_START;
   srv->suspect = false;
@@ -193,7 +193,7 @@
 }
 
 Srv *
-srv_put (SrvSet *set, const char *name, uint64_t incarnation, FtServerState state, int64_t now)
+srv_update (SrvSet *set, const char *name, uint64_t incarnation, FtServerState state, int64_t now)
 {
   Srv *srv = srv_find (set, name);
 
@@ -218,13 +218,13 @@
     }
   srv->state = state;
   recount (set);
-  srv_touch (set, srv);
+  srv_refresh (set, srv);
   return srv;
 }
 
 Srv *
-srv_route (SrvSet *set, unsigned prompt, double out, const uint64_t *blocks, unsigned count,
-           double *cached)
+srv_choose (SrvSet *set, unsigned prompt, double out, const uint64_t *blocks, unsigned count,
+            double *cached)
 {
   Srv *best = (Srv *) (void *) ft_heap_top (&set->room);
   unsigned holders[CANDIDATES];
@@ -252,7 +252,7 @@
 }
 
 Srv *
-srv_any_place (const SrvSet *set, unsigned prompt, double out)
+srv_choose_urgent (const SrvSet *set, unsigned prompt, double out)
 {
   Srv *best = NULL;
   double best_cost = 0;
@@ -261,8 +261,8 @@
     {
       Srv *srv = set->all->pdata[i];
       double cost = srv_cost_ms (set, srv, prompt, out);
-      if (!srv_usable (srv) || srv->running + 1 > srv->window + 1e-9 || (best && cost >= best_cost)
-          || (!set->service && backlog_ms (srv) > URGENT_MS))
+      if (!srv_is_usable (srv) || srv->running + 1 > srv->window + 1e-9
+          || (best && cost >= best_cost) || (!set->service && backlog_ms (srv) > URGENT_MS))
         continue;
       best = srv;
       best_cost = cost;
@@ -271,20 +271,20 @@
 }
 
 void
-srv_start (SrvSet *set, Srv *srv, double prefill, int64_t now)
+srv_stream_started (SrvSet *set, Srv *srv, double prefill, int64_t now)
 {
   if (srv->running++ == 0)
     srv->last_progress = now;
   srv->backlog += prefill;
-  srv_touch (set, srv);
+  srv_refresh (set, srv);
 }
 
 void
-srv_stop (SrvSet *set, Srv *srv, double prefill_left)
+srv_stream_ended (SrvSet *set, Srv *srv, double prefill_left)
 {
   srv->running--;
   srv->backlog = srv->running ? MAX (0, srv->backlog - prefill_left) : 0;
-  srv_touch (set, srv);
+  srv_refresh (set, srv);
 }
 
 static void
@@ -306,7 +306,7 @@
   srv->backlog = MAX (0, srv->backlog - prefill);
   if (!set->service && work > FT_BLOCK_TOKENS && ms > 1)
     srv->prefill_rate += (CLAMP (work / ms, 0.05, 100.0) - srv->prefill_rate) * RATE_WEIGHT;
-  srv_touch (set, srv);
+  srv_refresh (set, srv);
 }
 
 void
@@ -318,21 +318,21 @@
   if (set->service)
     return;
   srv->gap_ms = srv->gap_ms > 0 ? srv->gap_ms + (gap - srv->gap_ms) * GAP_WEIGHT : gap;
-  srv->since_full++;
+  srv->samples_since_change++;
   if (srv->gap_ms > target && now - srv->last_decrease >= DECREASE_EVERY)
     {
       double used = MIN (srv->window, srv->running + 1.0);
       set_window (set, srv, used * MAX (DECREASE_MOST, target * GROW_BELOW / srv->gap_ms));
       srv->last_decrease = now;
-      srv->since_full = 0;
+      srv->samples_since_change = 0;
     }
   else if (srv->gap_ms < target * GROW_BELOW && srv->running + 1 >= srv->window
-           && srv->since_full >= GROW_AFTER)
+           && srv->samples_since_change >= GROW_AFTER)
     {
       set_window (set, srv, srv->window + 1);
-      srv->since_full = 0;
+      srv->samples_since_change = 0;
     }
-  srv_touch (set, srv);
+  srv_refresh (set, srv);
 }
 
 void
@@ -352,7 +352,7 @@
           srv->suspect = true;
           srv->probe_at = now + srv->probe_wait;
           recount (set);
-          srv_touch (set, srv);
+          srv_refresh (set, srv);
         }
       else if (srv->suspect && srv->running == 0 && now >= srv->probe_at)
         {
@@ -360,7 +360,7 @@
           srv->probe_wait = MIN (srv->probe_wait * 2, PROBE_MOST);
           srv->window = WINDOW_LEAST;
           recount (set);
-          srv_touch (set, srv);
+          srv_refresh (set, srv);
         }
     }
 }
--- a/src/state.c
+++ b/src/state.c
@@ -11,7 +11,7 @@
  * operations, so that all voters drop the same claims.
  *
  * Contents that ran on servers that ended, and ordered versions of servers, have their own modules
- * (blame.c, rollout.c).
+ * (crashes.c, rollout.c).
  */
 #include "state.h"
 
@@ -39,8 +39,8 @@
   GHashTable *refusals_by_id;      /* refusal id -> MsgRefusalRecord * */
   MsgVoters voters;
   MsgDocument document;
-  Blame *blame;
-  RollAccount *rollouts;
+  CrashTable *blame;
+  RolloutTable *rollouts;
 };
 
 #define FREE_FUNC(type, name)                                                                      \
@@ -71,7 +71,7 @@
   memset (&state->voters, 0, sizeof state->voters);
   codec_clear (CODEC (MsgDocument), &state->document);
   memset (&state->document, 0, sizeof state->document);
-  blame_restore (state->blame, &(MsgCrashTable){ 0 });
+  crashes_restore (state->blame, &(MsgCrashTable){ 0 });
   roll_restore (state->rollouts, &(MsgRollouts){ 0 });
 }
 
@@ -87,7 +87,7 @@
   state->refusals_by_id = g_hash_table_new (g_str_hash, g_str_equal);
   g_queue_init (&state->ended_claims);
   g_queue_init (&state->refusals);
-  state->blame = blame_new ();
+  state->blame = crashes_new ();
   state->rollouts = roll_new ();
   return state;
 }
@@ -103,7 +103,7 @@
   g_hash_table_unref (state->leases);
   g_hash_table_unref (state->claims);
   g_hash_table_unref (state->refusals_by_id);
-  blame_free (state->blame);
+  crashes_free (state->blame);
   roll_free (state->rollouts);
   g_free (state);
 }
@@ -278,8 +278,8 @@
     set_result (result, same_owner (&known->claim, claim) ? FT_OK : FT_CONFLICT, state->revision,
                 "%s", known->claim.request_id);
   else
-    set_result (result, known->end == MSG_CLAIM_ANSWERED ? FT_REPEAT : FT_STALE, state->revision,
-                "%s", known->claim.request_id);
+    set_result (result, known->end == MSG_CLAIM_ANSWERED ? FT_ALREADY_DONE : FT_STALE,
+                state->revision, "%s", known->claim.request_id);
 }
 
 static void
@@ -413,19 +413,19 @@
         store_refusal (state, &op->MsgOp_u.refusals.records.records_val[i]);
       break;
     case MSG_OP_CRASH:
-      blame_ended (state->blame, index, &op->MsgOp_u.ended);
+      crashes_add (state->blame, index, &op->MsgOp_u.ended);
       break;
     case MSG_OP_CRASH_RETRACTED:
-      blame_survived (state->blame, index, &op->MsgOp_u.survived);
+      crashes_retract (state->blame, index, &op->MsgOp_u.survived);
       break;
     case MSG_OP_CLEARED:
-      blame_cleared (state->blame, index, &op->MsgOp_u.cleared);
+      crashes_clear (state->blame, index, &op->MsgOp_u.cleared);
       break;
     case MSG_OP_ROLLOUT_START:
-      roll_start (state->rollouts, index, &op->MsgOp_u.rollout_start);
+      roll_apply_start (state->rollouts, index, &op->MsgOp_u.rollout_start);
       break;
     case MSG_OP_ROLLOUT_STEP:
-      roll_step (state->rollouts, index, &op->MsgOp_u.rollout_step);
+      roll_apply_step (state->rollouts, index, &op->MsgOp_u.rollout_step);
       break;
     default:
       break;
@@ -470,7 +470,7 @@
   out.voters.voters_len = state->voters.voters.voters_len;
   out.voters.voters_val = state->voters.voters.voters_val;
   out.document = state->document;
-  blame_capture (state->blame, 0, &out.blame);
+  crashes_capture (state->blame, 0, &out.blame);
   roll_capture (state->rollouts, &out.rollouts);
   GByteArray *bytes = codec_pack (CODEC (MsgState), &out);
   g_free (out.blame.suspects.suspects_val);
@@ -515,7 +515,7 @@
   state->voters.voters.voters_len = in->voters.voters_len;
   state->voters.voters.voters_val = in->voters.voters_val;
   state->document = in->document;
-  blame_restore (state->blame, &in->blame);
+  crashes_restore (state->blame, &in->blame);
   roll_restore (state->rollouts, &in->rollouts);
 }
 
@@ -628,13 +628,13 @@
   return state->document.number ? &state->document : NULL;
 }
 
-const Blame *
+const CrashTable *
 state_blame (const State *state)
 {
   return state->blame;
 }
 
-const RollAccount *
+const RolloutTable *
 state_rollouts (const State *state)
 {
   return state->rollouts;
--- a/src/state.h
+++ b/src/state.h
@@ -3,7 +3,7 @@
 #ifndef STATE_H
 #define STATE_H
 
-#include "blame.h"
+#include "crashes.h"
 #include "rollout.h"
 
 typedef struct State State;
@@ -40,9 +40,9 @@
 /* The document with the highest number, borrowed; NULL: none yet. */
 const MsgDocument *state_document (const State *state);
 /* The contents that were running on servers that ended; borrowed. */
-const Blame *state_blame (const State *state);
+const CrashTable *state_blame (const State *state);
 /* The ordered versions of servers; borrowed. */
-const RollAccount *state_rollouts (const State *state);
+const RolloutTable *state_rollouts (const State *state);
 const MsgVoters *state_voters (const State *state);
 /* Borrowed; NULL: there is no claim of that key. */
 const MsgClaimState *state_claim (const State *state, const char *key);
--- a/src/status.c
+++ b/src/status.c
@@ -13,7 +13,7 @@
   [-FT_CORRUPT] = "stored data is damaged",
   [-FT_FULL] = "bound reached",
   [-FT_NOT_LEADER] = "this voter is not in charge",
-  [-FT_REPEAT] = "done before",
+  [-FT_ALREADY_DONE] = "done before",
 };
 
 const char *
--- a/src/susp.c
+++ b/src/susp.c
@@ -1,4 +1,4 @@
-/* susp.c - a node's part in finding contents that end servers (blame.c, quarantine.c).
+/* susp.c - a node's part in finding contents that end servers (crashes.c, quarantine.c).
  *
  * What its shell saw is proposed to the log like any operation. What the log says comes with the
  * answers that prove freshness, so an instance that has not heard of an end for FRESH_PROOF_MAX_AGE
@@ -11,7 +11,7 @@
 #define PROOFS_MOST 16 /* told at once; the others with the next account */
 
 uint64_t
-susp_propose_cleared (FtNode *node, const uint64_t *contents, unsigned count, bool silent)
+susp_propose_clear (FtNode *node, const uint64_t *contents, unsigned count, bool silent)
 {
   MsgOp op = { .kind = MSG_OP_CLEARED };
   u_quad_t list[PROOFS_MOST];
@@ -27,14 +27,14 @@
 propose_proofs (FtNode *node)
 {
   uint64_t contents[PROOFS_MOST];
-  unsigned count = quar_proofs (node->quar, contents, PROOFS_MOST);
+  unsigned count = quar_recently_answered (node->quar, contents, PROOFS_MOST);
 
   if (count > 0)
-    susp_propose_cleared (node, contents, count, true);
+    susp_propose_clear (node, contents, count, true);
 }
 
 void
-susp_account (FtNode *node, const MsgCrashTable *blame)
+susp_update_table (FtNode *node, const MsgCrashTable *blame)
 {
   unsigned count = blame->suspects.suspects_len;
   QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
@@ -48,7 +48,7 @@
         of_this[j] = quar_server_digest (from->latest.latest_val[j].server);
       records[i] = (QuarRecord){ from->content, from->ends, of_this, from->latest.latest_len };
     }
-  if (quar_account (node->quar, blame->index, records, count))
+  if (quar_update_table (node->quar, blame->index, records, count))
     {
       node->blame_index = blame->index;
       propose_proofs (node);
@@ -58,7 +58,8 @@
 }
 
 void
-susp_ended (FtNode *node, const char *pool, const char *server, uint64_t content, int64_t wall_ms)
+susp_propose_crash (FtNode *node, const char *pool, const char *server, uint64_t content,
+                    int64_t wall_ms)
 {
   MsgOp op = { .kind = MSG_OP_CRASH };
   u_quad_t contents[] = { content };
@@ -66,19 +67,19 @@
 
   g_snprintf (name, sizeof name, "%s/%s", pool, server);
   op.MsgOp_u.ended = (MsgCrash){ name, wall_ms, { 1, contents } };
-  quar_ended (node->quar, content, name, true);
+  quar_add_crash (node->quar, content, name, true);
   prop_submit (node, &op, true);
 }
 
 void
-susp_answered (FtNode *node, uint64_t content)
+susp_on_answer (FtNode *node, uint64_t content)
 {
   if (quar_answered (node->quar, content))
     propose_proofs (node);
 }
 
 uint64_t
-ft_node_release (FtNode *node, uint64_t content)
+ft_node_release_content (FtNode *node, uint64_t content)
 {
-  return susp_propose_cleared (node, &content, 1, false);
+  return susp_propose_clear (node, &content, 1, false);
 }
--- a/src/versions.c
+++ b/src/versions.c
@@ -7,7 +7,7 @@
  * callers meet it.
  *
  * Each answer is judged once, on both versions alike: it is bad if it is a failure or takes
- * SLOW_TIMES as long as the version before would, by the mean of its servers, with the prompt's
+ * SLOW_FACTOR as long as the version before would, by the mean of its servers, with the prompt's
  * length and the work ahead on the server taken out. An answer that is overdue is bad at once.
  *
  * Failure: the machine becomes busy during a trial, and answers of both versions take longer.
@@ -21,10 +21,10 @@
 #include <string.h>
 
 /* Tuning; each row with its reason. */
-#define SLOW_TIMES  2.5     /* servers of one version differ by twice their mean, seldom by more */
-#define SLOW_LEAST  30000.0 /* microseconds beyond that: short answers vary by lost packets */
-#define CREDIT_MOST 1.5     /* requests of a route that are due at once: no burst after a gap */
-#define SPAN        (6 * FT_SECOND) /* over which the longest answer is kept, twice at most */
+#define SLOW_FACTOR    2.5 /* servers of one version differ by twice their mean, seldom by more */
+#define SLOW_MARGIN_US 30000.0 /* microseconds beyond that: short answers vary by lost packets */
+#define CREDIT_MAX     1.5     /* requests of a route that are due at once: no burst after a gap */
+#define SPAN           (6 * FT_SECOND) /* over which the longest answer is kept, twice at most */
 
 void
 ver_init (Versions *versions)
@@ -138,16 +138,16 @@
   cds_list_for_each_entry (server, &service->servers, link)
   {
     if (strcmp (server->version, versions->in_use) == 0)
-      server->use = USE_YES;
+      server->use = USE_ALL;
     else
-      server->use = tried && is_other (versions, server->version) ? USE_TRIED : USE_NO;
+      server->use = tried && is_other (versions, server->version) ? USE_ON_TRIAL : USE_NONE;
   }
 }
 
 /* ---- Requests that are due to the version that is tried ---- */
 
 void
-ver_note_ask (Job *job)
+ver_mark_request (Job *job)
 {
   Versions *versions = &job->service->versions;
   gpointer route = GUINT_TO_POINTER (job->ask.route);
@@ -160,7 +160,7 @@
       credit = g_new0 (double, 1);
       g_hash_table_insert (versions->credit, route, credit);
     }
-  *credit = MIN (*credit + versions->share, CREDIT_MOST);
+  *credit = MIN (*credit + versions->share, CREDIT_MAX);
   job->tried = *credit >= 1;
 }
 
@@ -183,7 +183,7 @@
 
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    if (server->use != USE_TRIED)
+    if (server->use != USE_ON_TRIAL)
       continue;
     running += server->running;
     least = MIN (least, server->slots);
@@ -201,9 +201,10 @@
   cds_list_for_each_entry (server, &job->service->servers, link)
   {
     unsigned most = server->trial ? 1 : est_places (sched, server);
-    if (server->use != USE_TRIED || !server->listed || server->leaving || now < server->out_until
+    if (server->use != USE_ON_TRIAL || !server->listed || server->leaving || now < server->out_until
         || server->running >= most || !pace_has_token (sched, server, now)
-        || !boff_may (server, job->key.owner, now) || !est_fits_memory (sched, server, &job->ask))
+        || !boff_permits (server, job->key.owner, now)
+        || !est_fits_memory (sched, server, &job->ask))
       continue;
     if (goes_before (server, best, in_turn))
       best = server;
@@ -254,9 +255,9 @@
     answers += server->answer_us > 0;
   }
   versions->known = tokens > 0;
-  versions->token_us = tokens ? token / tokens : est_summary (sched, service)->mean_token;
+  versions->token_us = tokens ? token / tokens : est_summary (sched, service)->mean_token_us;
   versions->unit = units ? unit / units : versions->token_us * service->curve.each;
-  versions->answer_us = answers ? answer / answers : est_summary (sched, service)->least_answer;
+  versions->answer_us = answers ? answer / answers : est_summary (sched, service)->min_answer_us;
 }
 
 /* Failure: routes of a plain service take 20 ms and 160 ms, and all are expected to take the mean
@@ -267,7 +268,7 @@
 {
   const double *usual = g_hash_table_lookup (versions->usual, GUINT_TO_POINTER (route));
 
-  return usual ? HOP_US + MAX (versions->answer_us, *usual) : 0;
+  return usual ? NETWORK_US + MAX (versions->answer_us, *usual) : 0;
 }
 
 static double
@@ -278,7 +279,7 @@
   double ahead = (double) MAX (0, server->prompts_until - now);
   double own = curve_units (curve, job->ask.prompt_tokens) * versions->unit;
 
-  return versions->known ? HOP_US + curve->latency_us + ahead + own + versions->token_us : 0;
+  return versions->known ? NETWORK_US + curve->latency_us + ahead + own + versions->token_us : 0;
 }
 
 void
@@ -288,9 +289,9 @@
 
   versions->placed++;
   versions->granted += is_ordered (versions, server);
-  job->expect_us = job->allow_us = job->service->conf.engine
-                                       ? expect_engine_us (job, server, now)
-                                       : expect_plain_us (versions, job->ask.route);
+  job->expected_us = job->adjusted_us = job->service->conf.engine
+                                            ? expect_engine_us (job, server, now)
+                                            : expect_plain_us (versions, job->ask.route);
 }
 
 static void
@@ -314,11 +315,11 @@
 judge (const Sched *sched, Job *job, bool bad)
 {
   const Versions *versions = &job->service->versions;
-  SchedJudged judged = { .service = job->service->name,
-                         .server = job->server->id,
-                         .route = job->ask.route,
-                         .ordered = is_ordered (versions, job->server),
-                         .bad = bad };
+  SchedVerdict judged = { .service = job->service->name,
+                          .server = job->server->id,
+                          .route = job->ask.route,
+                          .ordered = is_ordered (versions, job->server),
+                          .bad = bad };
 
   if (job->judged || !versions->watched || sched->ops->judged == NULL)
     return;
@@ -332,11 +333,11 @@
 note_peer (const Job *job, int64_t after_us)
 {
   Versions *versions = &job->service->versions;
-  Peer *peer = &versions->peers[versions->peer_count % PEERS_KEPT];
+  Peer *peer = &versions->peers[versions->peer_count % BASELINES_MAX];
 
-  if (!versions->watched || is_ordered (versions, job->server) || job->expect_us <= 0)
+  if (!versions->watched || is_ordered (versions, job->server) || job->expected_us <= 0)
     return;
-  *peer = (Peer){ job->ask.route, job->granted_at, (double) after_us / job->expect_us };
+  *peer = (Peer){ job->ask.route, job->granted_at, (double) after_us / job->expected_us };
   versions->peer_count++;
 }
 
@@ -363,7 +364,7 @@
 {
   const Versions *versions = &job->service->versions;
 
-  for (unsigned i = 0; i < MIN (versions->peer_count, PEERS_KEPT); i++)
+  for (unsigned i = 0; i < MIN (versions->peer_count, BASELINES_MAX); i++)
     {
       const Peer *peer = &versions->peers[i];
       if (peer->granted_at >= job->granted_at && (!same_route || peer->route == job->ask.route))
@@ -387,10 +388,10 @@
     {
       double so_far = (double) (now - peer->granted_at);
       bool waits = !peer->first_seen || !service->conf.engine;
-      if (peer == job || !waits || peer->expect_us <= 0 || peer->granted_at < job->granted_at
-          || so_far <= peer->expect_us || (same_route && peer->ask.route != job->ask.route))
+      if (peer == job || !waits || peer->expected_us <= 0 || peer->granted_at < job->granted_at
+          || so_far <= peer->expected_us || (same_route && peer->ask.route != job->ask.route))
         continue;
-      double times = so_far / peer->expect_us;
+      double times = so_far / peer->expected_us;
       g_array_append_val (values, times);
     }
   }
@@ -421,7 +422,7 @@
 static bool
 is_beyond (double after_us, double allowed_us)
 {
-  return after_us > SLOW_TIMES * allowed_us + SLOW_LEAST;
+  return after_us > SLOW_FACTOR * allowed_us + SLOW_MARGIN_US;
 }
 
 /* What is allowed grows with the time that others take, so one job is compared a few times only. A
@@ -432,12 +433,12 @@
   const Versions *versions = &job->service->versions;
   double after = (double) after_us;
 
-  if (job->judged || job->expect_us <= 0 || job->granted_at < job->server->cold_until
-      || !is_beyond (after, job->allow_us))
+  if (job->judged || job->expected_us <= 0 || job->granted_at < job->server->cold_until
+      || !is_beyond (after, job->adjusted_us))
     return false;
   if (versions->watched)
-    job->allow_us = MAX (job->allow_us, peer_times (job, now) * job->expect_us);
-  return is_beyond (after, job->allow_us);
+    job->adjusted_us = MAX (job->adjusted_us, peer_times (job, now) * job->expected_us);
+  return is_beyond (after, job->adjusted_us);
 }
 
 /* ---- What becomes of a request ---- */
@@ -475,7 +476,7 @@
     return;
   note_longest (&job->service->versions, now - job->granted_at, now);
   judge (sched, job,
-         service->conf.engine ? event > 0 && (double) result->event_us > SLOW_TIMES * event
+         service->conf.engine ? event > 0 && (double) result->event_us > SLOW_FACTOR * event
                               : is_slow (job, result->answer_us, now));
   if (service->conf.engine)
     return;
@@ -484,7 +485,7 @@
 }
 
 void
-ver_note_time (const Sched *sched, Service *service, int64_t now)
+ver_check_overdue (const Sched *sched, Service *service, int64_t now)
 {
   Server *server;
   Job *job;
@@ -539,7 +540,7 @@
   stats->longest_us = MAX (versions->longest_us[0], versions->longest_us[1]);
   cds_list_for_each_entry (server, &service->servers, link)
   {
-    if (server->use == USE_YES)
+    if (server->use == USE_ALL)
       count_server (server, &stats->used);
     if (is_ordered (versions, server))
       count_server (server, &stats->ordered);
--- a/src/waiting.c
+++ b/src/waiting.c
@@ -14,13 +14,13 @@
 #include <math.h>
 
 /* Tuning; each row with its reason. */
-#define SORT_MOST 64 /* requests looked at in one decision; the rest follow in the next */
+#define LATE_SCAN_MAX 64 /* requests looked at in one decision; the rest follow in the next */
 
-#define MEAN_LEARN 0.02 /* weight of a new request in the mean: the latest 50 count */
-#define SIZE_MOST  3.0  /* times the mean or a part of it that count */
-#define LARGE      2.0  /* times the mean: about a tenth of requests whose lengths vary tenfold */
-#define LARGE_PART 0.75 /* of the others' part on time that large ones have at least */
-#define PART_LEARN 0.02 /* weight of a new verdict: the latest 50 of each kind count */
+#define MEAN_WEIGHT     0.02 /* weight of a new request in the mean: the latest 50 count */
+#define SIZE_FACTOR_MAX 3.0  /* times the mean or a part of it that count */
+#define LARGE_SIZE      2.0 /* times the mean: about a tenth of requests whose lengths vary tenfold */
+#define LARGE_SHARE_MIN 0.75 /* of the others' part on time that large ones have at least */
+#define TIMELY_WEIGHT   0.02 /* weight of a new verdict: the latest 50 of each kind count */
 
 static Tier *
 tier_new (const Service *service, unsigned number)
@@ -28,7 +28,7 @@
   Tier *tier = g_new0 (Tier, 1);
 
   tier->tier = number;
-  tier->timely_part[0] = tier->timely_part[1] = 1;
+  tier->timely_share[0] = tier->timely_share[1] = 1;
   CDS_INIT_LIST_HEAD (&tier->promised);
   CDS_INIT_LIST_HEAD (&tier->timely);
   CDS_INIT_LIST_HEAD (&tier->late);
@@ -72,12 +72,12 @@
   double since = (double) (now - tier->inflow_at);
 
   tier->mean_us
-      = tier->mean_us > 0 ? tier->mean_us + MEAN_LEARN * (work_us - tier->mean_us) : work_us;
+      = tier->mean_us > 0 ? tier->mean_us + MEAN_WEIGHT * (work_us - tier->mean_us) : work_us;
   job->service->mean_us
       = job->service->mean_us > 0
-            ? job->service->mean_us + MEAN_LEARN * (work_us - job->service->mean_us)
+            ? job->service->mean_us + MEAN_WEIGHT * (work_us - job->service->mean_us)
             : work_us;
-  tier->inflow = tier->inflow * exp (-since / INFLOW_US) + work_us / INFLOW_US;
+  tier->inflow = tier->inflow * exp (-since / ARRIVAL_WINDOW_US) + work_us / ARRIVAL_WINDOW_US;
   tier->inflow_at = now;
   if (tier->shares)
     shr_note_arrival (tier->shares, job->org, work_us, now);
@@ -95,23 +95,23 @@
  * one, unless large ones have been served much less often than the others of late: nobody is
  * starved. */
 double
-wait_caution (const Job *job)
+wait_size_factor (const Job *job)
 {
   const Tier *tier = wait_tier (job->service, job->ask.tier);
   double size = size_of (job, tier);
 
-  if (size >= LARGE && tier->timely_part[1] < LARGE_PART * tier->timely_part[0])
-    return 1 / SIZE_MOST;
-  return CLAMP (size, 1 / SIZE_MOST, SIZE_MOST);
+  if (size >= LARGE_SIZE && tier->timely_share[1] < LARGE_SHARE_MIN * tier->timely_share[0])
+    return 1 / SIZE_FACTOR_MAX;
+  return CLAMP (size, 1 / SIZE_FACTOR_MAX, SIZE_FACTOR_MAX);
 }
 
 void
-wait_note_verdict (const Job *job, bool timely)
+wait_note_timely (const Job *job, bool timely)
 {
   Tier *tier = wait_tier (job->service, job->ask.tier);
-  bool large = size_of (job, tier) >= LARGE;
+  bool large = size_of (job, tier) >= LARGE_SIZE;
 
-  tier->timely_part[large] += PART_LEARN * (timely - tier->timely_part[large]);
+  tier->timely_share[large] += TIMELY_WEIGHT * (timely - tier->timely_share[large]);
 }
 
 static int64_t
@@ -190,7 +190,7 @@
 }
 
 void
-wait_fair (Service *service, const ShrWeights *weights, int64_t now)
+wait_set_fair (Service *service, const ShrWeights *weights, int64_t now)
 {
   Job *job, *next;
 
@@ -218,7 +218,7 @@
   unsigned seen = 0;
 
   if (tier->shares)
-    shr_settle (tier->shares);
+    shr_reorder (tier->shares);
   cds_list_for_each_entry_safe (job, next, &tier->timely, link)
   {
     if (seen++ >= most)
@@ -230,25 +230,25 @@
     wait_add (job, now);
   }
   if (tier->shares)
-    shr_settle (tier->shares);
+    shr_reorder (tier->shares);
 }
 
 void
-wait_sort_out (const Sched *sched, Service *service, Tier *tier, int64_t now)
+wait_move_late (const Sched *sched, Service *service, Tier *tier, int64_t now)
 {
-  sort_out (sched, service, tier, SORT_MOST, now);
+  sort_out (sched, service, tier, LATE_SCAN_MAX, now);
 }
 
 /* Failure: in fair order those of an organisation above its share wait at the end of the queue,
- * also those that are due first. Symptom: beyond SORT_MOST nobody sees that they have become late,
- * and newcomers are refused for the sake of work that is counted as on time. */
+ * also those that are due first. Symptom: beyond LATE_SCAN_MAX nobody sees that they have become
+ * late, and newcomers are refused for the sake of work that is counted as on time. */
 void
-wait_sort_all (const Sched *sched, Service *service, int64_t now)
+wait_move_all_late (const Sched *sched, Service *service, int64_t now)
 {
   for (unsigned i = 0; i < service->tiers->len; i++)
     {
       Tier *tier = service->tiers->pdata[i];
-      if (tier->shares && shr_waiting (tier->shares) > 1)
+      if (tier->shares && shr_waiting_orgs (tier->shares) > 1)
         sort_out (sched, service, tier, UINT_MAX, now);
     }
 }
@@ -269,19 +269,20 @@
   return work;
 }
 
-Ahead
+WaitAhead
 wait_ahead (const Sched *sched, const Job *job, int64_t now)
 {
   Service *service = job->service;
   unsigned number = job->ask.tier;
   const Tier *tier = wait_tier (service, number);
-  Ahead ahead = { wait_ahead_us (service, number, false), wait_ahead_us (service, number, true) };
-  ShrTurn turn;
+  WaitAhead ahead
+      = { wait_ahead_us (service, number, false), wait_ahead_us (service, number, true) };
+  ShrOvertaking turn;
 
   if (tier->shares == NULL)
     return ahead;
-  shr_turn (tier->shares, job->org, job->work_us, ahead.timely_us,
-            est_left_places (sched, service, number, false, now), now, &turn);
-  ahead.timely_us += turn.before_us - turn.behind_us;
+  shr_overtaking (tier->shares, job->org, job->work_us, ahead.timely_us,
+                  est_places_left (sched, service, number, false, now), now, &turn);
+  ahead.timely_us += turn.overtaken_by_us - turn.overtakes_us;
   return ahead;
 }
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -102,9 +102,9 @@
 static double
 prompt_work (const char *prompt, gsize size)
 {
-  guint64 blocks[FT_BLOCKS_MOST];
+  guint64 blocks[FT_BLOCKS_MAX];
   unsigned held = 0;
-  unsigned count = ft_prefix_hash (prompt, size, 0, (uint64_t *) blocks, FT_BLOCKS_MOST);
+  unsigned count = ft_prefix_hash (prompt, size, 0, (uint64_t *) blocks, FT_BLOCKS_MAX);
 
   while (held < count && g_hash_table_contains (engine.cached, &blocks[held]))
     held++;
--- a/test/adapter.c
+++ b/test/adapter.c
@@ -285,8 +285,8 @@
     { "", 0, false, 0, NULL },
     { "Server-Limit: 1.6\r\n", 1.6, false, 0, NULL },
     { "Server-Limit: 20\r\nServer-Limit: 3\r\n", 3, false, 0, NULL },
-    { "Server-Limit: 0\r\n", NOTICE_RATE_LEAST, false, 0, NULL },
-    { "Server-Limit: 99999999999999999999\r\n", NOTICE_RATE_MOST, false, 0, NULL },
+    { "Server-Limit: 0\r\n", NOTICE_RATE_MIN, false, 0, NULL },
+    { "Server-Limit: 99999999999999999999\r\n", NOTICE_RATE_MAX, false, 0, NULL },
     { "Server-Limit: \r\n", 0, false, 0, "" },
     { "Server-Limit: -2\r\n", 0, false, 0, "-2" },
     { "Server-Limit: nan\r\n", 0, false, 0, "nan" },
@@ -300,9 +300,9 @@
     { "Retry-After: 0.25\r\n", 0, false, 250 * FT_MS, NULL },
     { "Retry-After: 1\r\nRetry-After: 2\r\n", 0, false, 2 * FT_SECOND, NULL },
     { "Retry-After: 0\r\n", 0, false, 0, NULL },
-    { "Retry-After: 9999999999\r\n", 0, false, NOTICE_BACKOFF_MOST, NULL },
-    { "Retry-After: -1\r\n", 0, false, NOTICE_BACKOFF_UNREAD, "-1" },
-    { "Retry-After: Fri, 31 Dec 1999 23:59:59 GMT\r\n", 0, false, NOTICE_BACKOFF_UNREAD,
+    { "Retry-After: 9999999999\r\n", 0, false, NOTICE_BACKOFF_MAX, NULL },
+    { "Retry-After: -1\r\n", 0, false, NOTICE_BACKOFF_DEFAULT, "-1" },
+    { "Retry-After: Fri, 31 Dec 1999 23:59:59 GMT\r\n", 0, false, NOTICE_BACKOFF_DEFAULT,
       "Fri, 31 Dec 1999 23:59:59 GMT" },
   };
 
--- a/test/backoff.c
+++ b/test/backoff.c
@@ -37,7 +37,7 @@
 {
   Notice notice = { .backoff_us = us };
 
-  sched_notice_before (world->sched, owner, server, &notice, 0);
+  sched_older_notice (world->sched, owner, server, &notice, 0);
 }
 
 static void
@@ -147,7 +147,7 @@
   Notice notice = { .leaving = true };
 
   begin (2, 6, false);
-  sched_notice_before (world->sched, 1, "s0", &notice, 0);
+  sched_older_notice (world->sched, 1, "s0", &notice, 0);
   give_list ();
   for (unsigned i = 0; i < 6; i++)
     g_assert_cmpint (server_of (ask_by (i % 2 + 1)), ==, 1);
