--- a/test/blame.c
+++ b/test/blame.c
@@ -1,4 +1,4 @@
-/* blame.c - the account of contents that end servers, and what an instance makes of it. */
+/* crashes.c - the account of contents that end servers, and what an instance makes of it. */
 #include "clock.h"
 #include "content.h"
 #include "quarantine.h"
@@ -15,35 +15,35 @@
 static uint64_t log_index;
 
 static bool
-ended_at (Blame *blame, const char *server, int64_t wall_ms, uint64_t content)
+ended_at (CrashTable *blame, const char *server, int64_t wall_ms, uint64_t content)
 {
   u_quad_t contents[] = { content };
   MsgCrash ended = { (char *) server, wall_ms, { 1, contents } };
 
-  return blame_ended (blame, ++log_index, &ended);
+  return crashes_add (blame, ++log_index, &ended);
 }
 
 static bool
-ended (Blame *blame, const char *server, uint64_t content)
+ended (CrashTable *blame, const char *server, uint64_t content)
 {
   return ended_at (blame, server, 0, content);
 }
 
 static unsigned
-ends_of (const Blame *blame, uint64_t content)
+ends_of (const CrashTable *blame, uint64_t content)
 {
-  const MsgSuspect *suspect = blame_find (blame, content);
+  const MsgSuspect *suspect = crashes_find (blame, content);
 
   return suspect ? suspect->ends : 0;
 }
 
 static bool
-cleared (Blame *blame, uint64_t content)
+cleared (CrashTable *blame, uint64_t content)
 {
   u_quad_t contents[] = { content };
   MsgCleared op = { { 1, contents } };
 
-  return blame_cleared (blame, ++log_index, &op);
+  return crashes_clear (blame, ++log_index, &op);
 }
 
 /* A server ends, and three entries each tell of it, two of them twice. Its content is charged with
@@ -51,7 +51,7 @@
 static void
 an_end_counts_once (void)
 {
-  Blame *blame = blame_new ();
+  CrashTable *blame = crashes_new ();
 
   g_assert_true (ended_at (blame, "s", 1000, KILLER));
   g_assert_false (ended_at (blame, "s", 1000, KILLER));
@@ -61,7 +61,7 @@
   g_assert_true (ended_at (blame, "s", 5000, KILLER));
   g_assert_true (ended_at (blame, "t", 5000, KILLER));
   g_assert_cmpuint (ends_of (blame, KILLER), ==, 3);
-  blame_free (blame);
+  crashes_free (blame);
 }
 
 /* A caller's request was on two servers as their domain lost power, and is then answered: nothing
@@ -69,7 +69,7 @@
 static void
 answered_content_is_cleared (void)
 {
-  Blame *blame = blame_new ();
+  CrashTable *blame = crashes_new ();
 
   ended (blame, "s", INNOCENT);
   ended (blame, "t", INNOCENT);
@@ -77,7 +77,7 @@
   g_assert_false (cleared (blame, INNOCENT));
   ended (blame, "u", INNOCENT);
   g_assert_cmpuint (ends_of (blame, INNOCENT), ==, 1);
-  blame_free (blame);
+  crashes_free (blame);
 }
 
 /* The path to a server was cut in a way that looks like its end, and it answers others. The end is
@@ -85,17 +85,17 @@
 static void
 survivors_end_is_struck (void)
 {
-  Blame *blame = blame_new ();
+  CrashTable *blame = crashes_new ();
   MsgCrashRetracted survived = { (char *) "s" };
 
   ended (blame, "s", INNOCENT);
   ended (blame, "s", KILLER);
   ended (blame, "t", KILLER);
-  g_assert_true (blame_survived (blame, ++log_index, &survived));
-  g_assert_false (blame_survived (blame, ++log_index, &survived));
+  g_assert_true (crashes_retract (blame, ++log_index, &survived));
+  g_assert_false (crashes_retract (blame, ++log_index, &survived));
   g_assert_cmpuint (ends_of (blame, INNOCENT), ==, 0);
   g_assert_cmpuint (ends_of (blame, KILLER), ==, 1);
-  blame_free (blame);
+  crashes_free (blame);
 }
 
 /* Ten times as many contents as the account holds meet one end each, between and after the ends of
@@ -103,31 +103,31 @@
 static void
 flood_pushes_out_nobody_with_more (void)
 {
-  Blame *blame = blame_new ();
+  CrashTable *blame = crashes_new ();
   unsigned held;
   char server[16];
 
   ended (blame, "k0", KILLER);
   ended (blame, "k1", KILLER);
-  for (unsigned i = 0; i < 10 * BLAME_MOST; i++)
+  for (unsigned i = 0; i < 10 * CRASHES_MAX_CONTENTS; i++)
     {
       snprintf (server, sizeof server, "s%u", i);
       ended (blame, server, 1000 + i);
     }
-  g_assert_cmpuint (blame_count (blame, &held), ==, BLAME_MOST);
+  g_assert_cmpuint (crashes_count (blame, &held), ==, CRASHES_MAX_CONTENTS);
   g_assert_cmpuint (held, ==, 0);
   ended (blame, "k2", KILLER);
   g_assert_cmpuint (ends_of (blame, KILLER), ==, 3);
-  blame_count (blame, &held);
+  crashes_count (blame, &held);
   g_assert_cmpuint (held, ==, 1);
-  blame_free (blame);
+  crashes_free (blame);
 }
 
 /* A content goes on ending servers for long: the count goes on though only the latest are named. */
 static void
 many_ends_are_counted (void)
 {
-  Blame *blame = blame_new ();
+  CrashTable *blame = crashes_new ();
   char server[16];
 
   for (unsigned i = 0; i < 20; i++)
@@ -135,11 +135,11 @@
       snprintf (server, sizeof server, "s%u", i);
       ended (blame, server, KILLER);
     }
-  const MsgSuspect *suspect = blame_find (blame, KILLER);
+  const MsgSuspect *suspect = crashes_find (blame, KILLER);
   g_assert_cmpuint (suspect->ends, ==, 20);
   g_assert_cmpuint (suspect->latest.latest_len, ==, FT_SUSPECT_CRASHES_MAX);
   g_assert_cmpstr (suspect->latest.latest_val[FT_SUSPECT_CRASHES_MAX - 1].server, ==, "s19");
-  blame_free (blame);
+  crashes_free (blame);
 }
 
 /* A voter starts again from its snapshot, or another one is sent it: the account is as it was, and
@@ -188,7 +188,7 @@
   g_byte_array_set_size (bytes, bytes->len - 24); /* what the older program did not write */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_OK);
   g_assert_cmpuint (state_document (later)->number, ==, 3);
-  g_assert_cmpuint (blame_count (state_blame (later), &held), ==, 0);
+  g_assert_cmpuint (crashes_count (state_blame (later), &held), ==, 0);
   g_byte_array_set_size (bytes, bytes->len - 8); /* cut in the middle of the document */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_CORRUPT);
   g_byte_array_unref (bytes);
@@ -217,7 +217,7 @@
 static QuarState
 state_of (uint64_t content)
 {
-  return quar_judge (quar, content).state;
+  return quar_check (quar, content).state;
 }
 
 /* The voters' account: one content with so many ends, of servers s0, s1, ... */
@@ -230,7 +230,7 @@
   for (unsigned i = 0; i < ends; i++)
     digests[i] = quar_server_digest (servers[i]);
   QuarRecord record = { content, ends, digests, ends };
-  return quar_account (quar, index, &record, ends > 0);
+  return quar_update_table (quar, index, &record, ends > 0);
 }
 
 /* The account says that three servers ended under a content. Its requests wait for SETTLE, since
@@ -242,13 +242,13 @@
   account (1, KILLER, 2);
   g_assert_cmpint (state_of (KILLER), ==, QUAR_SUSPECT);
   account (2, KILLER, 3);
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_SETTLES);
-  g_assert_cmpint (state_of (INNOCENT), ==, QUAR_FREE);
-  clock_of_test.now = quar_judge (quar, KILLER).settles_at;
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_HELD);
+  g_assert_cmpint (state_of (KILLER), ==, QUAR_RECHECK);
+  g_assert_cmpint (state_of (INNOCENT), ==, QUAR_NO_CRASHES);
+  clock_of_test.now = quar_check (quar, KILLER).recheck_at;
+  g_assert_cmpint (state_of (KILLER), ==, QUAR_BLOCKED);
   account (3, KILLER, 4);
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_HELD); /* it does not settle anew */
-  g_assert_cmpuint (quar_held (quar), ==, 1);
+  g_assert_cmpint (state_of (KILLER), ==, QUAR_BLOCKED); /* it does not settle anew */
+  g_assert_cmpuint (quar_count_blocked (quar), ==, 1);
   quar_free (quar);
 }
 
@@ -260,9 +260,9 @@
   g_assert_true (account (7, KILLER, 3));
   pass (FT_SECOND);
   g_assert_false (account (6, KILLER, 2));
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_HELD);
+  g_assert_cmpint (state_of (KILLER), ==, QUAR_BLOCKED);
   g_assert_true (account (8, KILLER, 0)); /* let go by an operator */
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_FREE);
+  g_assert_cmpint (state_of (KILLER), ==, QUAR_NO_CRASHES);
   quar_free (quar);
 }
 
@@ -273,12 +273,12 @@
 {
   begin ();
   account (1, KILLER, 2);
-  quar_ended (quar, KILLER, "s1", true);
-  g_assert_cmpuint (quar_judge (quar, KILLER).ends, ==, 2);
-  quar_ended (quar, KILLER, "elsewhere", false);
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_SETTLES);
+  quar_add_crash (quar, KILLER, "s1", true);
+  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 2);
+  quar_add_crash (quar, KILLER, "elsewhere", false);
+  g_assert_cmpint (state_of (KILLER), ==, QUAR_RECHECK);
   pass (FT_SECOND);
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_HELD);
+  g_assert_cmpint (state_of (KILLER), ==, QUAR_BLOCKED);
   quar_free (quar);
 }
 
@@ -288,23 +288,23 @@
 account_takes_evidence_over (void)
 {
   begin ();
-  quar_ended (quar, KILLER, "a", true);
-  quar_ended (quar, KILLER, "b", false);
-  g_assert_cmpuint (quar_judge (quar, KILLER).ends, ==, 2);
-  quar_acknowledged (quar, "a");
-  g_assert_cmpuint (quar_judge (quar, KILLER).ends, ==, 1);
+  quar_add_crash (quar, KILLER, "a", true);
+  quar_add_crash (quar, KILLER, "b", false);
+  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 2);
+  quar_crash_recorded (quar, "a");
+  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 1);
   for (unsigned i = 0; i < 100; i++)
     {
       pass (50 * FT_MS);
       quar_tick (quar, i % 10 != 0); /* voters are heard for half a second at a time */
     }
-  g_assert_cmpuint (quar_judge (quar, KILLER).ends, ==, 1);
+  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 1);
   for (unsigned i = 0; i < 100; i++)
     {
       pass (50 * FT_MS);
       quar_tick (quar, true);
     }
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_FREE);
+  g_assert_cmpint (state_of (KILLER), ==, QUAR_NO_CRASHES);
   quar_free (quar);
 }
 
@@ -320,11 +320,11 @@
   g_assert_false (quar_answered (quar, INNOCENT)); /* nothing is said against it yet */
   pass (FT_SECOND);
   account (1, INNOCENT, 6);
-  g_assert_cmpint (state_of (INNOCENT), ==, QUAR_SETTLES);
-  g_assert_cmpuint (quar_proofs (quar, proofs, 4), ==, 1);
+  g_assert_cmpint (state_of (INNOCENT), ==, QUAR_RECHECK);
+  g_assert_cmpuint (quar_recently_answered (quar, proofs, 4), ==, 1);
   g_assert_cmpuint (proofs[0], ==, INNOCENT);
   account (2, INNOCENT, 0);
-  g_assert_cmpint (state_of (INNOCENT), ==, QUAR_FREE);
+  g_assert_cmpint (state_of (INNOCENT), ==, QUAR_NO_CRASHES);
   quar_free (quar);
 }
 
@@ -339,9 +339,9 @@
   quar_answered (quar, KILLER);
   pass (60 * FT_SECOND);
   account (1, KILLER, 3);
-  g_assert_cmpuint (quar_proofs (quar, proofs, 4), ==, 0);
+  g_assert_cmpuint (quar_recently_answered (quar, proofs, 4), ==, 0);
   g_assert_true (quar_answered (quar, KILLER));
-  g_assert_cmpuint (quar_proofs (quar, proofs, 4), ==, 1);
+  g_assert_cmpuint (quar_recently_answered (quar, proofs, 4), ==, 1);
   quar_free (quar);
 }
 
@@ -355,12 +355,12 @@
   pass (10 * FT_MS);
   account (1, INNOCENT, 2);
   pass (10 * FT_MS);
-  g_assert_false (quar_server_lives (quar, "s0", before)); /* it was sent before the end */
-  g_assert_true (quar_server_lives (quar, "s0", clock_of_test.now));
-  g_assert_false (quar_server_lives (quar, "s9", clock_of_test.now));
+  g_assert_false (quar_crash_disproved (quar, "s0", before)); /* it was sent before the end */
+  g_assert_true (quar_crash_disproved (quar, "s0", clock_of_test.now));
+  g_assert_false (quar_crash_disproved (quar, "s9", clock_of_test.now));
   pass (5 * FT_SECOND);
   account (2, INNOCENT, 2);
-  g_assert_false (quar_server_lives (quar, "s0", clock_of_test.now));
+  g_assert_false (quar_crash_disproved (quar, "s0", clock_of_test.now));
   quar_free (quar);
 }
 
@@ -372,14 +372,14 @@
   char server[16];
 
   begin ();
-  quar_ended (quar, KILLER, "a", true);
-  quar_ended (quar, KILLER, "b", true);
+  quar_add_crash (quar, KILLER, "a", true);
+  quar_add_crash (quar, KILLER, "b", true);
   for (unsigned i = 0; i < 5000; i++)
     {
       snprintf (server, sizeof server, "s%u", i);
-      quar_ended (quar, 1000 + i, server, true);
+      quar_add_crash (quar, 1000 + i, server, true);
     }
-  g_assert_cmpuint (quar_judge (quar, KILLER).ends, ==, 2);
+  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 2);
   quar_free (quar);
 }
 
--- a/test/decide.c
+++ b/test/decide.c
@@ -28,7 +28,7 @@
 identity_of_a_content (void)
 {
   uint64_t id = id_of ("POST", "/a/b?x=1", "o", "body"), parsed;
-  char text[CONTENT_TEXT];
+  char text[CONTENT_ID_SIZE];
 
   g_assert_cmphex (id, ==, id_of ("POST", "/a/b?x=1", "o", "body"));
   g_assert_cmphex (id, !=, id_of ("PUT", "/a/b?x=1", "o", "body"));
@@ -38,7 +38,7 @@
   g_assert_cmphex (id, !=, id_of ("POST", "/a/b?x=1", "o", "bodz"));
   g_assert_cmphex (id, !=, id_of ("POST", "/a/b?x=1", "ob", "ody")); /* no byte changes its part */
   g_assert_cmphex (id_of ("GET", "/a", NULL, ""), ==, id_of ("GET", "/a", "", ""));
-  g_assert_true (content_parse (content_text (id, text), &parsed));
+  g_assert_true (content_parse (content_format (id, text), &parsed));
   g_assert_cmphex (parsed, ==, id);
   g_assert_false (content_parse ("0123", &parsed));
   g_assert_false (content_parse ("0000000000000000", &parsed));
@@ -64,15 +64,15 @@
 static void
 once_is_once (void)
 {
-  RetryFacts f = facts (RT_ONCE);
+  RetryFacts f = facts (RT_AT_MOST_ONCE);
 
-  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_SAY_UNKNOWN);
+  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_ANSWER_UNKNOWN);
   g_assert_cmpint (retry_next (RETRY_SILENT, &f), ==, RETRY_WAIT);
   g_assert_cmpint (retry_next (RETRY_FAILURE, &f), ==, RETRY_DELIVER);
   f.kind = RT_STREAM;
-  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_SAY_UNKNOWN);
+  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_ANSWER_UNKNOWN);
   f.begun = true;
-  g_assert_cmpint (retry_next (RETRY_CUT, &f), ==, RETRY_BREAK_OFF);
+  g_assert_cmpint (retry_next (RETRY_STREAM_CUT, &f), ==, RETRY_ABORT);
 }
 
 /* A server says that it did not run the request, or takes no connection: then it may go elsewhere,
@@ -80,18 +80,18 @@
 static void
 not_run_may_go_elsewhere (void)
 {
-  RetryFacts f = facts (RT_ONCE);
+  RetryFacts f = facts (RT_AT_MOST_ONCE);
 
   f.may_have_run = false;
   g_assert_cmpint (retry_next (RETRY_REJECTED, &f), ==, RETRY_AGAIN);
-  g_assert_cmpint (retry_next (RETRY_UNREACHED, &f), ==, RETRY_AGAIN);
+  g_assert_cmpint (retry_next (RETRY_NOT_CONNECTED, &f), ==, RETRY_AGAIN);
   f.sends = f.most_sends;
-  g_assert_cmpint (retry_next (RETRY_REJECTED, &f), ==, RETRY_SAY_NOT_RUN);
+  g_assert_cmpint (retry_next (RETRY_REJECTED, &f), ==, RETRY_ANSWER_NOT_RUN);
   f.unreached = 10;
-  g_assert_cmpint (retry_next (RETRY_UNREACHED, &f), ==, RETRY_SAY_NOT_RUN);
+  g_assert_cmpint (retry_next (RETRY_NOT_CONNECTED, &f), ==, RETRY_ANSWER_NOT_RUN);
   /* An earlier try may have run: the later one's word does not cover it. */
   f.may_have_run = true;
-  g_assert_cmpint (retry_next (RETRY_REJECTED, &f), ==, RETRY_SAY_UNKNOWN);
+  g_assert_cmpint (retry_next (RETRY_REJECTED, &f), ==, RETRY_ANSWER_UNKNOWN);
 }
 
 /* A server crashes, another starts at its address and turns a request away that the list still
@@ -100,20 +100,20 @@
 static void
 gone_server_is_none_reached (void)
 {
-  RetryFacts f = facts (RT_ONCE);
+  RetryFacts f = facts (RT_AT_MOST_ONCE);
 
   f.may_have_run = false;
   f.sends = 0;
   f.unreached = 1;
-  g_assert_cmpint (retry_next (RETRY_GONE, &f), ==, RETRY_AGAIN);
-  g_assert_true (retry_draws (RETRY_GONE, RETRY_AGAIN));
+  g_assert_cmpint (retry_next (RETRY_OTHER_SERVER, &f), ==, RETRY_AGAIN);
+  g_assert_true (retry_uses_budget (RETRY_OTHER_SERVER, RETRY_AGAIN));
   f.budget = false;
-  g_assert_cmpint (retry_next (RETRY_GONE, &f), ==, RETRY_SAY_NOT_RUN);
+  g_assert_cmpint (retry_next (RETRY_OTHER_SERVER, &f), ==, RETRY_ANSWER_NOT_RUN);
   f.budget = true;
   f.unreached = 10;
-  g_assert_cmpint (retry_next (RETRY_GONE, &f), ==, RETRY_SAY_NOT_RUN);
+  g_assert_cmpint (retry_next (RETRY_OTHER_SERVER, &f), ==, RETRY_ANSWER_NOT_RUN);
   f.may_have_run = true;
-  g_assert_cmpint (retry_next (RETRY_GONE, &f), ==, RETRY_SAY_UNKNOWN);
+  g_assert_cmpint (retry_next (RETRY_OTHER_SERVER, &f), ==, RETRY_ANSWER_UNKNOWN);
 }
 
 static void
@@ -123,14 +123,14 @@
 
   g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_AGAIN);
   g_assert_cmpint (retry_next (RETRY_FAILURE, &f), ==, RETRY_AGAIN);
-  g_assert_true (retry_draws (RETRY_BROKEN, RETRY_AGAIN));
-  g_assert_false (retry_draws (RETRY_UNREACHED, RETRY_AGAIN));
+  g_assert_true (retry_uses_budget (RETRY_BROKEN, RETRY_AGAIN));
+  g_assert_false (retry_uses_budget (RETRY_NOT_CONNECTED, RETRY_AGAIN));
   f.budget = false;
-  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_SAY_UNKNOWN);
+  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_ANSWER_UNKNOWN);
   g_assert_cmpint (retry_next (RETRY_FAILURE, &f), ==, RETRY_DELIVER);
   f.budget = true;
   f.left_us = FT_MS;
-  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_SAY_UNKNOWN);
+  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_ANSWER_UNKNOWN);
 }
 
 /* A long plain answer that broke after its first part was asked for again, which ended the process.
@@ -138,9 +138,9 @@
 static void
 begun_plain_is_not_sent_again (void)
 {
-  static const RetryEvent events[]
-      = { RETRY_UNREACHED, RETRY_REJECTED, RETRY_BROKEN, RETRY_FAILURE, RETRY_CUT, RETRY_GONE };
-  static const RtKind kinds[] = { RT_IDEMPOTENT, RT_ONCE };
+  static const RetryEvent events[] = { RETRY_NOT_CONNECTED, RETRY_REJECTED,   RETRY_BROKEN,
+                                       RETRY_FAILURE,       RETRY_STREAM_CUT, RETRY_OTHER_SERVER };
+  static const RtKind kinds[] = { RT_IDEMPOTENT, RT_AT_MOST_ONCE };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (events); i++)
     for (unsigned j = 0; j < G_N_ELEMENTS (kinds); j++)
@@ -152,7 +152,7 @@
                              .most_sends = 3,
                              .budget = true,
                              .left_us = FT_SECOND };
-        g_assert_cmpint (retry_next (events[i], &facts), ==, RETRY_BREAK_OFF);
+        g_assert_cmpint (retry_next (events[i], &facts), ==, RETRY_ABORT);
         g_assert_cmpint (retry_next (RETRY_ANSWERED, &facts), ==, RETRY_DELIVER);
         g_assert_cmpint (retry_next (RETRY_SILENT, &facts), ==, RETRY_WAIT);
       }
@@ -164,9 +164,9 @@
   RetryFacts f = facts (RT_STREAM);
 
   f.resumable = f.begun = true;
-  g_assert_cmpint (retry_next (RETRY_CUT, &f), ==, RETRY_RESUME);
+  g_assert_cmpint (retry_next (RETRY_STREAM_CUT, &f), ==, RETRY_RESUME);
   f.sends = 2;
-  g_assert_cmpint (retry_next (RETRY_CUT, &f), ==, RETRY_BREAK_OFF);
+  g_assert_cmpint (retry_next (RETRY_STREAM_CUT, &f), ==, RETRY_ABORT);
 }
 
 /* All engines fail nearly half of their requests for some seconds. The caller of a stream that may
@@ -197,11 +197,11 @@
 
   g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_AGAIN);
   f.suspect = true;
-  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_SAY_UNKNOWN);
+  g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_ANSWER_UNKNOWN);
   g_assert_cmpint (retry_next (RETRY_FAILURE, &f), ==, RETRY_AGAIN);
   f.kind = RT_STREAM;
   f.resumable = f.begun = true;
-  g_assert_cmpint (retry_next (RETRY_CUT, &f), ==, RETRY_BREAK_OFF);
+  g_assert_cmpint (retry_next (RETRY_STREAM_CUT, &f), ==, RETRY_ABORT);
 }
 
 /* ---- Events ---- */
@@ -260,7 +260,7 @@
   TestClock clock = test_clock ();
   Quota *quota = quota_new (&clock.base);
 
-  quota_limit (quota, "org", 1000, 4000);
+  quota_set_limit (quota, "org", 1000, 4000);
   clock.now += 60 * FT_SECOND;
   double used = use_for (quota, &clock, 8, 100, 0);
   g_assert_cmpfloat (used, <=, (1000 * 8 + 4000) * 1.03);
@@ -276,11 +276,11 @@
   TestClock clock = test_clock ();
   Quota *quota = quota_new (&clock.base);
 
-  quota_limit (quota, "org", 1000, 4000);
+  quota_set_limit (quota, "org", 1000, 4000);
   g_assert_cmpfloat (use_for (quota, &clock, 1, 100, 0), <=, 1000 + 4000 * 0.4);
   quota_free (quota);
   quota = quota_new (&clock.base);
-  quota_limit (quota, "org", 1000, 4000);
+  quota_set_limit (quota, "org", 1000, 4000);
   g_assert_cmpfloat (use_for (quota, &clock, 4, 9, 0), ==, 9 * 400);
   quota_free (quota);
 }
@@ -298,8 +298,8 @@
   for (unsigned start = 0; start < 3; start++)
     {
       Quota *quota = quota_new (&clock.base);
-      quota_margin (quota, 0.1, 190000, 8, true);
-      quota_limit (quota, "org", rate, rate);
+      quota_set_margin (quota, 0.1, 190000, 8, true);
+      quota_set_limit (quota, "org", rate, rate);
       clock.now += start == 0 ? 60 * FT_SECOND : 10 * FT_MS;
       if (start > 0)
         g_assert_true (quota_take (quota, "org", 3000, 3, &wait));
@@ -319,7 +319,7 @@
   double high = 0, low = 0;
   int64_t wait;
 
-  quota_limit (quota, "org", 1000, 4000);
+  quota_set_limit (quota, "org", 1000, 4000);
   for (int i = 0; i < 2000; i++)
     {
       clock.now += 10 * FT_MS;
@@ -344,11 +344,11 @@
   Quota *quota = quota_new (&clock.base);
   double allowed = 1000 * 8 + 4000, margin = 0.1 * allowed + 3000;
 
-  quota_limit (quota, "org", 1000, 4000);
-  quota_share (quota, 0.5);
+  quota_set_limit (quota, "org", 1000, 4000);
+  quota_set_share (quota, 0.5);
   clock.now += 60 * FT_SECOND;
   double bare = use_for (quota, &clock, 8, 100, 0);
-  quota_margin (quota, 0.1, 3000, 8, true);
+  quota_set_margin (quota, 0.1, 3000, 8, true);
   clock.now += 60 * FT_SECOND;
   double used = use_for (quota, &clock, 8, 100, 0);
   g_assert_cmpfloat (used, >, bare * 1.3);
@@ -369,19 +369,19 @@
   Quota *before = quota_new (&clock.base), *after = quota_new (&clock.base);
   int64_t wait;
 
-  quota_limit (before, "org", 1000, 4000);
-  quota_limit (after, "org", 1000, 4000);
-  quota_share (after, 1.0 / 64);
+  quota_set_limit (before, "org", 1000, 4000);
+  quota_set_limit (after, "org", 1000, 4000);
+  quota_set_share (after, 1.0 / 64);
   clock.now += 60 * FT_SECOND;
   g_assert_true (quota_take (before, "org", 1000, 0, &wait));
-  double full = quota_full (before, "org");
+  double full = quota_fill_level (before, "org");
   g_assert_cmpfloat (full, >, 0.7);
   g_assert_cmpfloat (full, <, 0.8);
   int64_t told = clock.now;
   clock.now += 150 * FT_MS;
-  quota_report (after, "org", full, told);
-  quota_share (after, 1);
-  quota_used (after, "org", 3000, told - 10 * FT_SECOND);
+  quota_apply_report (after, "org", full, told);
+  quota_set_share (after, 1);
+  quota_charge_remote (after, "org", 3000, told - 10 * FT_SECOND);
   g_assert_true (quota_take (after, "org", 2500, 0, &wait));
   g_assert_false (quota_take (after, "org", 2500, 0, &wait));
   quota_free (before);
@@ -400,9 +400,9 @@
   double used = 0, from_voter = 0, from_deputy = 0;
   int64_t wait;
 
-  quota_limit (voter, "org", 10000, 10000);
-  quota_limit (deputy, "org", 10000, 10000);
-  quota_share (deputy, 2.0 / 7);
+  quota_set_limit (voter, "org", 10000, 10000);
+  quota_set_limit (deputy, "org", 10000, 10000);
+  quota_set_share (deputy, 2.0 / 7);
   clock.now += 60 * FT_SECOND;
   for (int i = 0; i < 800; i++)
     {
@@ -410,8 +410,8 @@
       bool apart = i / 40 % 2 == 1; /* two entries of seven, every 0.4 s */
       if (i % 40 == 0)
         {
-          quota_used (apart ? deputy : voter, "org", apart ? from_voter * 2 / 7 : from_deputy,
-                      clock.now - 400 * FT_MS);
+          quota_charge_remote (apart ? deputy : voter, "org",
+                               apart ? from_voter * 2 / 7 : from_deputy, clock.now - 400 * FT_MS);
           from_voter = from_deputy = 0;
         }
       for (int j = 0; j < 10; j++)
@@ -436,9 +436,9 @@
   Quota *quota = quota_new (&clock.base);
   int64_t wait;
 
-  quota_limit (quota, "org", 1000, 1000);
+  quota_set_limit (quota, "org", 1000, 1000);
   clock.now += 60 * FT_SECOND;
-  quota_share (quota, 0);
+  quota_set_share (quota, 0);
   unsigned given = 0;
   for (int i = 0; i < 100; i++)
     {
@@ -457,14 +457,14 @@
   Quota *quota = quota_new (&clock.base);
   int64_t wait;
 
-  quota_limit (quota, "org", 10, 1000);
+  quota_set_limit (quota, "org", 10, 1000);
   clock.now += 200 * FT_SECOND;
   g_assert_true (quota_take (quota, "org", 1000, 0, &wait));
   g_assert_false (quota_take (quota, "org", 900, 0, &wait));
   g_assert_cmpint (wait, >, 80 * FT_SECOND);
-  quota_give_back (quota, "org", 1000);
+  quota_refund (quota, "org", 1000);
   g_assert_true (quota_take (quota, "org", 900, 0, &wait));
-  quota_used (quota, "org", 5000, clock.now);
+  quota_charge_remote (quota, "org", 5000, clock.now);
   g_assert_false (quota_take (quota, "org", 100, 0, &wait));
   g_assert_true (quota_take (quota, "unlimited", 1e9, 0, &wait));
   quota_free (quota);
@@ -532,14 +532,14 @@
     {
       clock.now += 50 * FT_MS;
       int64_t newcomer = (850 + i * 37 % 151) * 10 * FT_MS;
-      g_assert_cmpint (patience_note (patience, "r", newcomer), ==, 0);
+      g_assert_cmpint (patience_record (patience, "r", newcomer), ==, 0);
     }
-  int64_t waited = patience_note (patience, "r", 6 * FT_SECOND);
+  int64_t waited = patience_record (patience, "r", 6 * FT_SECOND);
   g_assert_cmpint (waited, >=, 3900 * FT_MS);
   g_assert_cmpint (waited, <=, 4 * FT_SECOND);
-  g_assert_cmpint (patience_note (patience, "other", 6 * FT_SECOND), ==, 0);
+  g_assert_cmpint (patience_record (patience, "other", 6 * FT_SECOND), ==, 0);
   clock.now += 30 * FT_SECOND; /* by then callers have less patience: that is the usual one now */
-  g_assert_cmpint (patience_note (patience, "r", 6 * FT_SECOND), ==, 0);
+  g_assert_cmpint (patience_record (patience, "r", 6 * FT_SECOND), ==, 0);
   patience_free (patience);
 }
 
@@ -552,14 +552,14 @@
 {
   TestClock clock = test_clock ();
   BudgetConf conf = { 0.2, 50, 10 * FT_SECOND };
-  Budget *budget = budget_new (&clock.base, &conf);
+  RetryBudget *budget = budget_new (&clock.base, &conf);
   unsigned repeats = 0;
 
-  budget_share (budget, 0.1);
+  budget_set_share (budget, 0.1);
   for (int i = 0; i < 1000; i++)
     {
       clock.now += 10 * FT_MS;
-      budget_note (budget, "s");
+      budget_count_request (budget, "s");
       repeats += budget_take (budget, "s");
     }
   g_assert_cmpuint (repeats, <=, 1000 * 0.2 + 50 * 0.1);
@@ -617,9 +617,9 @@
   g_assert_null (rt_cat_org_by_key (cat, NULL));
   RtRoute low = { .tier = 2 }, high = { .tier = 0 };
   RtOrg first = { .has_tier = true, .tier = 0 };
-  g_assert_cmpuint (rt_order (&low, &first), <, rt_order (&high, org));
-  g_assert_cmpuint (rt_order (&high, org), <, rt_order (&low, org));
-  g_assert_cmpuint (rt_order_rank (rt_order (&low, org)), ==, 2);
+  g_assert_cmpuint (rt_priority (&low, &first), <, rt_priority (&high, org));
+  g_assert_cmpuint (rt_priority (&high, org), <, rt_priority (&low, org));
+  g_assert_cmpuint (rt_priority_route_tier (rt_priority (&low, org)), ==, 2);
   rt_cat_unref (cat);
 }
 
--- a/test/engines.h
+++ b/test/engines.h
@@ -45,7 +45,7 @@
 {
   TestClock clock;
   Sched *sched;
-  int64_t rest_most;    /* of the last grant */
+  int64_t max_idle_us;  /* of the last grant */
   int64_t out_at;       /* when the first server was last taken out */
   unsigned outs;        /* how often */
   int64_t least_out_us; /* the shortest time from there until it was back */
@@ -71,14 +71,14 @@
 
 static inline void
 on_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *id,
-          int64_t rest_most)
+          int64_t max_idle_us)
 {
   Work *work = &world->work[request];
 
   (void) host;
   (void) owner;
   (void) org;
-  world->rest_most = rest_most;
+  world->max_idle_us = max_idle_us;
   work->server = atoi (id + 1);
   work->sent_at = world->clock.now;
   Server *server = &world->servers[work->server];
@@ -150,7 +150,7 @@
 
   for (unsigned i = 0; i < world->count; i++)
     list[i] = (SchedServer){ world->servers[i].id, "s", "d", world->slots, false, 0, NULL };
-  sched_list (world->sched, list, world->count);
+  sched_set_servers (world->sched, list, world->count);
 }
 
 /* One in three servers is more than four times slower, as in pools of several generations. */
@@ -175,7 +175,7 @@
       snprintf (world->servers[i].id, sizeof world->servers[i].id, "s%u", i);
       world->servers[i].speed = unlike && i % 3 == 2 ? 3.0 : 0.68;
     }
-  sched_service (world->sched, "s", &conf);
+  sched_set_service (world->sched, "s", &conf);
   give_list ();
 }
 
@@ -259,7 +259,7 @@
         {
           work->first_told = true;
           tell_notice (i);
-          sched_first (world->sched, 1, i, work->first_at - work->sent_at);
+          sched_first_event (world->sched, 1, i, work->first_at - work->sent_at);
         }
       if (work->end_at <= world->clock.now)
         finish (i, work);
--- a/test/handover.c
+++ b/test/handover.c
@@ -245,14 +245,14 @@
 }
 
 void
-servers_give (const Servers *servers, Sched *sched)
+servers_give_to (const Servers *servers, Sched *sched)
 {
   SchedServer *list = g_new0 (SchedServer, server_count);
 
   (void) servers;
   for (unsigned i = 0; i < server_count; i++)
     list[i] = (SchedServer){ .id = server_ids[i], .service = "s", .domain = "z", .slots = SLOTS };
-  sched_list (sched, list, server_count);
+  sched_set_servers (sched, list, server_count);
   g_free (list);
 }
 
@@ -349,7 +349,7 @@
 
   for (unsigned i = 0; i < voter->links->len; i++)
     heard += !((End *) voter->links->pdata[i])->down;
-  broker_share_heard (voter->broker, heard, voter->links->len - heard);
+  broker_set_shares_by_heard (voter->broker, heard, voter->links->len - heard);
 }
 
 static void
@@ -402,7 +402,7 @@
       broker_message (inst->broker, &end->peer, msg);
     }
   else if (msg->kind == MESH_VIEW)
-    place_view (inst->place, &end->peer, &msg->MeshMsg_u.view);
+    place_apply_view (inst->place, &end->peer, &msg->MeshMsg_u.view);
   else
     place_message (inst->place, &end->peer, msg);
 }
@@ -416,7 +416,7 @@
   for (unsigned i = 0; i < inst->links->len; i++)
     {
       End *end = inst->links->pdata[i];
-      int64_t every = broker_waits (inst->broker, &end->peer) ? 40 * FT_MS : 200 * FT_MS;
+      int64_t every = broker_peer_waits (inst->broker, &end->peer) ? 40 * FT_MS : 200 * FT_MS;
       if (end->peer.dialled || loop.clock.now - end->kept_alive < every)
         continue;
       end->kept_alive = loop.clock.now;
@@ -457,16 +457,16 @@
     return;
   end->down = true;
   if (inst->place)
-    place_down (inst->place, &end->peer);
+    place_link_down (inst->place, &end->peer);
   else
-    broker_down (inst->broker, &end->peer);
+    broker_link_down (inst->broker, &end->peer);
 }
 
 static void
 link_up (End *end)
 {
   end->down = end->other->down = false;
-  broker_up (insts[end->near].broker, &end->peer);
+  broker_link_up (insts[end->near].broker, &end->peer);
   end->other->peer.heard = loop.clock.now;
   send_view (end->near, end, end->near == proved);
 }
@@ -499,7 +499,7 @@
       return;
     case EVENT_DONE:
       running--;
-      place_done (insts[event->entry].place, event->request, &ok);
+      place_end (insts[event->entry].place, event->request, &ok);
       return;
     case EVENT_CALL:
       event->call (event->entry);
@@ -547,9 +547,9 @@
   g_ptr_array_add (insts[from].links, near);
   g_ptr_array_add (insts[to].links, far);
   if (insts[to].place)
-    place_up (insts[to].place, &far->peer);
+    place_link_up (insts[to].place, &far->peer);
   else
-    broker_up (insts[to].broker, &far->peer);
+    broker_link_up (insts[to].broker, &far->peer);
 }
 
 static RtCat *
@@ -601,11 +601,12 @@
       inst->links = g_ptr_array_new_with_free_func (g_free);
       if (i < entries)
         inst->place = place_new (&loop, &inst->mesh, i + 1, &place_ops, inst);
-      inst->broker = inst->place ? place_broker (inst->place) : broker_new (&loop, "v", NULL, NULL);
-      broker_margin (inst->broker, MARGIN, SLACK, WINDOW_MS / 1e3, inst->place == NULL);
+      inst->broker
+          = inst->place ? place_own_broker (inst->place) : broker_new (&loop, "v", NULL, NULL);
+      broker_set_margin (inst->broker, MARGIN, SLACK, WINDOW_MS / 1e3, inst->place == NULL);
       broker_configure (inst->broker, &conf);
-      broker_catalogue (inst->broker, cat);
-      broker_servers (inst->broker, NULL);
+      broker_set_catalogue (inst->broker, cat);
+      broker_set_servers (inst->broker, NULL);
     }
   rt_cat_unref (cat);
   for (unsigned i = 0; i < entries; i++)
@@ -818,45 +819,45 @@
 rules (void)
 {
   SchedAsk ask = { .owner = 1, .request = 7, .service = "s", .org = "o" };
-  HandSettled how;
+  HandResult how;
 
   loop.clock = test_clock ();
   Hand *hand = hand_new (&loop.clock.base);
   hand_begin (hand, 3);
-  g_assert_true (hand_settled (hand)); /* off */
+  g_assert_true (hand_is_over (hand)); /* off */
   g_assert_false (hand_hold (hand, &ask));
-  hand_wait (hand, WAIT_MS * FT_MS);
-  g_assert_true (hand_asked (hand, 1, 4));
-  g_assert_cmpfloat (hand_part (hand), ==, 0);
-  hand_reported (hand, 1);
-  hand_reported (hand, 1);
-  g_assert_cmpfloat (hand_part (hand), ==, 0.25);
+  hand_set_max_wait (hand, WAIT_MS * FT_MS);
+  g_assert_true (hand_note_request (hand, 1, 4));
+  g_assert_cmpfloat (hand_share (hand), ==, 0);
+  hand_note_report (hand, 1);
+  hand_note_report (hand, 1);
+  g_assert_cmpfloat (hand_share (hand), ==, 0.25);
   g_assert_true (hand_hold (hand, &ask));
-  g_assert_null (hand_due (hand));
-  hand_gone (hand, 9); /* linked, never asked */
-  hand_reported (hand, 2);
-  g_assert_false (hand_ended (hand, &how));
-  hand_reported (hand, 3);
-  g_assert_true (hand_ended (hand, &how));
-  g_assert_false (hand_ended (hand, &how));
+  g_assert_null (hand_next_due (hand));
+  hand_owner_gone (hand, 9); /* linked, never asked */
+  hand_note_report (hand, 2);
+  g_assert_false (hand_take_result (hand, &how));
+  hand_note_report (hand, 3);
+  g_assert_true (hand_take_result (hand, &how));
+  g_assert_false (hand_take_result (hand, &how));
   g_assert_cmpuint (how.reported, ==, 3);
-  g_assert_cmpuint (hand_due (hand)->request, ==, 7);
-  hand_release (hand);
-  g_assert_null (hand_due (hand));
-  hand_gone (hand, 2);
-  hand_gone (hand, 3);
-  g_assert_true (hand_asked (hand, 4, 4));
+  g_assert_cmpuint (hand_next_due (hand)->request, ==, 7);
+  hand_free_due (hand);
+  g_assert_null (hand_next_due (hand));
+  hand_owner_gone (hand, 2);
+  hand_owner_gone (hand, 3);
+  g_assert_true (hand_note_request (hand, 4, 4));
   loop.clock.now += WAIT_MS * FT_MS;
-  g_assert_true (hand_settled (hand));
-  g_assert_cmpfloat (hand_part (hand), ==, 1);
-  g_assert_true (hand_ended (hand, &how));
+  g_assert_true (hand_is_over (hand));
+  g_assert_cmpfloat (hand_share (hand), ==, 1);
+  g_assert_true (hand_take_result (hand, &how));
   g_assert_cmpstr (how.why, ==, "time");
-  g_assert_false (hand_asked (hand, 4, 4));
+  g_assert_false (hand_note_request (hand, 4, 4));
   hand_begin (hand, 4);
   hand_hold (hand, &ask);
-  hand_drop (hand, 1, 7);
+  hand_cancel (hand, 1, 7);
   loop.clock.now += WAIT_MS * FT_MS;
-  g_assert_null (hand_due (hand));
+  g_assert_null (hand_next_due (hand));
   hand_free (hand);
 }
 
--- a/test/health.c
+++ b/test/health.c
@@ -272,14 +272,14 @@
 static void
 forgotten_connections_are_feared (void)
 {
-  SchedResult broke = { .outcome = SCHED_FAILED, .broke = true, .rested_us = 3 * FT_SECOND };
+  SchedResult broke = { .outcome = SCHED_FAILED, .broke = true, .conn_idle_us = 3 * FT_SECOND };
   SchedResult new_broke = { .outcome = SCHED_FAILED, .broke = true };
 
   begin (4, 6, false);
   for (unsigned i = 0; i < 4; i++)
     {
       ask (0, 1000, 10);
-      g_assert_cmpint (world->rest_most, >, 60 * FT_SECOND);
+      g_assert_cmpint (world->max_idle_us, >, 60 * FT_SECOND);
     }
   for (unsigned i = 0; i < 2; i++)
     {
@@ -290,11 +290,11 @@
   for (unsigned i = 0; i < 8; i++)
     {
       ask (0, 1000, 10); /* at servers where none has broken, too */
-      g_assert_cmpint (world->rest_most, <, 300 * FT_MS);
+      g_assert_cmpint (world->max_idle_us, <, 300 * FT_MS);
     }
   settle ();
   ask (0, 1000, 10);
-  g_assert_cmpint (world->rest_most, >, 10 * FT_SECOND);
+  g_assert_cmpint (world->max_idle_us, >, 10 * FT_SECOND);
   settle ();
   /* Where new ones break as well, resting is not the cause. */
   for (unsigned i = 0; i < 3; i++)
@@ -305,7 +305,7 @@
       world->work[number].done = true;
     }
   ask (0, 1000, 10);
-  g_assert_cmpint (world->rest_most, >, 60 * FT_SECOND);
+  g_assert_cmpint (world->max_idle_us, >, 60 * FT_SECOND);
   settle ();
   end ();
 }
--- a/test/list.c
+++ b/test/list.c
@@ -24,21 +24,21 @@
                             .leaving = (int) i == leaving };
       g_array_append_val (list, server);
     }
-  g_assert_true (servers_take_read (servers, list, at));
+  g_assert_true (servers_apply_read (servers, list, at));
   for (unsigned i = 0; i < list->len; i++)
     g_free (g_array_index (list, SeamServer, i).id);
   g_array_unref (list);
 }
 
-static ServersTaken
+static ServersResult
 pass (const Servers *from, Servers *to, guint held, MeshListKind kind, int64_t now)
 {
   MeshList msg;
 
-  servers_message (from, now, held, &msg);
+  servers_build_message (from, now, held, &msg);
   g_assert_cmpint (msg.kind, ==, kind);
-  ServersTaken taken = servers_take_message (to, &msg, now);
-  servers_message_clear (&msg);
+  ServersResult taken = servers_apply_message (to, &msg, now);
+  servers_clear_message (&msg);
   return taken;
 }
 
@@ -48,8 +48,8 @@
 {
   MeshPackedList packed;
 
-  g_assert_true (servers_pack (from, now, held, &packed));
-  g_assert_cmpint (servers_take_packed (to, &packed, now), ==, SERVERS_TAKEN);
+  g_assert_true (servers_build_packed (from, now, held, &packed));
+  g_assert_cmpint (servers_apply_packed (to, &packed, now), ==, SERVERS_APPLIED);
   g_assert_cmpuint (servers_digest (to), ==, servers_digest (from));
   g_assert_cmpint (servers_asked_at (to), ==, servers_asked_at (from));
   return packed.list.list_len;
@@ -71,27 +71,27 @@
 
   read_servers (voter, 0, 3000, -1, 100);
   g_assert_cmpint (pass (voter, entry, SERVERS_HELD_NONE, MESH_LIST_SAME, 200), ==,
-                   SERVERS_FOREIGN);
+                   SERVERS_UNKNOWN_BASE);
   pass_whole (voter, entry, 200);
   g_assert_cmpint (servers_asked_at (entry), ==, 100);
   guint before = servers_digest (voter);
   read_servers (voter, 10, 3005, 50, 300);
-  g_assert_cmpint (pass (voter, entry, before, MESH_LIST_CHANGES, 400), ==, SERVERS_TAKEN);
+  g_assert_cmpint (pass (voter, entry, before, MESH_LIST_CHANGES, 400), ==, SERVERS_APPLIED);
   g_assert_cmpuint (servers_digest (entry), ==, servers_digest (voter));
   g_assert_cmpuint (servers_count (entry), ==, 2995);
   g_assert_true (servers_find (entry, "i-50")->leaving);
   g_assert_null (servers_find (entry, "i-9"));
   g_assert_nonnull (servers_find (entry, "i-3004"));
   read_servers (other, 0, 7, -1, 150);
-  g_assert_cmpint (pass (voter, other, before, MESH_LIST_CHANGES, 400), ==, SERVERS_FOREIGN);
+  g_assert_cmpint (pass (voter, other, before, MESH_LIST_CHANGES, 400), ==, SERVERS_UNKNOWN_BASE);
   g_assert_cmpuint (servers_count (other), ==, 7);
   pass_whole (voter, other, 400);
   read_servers (voter, 10, 3005, 50, 500);
   g_assert_cmpint (pass (voter, other, servers_digest (other), MESH_LIST_SAME, 600), ==,
-                   SERVERS_TAKEN);
+                   SERVERS_APPLIED);
   g_assert_cmpint (servers_asked_at (other), ==, 500);
   g_assert_cmpint (pass (voter, other, servers_digest (other), MESH_LIST_SAME, 600), ==,
-                   SERVERS_OLD);
+                   SERVERS_STALE);
   servers_free (voter);
   servers_free (entry);
   servers_free (other);
@@ -116,7 +116,7 @@
       if (other_born_ms == 0)
         break;
     }
-  g_assert_true (servers_take_read (servers, list, at));
+  g_assert_true (servers_apply_read (servers, list, at));
   g_array_unref (list);
 }
 
@@ -159,10 +159,10 @@
   read_servers (deputy, 0, 200, -1, 100);
   read_servers (same, 0, 200, -1, 90);
   g_assert_cmpint (pass (deputy, same, SERVERS_HELD_UNKNOWN, MESH_LIST_SAME, 200), ==,
-                   SERVERS_TAKEN);
+                   SERVERS_APPLIED);
   g_assert_cmpint (servers_asked_at (same), ==, 100);
   g_assert_cmpint (pass (deputy, none, SERVERS_HELD_UNKNOWN, MESH_LIST_SAME, 200), ==,
-                   SERVERS_FOREIGN);
+                   SERVERS_UNKNOWN_BASE);
   pass_whole (deputy, none, 200);
   g_assert_cmpuint (servers_count (none), ==, 200);
   servers_free (deputy);
@@ -184,11 +184,11 @@
   pass_whole (voter, entry, 150);
   for (int i = 1; i <= 20; i++)
     read_servers (voter, (unsigned) i, (unsigned) (3000 + i), 100 + i, 100 + 100 * i);
-  servers_message (voter, 2200, servers_digest (entry), &msg);
+  servers_build_message (voter, 2200, servers_digest (entry), &msg);
   g_assert_cmpint (msg.kind, ==, MESH_LIST_CHANGES);
   g_assert_cmpuint (msg.servers.servers_len + msg.removed.removed_len, <, 70);
-  g_assert_cmpint (servers_take_message (entry, &msg, 2200), ==, SERVERS_TAKEN);
-  servers_message_clear (&msg);
+  g_assert_cmpint (servers_apply_message (entry, &msg, 2200), ==, SERVERS_APPLIED);
+  servers_clear_message (&msg);
   g_assert_cmpuint (servers_digest (entry), ==, servers_digest (voter));
   g_assert_cmpuint (servers_count (entry), ==, 3000);
   g_assert_false (servers_find (entry, "i-119")->leaving);
@@ -212,13 +212,13 @@
   read_servers (voter, 0, 3000, -1, 100);
   for (unsigned i = 0; i < 5; i++)
     {
-      servers_message (voter, now, SERVERS_HELD_UNKNOWN, &msg);
-      g_assert_cmpint (servers_take_message (entry, &msg, now), ==, SERVERS_FOREIGN);
-      asked += servers_may_want (entry, now);
-      servers_message_clear (&msg);
+      servers_build_message (voter, now, SERVERS_HELD_UNKNOWN, &msg);
+      g_assert_cmpint (servers_apply_message (entry, &msg, now), ==, SERVERS_UNKNOWN_BASE);
+      asked += servers_may_request (entry, now);
+      servers_clear_message (&msg);
     }
   g_assert_cmpuint (asked, ==, 1);
-  g_assert_true (servers_may_want (entry, now + FT_SECOND));
+  g_assert_true (servers_may_request (entry, now + FT_SECOND));
   g_assert_cmpuint (pass_whole (voter, entry, now), <, 3000 * 25);
   servers_free (voter);
   servers_free (entry);
@@ -276,7 +276,7 @@
           codec_clear (CODEC (MeshMsg), &msg);
           test_peer_end (&peers[i]);
         }
-      g_assert_cmpuint (servers_made (voter), ==, 1);
+      g_assert_cmpuint (servers_messages_built (voter), ==, 1);
       g_free (peers);
       servers_free (voter);
       mesh_free (mesh);
@@ -291,11 +291,11 @@
   MeshPackedList whole;
 
   read_servers (voter, 0, 50, -1, 100);
-  g_assert_true (servers_pack (voter, 200, SERVERS_HELD_NONE, &whole));
+  g_assert_true (servers_build_packed (voter, 200, SERVERS_HELD_NONE, &whole));
   for (u_int cut = 0; cut < whole.list.list_len; cut++)
     {
       MeshPackedList part = { whole.age_us, { cut, whole.list.list_val } };
-      g_assert_cmpint (servers_take_packed (entry, &part, 200), ==, SERVERS_FOREIGN);
+      g_assert_cmpint (servers_apply_packed (entry, &part, 200), ==, SERVERS_UNKNOWN_BASE);
     }
   g_assert_cmpuint (servers_count (entry), ==, 0);
   servers_free (voter);
@@ -387,7 +387,7 @@
   g_assert_false (failed);
   g_assert_cmpuint (refusals, >, 0);
   g_assert_cmpuint (read_count, ==, PAGES);
-  g_assert_cmpuint (reader_pages (reader), ==, PAGES);
+  g_assert_cmpuint (reader_last_pages (reader), ==, PAGES);
   g_assert_false (reader_busy (reader));
   loop_timer_stop (loop, &guard);
   reader_free (reader);
@@ -404,17 +404,17 @@
 static void
 long_list_is_read_rarely (void)
 {
-  ReaderNeed large = { .calls = 60, .readers = 291, .rate = 40 };
-  ReaderNeed small = { .calls = 1, .readers = 7, .rate = 40 };
-  ReaderNeed deputy = { .calls = 1, .readers = 7, .rate = 40, .for_others = true };
-  double calls_per_s = 291 * 60 / ((double) reader_interval (&large) / 1e6);
+  ReaderFallback large = { .calls = 60, .readers = 291, .rate = 40 };
+  ReaderFallback small = { .calls = 1, .readers = 7, .rate = 40 };
+  ReaderFallback deputy = { .calls = 1, .readers = 7, .rate = 40, .for_others = true };
+  double calls_per_s = 291 * 60 / ((double) reader_fallback_interval (&large) / 1e6);
 
   g_assert_cmpfloat (calls_per_s, <=, 40 * 0.31);
-  g_assert_cmpint (reader_age_borne (&large), >=, 3500 * FT_MS);
-  g_assert_cmpint (reader_age_borne (&small), <=, 2600 * FT_MS);
-  g_assert_cmpint (reader_interval (&small), <=, 1500 * FT_MS);
-  g_assert_cmpint (reader_interval (&deputy), <=, 1 * FT_SECOND);
-  g_assert_cmpint (reader_age_borne (&deputy), <=, 1100 * FT_MS);
+  g_assert_cmpint (reader_max_age (&large), >=, 3500 * FT_MS);
+  g_assert_cmpint (reader_max_age (&small), <=, 2600 * FT_MS);
+  g_assert_cmpint (reader_fallback_interval (&small), <=, 1500 * FT_MS);
+  g_assert_cmpint (reader_fallback_interval (&deputy), <=, 1 * FT_SECOND);
+  g_assert_cmpint (reader_max_age (&deputy), <=, 1100 * FT_MS);
 }
 
 /* A list of 15 pages was read as often as one of 2, which cost more calls than all else together;
@@ -427,14 +427,14 @@
   for (unsigned i = 0; i < G_N_ELEMENTS (drains); i++)
     for (unsigned pages = 1; pages <= 60; pages++)
       {
-        ReaderPlan plan = { pages, 190, true, drains[i] };
-        int64_t every = reader_every (&plan), pass = (int64_t) (pages / 60.0 * FT_SECOND);
+        ReaderSchedule plan = { pages, 190, true, drains[i] };
+        int64_t every = reader_pass_interval (&plan), pass = (int64_t) (pages / 60.0 * FT_SECOND);
         g_assert_cmpint (every + pass + 400 * FT_MS, <=, drains[i]);
         if (pages <= 6)
           g_assert_cmpint (every, ==, 700 * FT_MS);
       }
-  ReaderPlan fleet = { 15, 190, true, 5 * FT_SECOND };
-  g_assert_cmpint (15 * FT_SECOND / reader_every (&fleet), <=, 10); /* calls a second */
+  ReaderSchedule fleet = { 15, 190, true, 5 * FT_SECOND };
+  g_assert_cmpint (15 * FT_SECOND / reader_pass_interval (&fleet), <=, 10); /* calls a second */
 }
 
 /* A thousand entries that were left alone in one moment each read the list at once. */
@@ -445,18 +445,18 @@
 
   for (unsigned i = 0; i < G_N_ELEMENTS (counts); i++)
     {
-      ReaderNeed need = { .calls = 15, .readers = counts[i], .rate = 190 };
+      ReaderFallback need = { .calls = 15, .readers = counts[i], .rate = 190 };
       uint64_t state = 3;
       double made = 0;
       for (unsigned j = 0; j < counts[i]; j++)
         {
           state = state * 6364136223846793005u + 1442695040888963407u;
-          made += 15 * (reader_first (&need, state >> 20) < 5 * FT_SECOND);
+          made += 15 * (reader_first_delay (&need, state >> 20) < 5 * FT_SECOND);
         }
       g_assert_cmpfloat (made, <=, 5 * 190); /* calls in the first 5 s */
     }
-  ReaderNeed small = { .calls = 1, .readers = 12, .rate = 40 };
-  g_assert_cmpint (reader_first (&small, 12345), ==, 0);
+  ReaderFallback small = { .calls = 1, .readers = 12, .rate = 40 };
+  g_assert_cmpint (reader_first_delay (&small, 12345), ==, 0);
 }
 
 int
--- a/test/pace.c
+++ b/test/pace.c
@@ -73,7 +73,7 @@
   begin (SERVERS, 6, false);
   load (2, 60, usual);
   world->servers[0].rate = 0.1;
-  world->servers[1].rate = NOTICE_RATE_LEAST;
+  world->servers[1].rate = NOTICE_RATE_MIN;
   world->servers[2].rate = 1000;
   load (2, 60, usual);
   int64_t from = world->clock.now;
@@ -226,11 +226,11 @@
   Notice two = { .rate = 2 };
 
   begin (1, 6, false);
-  sched_notice_before (world->sched, 1, "s0", &two, 0);
+  sched_older_notice (world->sched, 1, "s0", &two, 0);
   g_assert_cmpuint (granted_at_server (), ==, G_MAXUINT);
   end ();
   begin (1, 6, false);
-  sched_notice_before (world->sched, 1, "s0", &two, 60 * FT_SECOND);
+  sched_older_notice (world->sched, 1, "s0", &two, 60 * FT_SECOND);
   g_assert_cmpuint (granted_at_server (), !=, G_MAXUINT);
   g_assert_cmpuint (granted_at_server (), ==, G_MAXUINT);
   end ();
@@ -249,8 +249,8 @@
     {
       begin (2, 6, false);
       worlds[i] = world;
-      sched_rate_part (world->sched, 1.0 / 7);
-      sched_notice_before (world->sched, 1, "s0", &notice, 0);
+      sched_set_rate_share (world->sched, 1.0 / 7);
+      sched_older_notice (world->sched, 1, "s0", &notice, 0);
     }
   for (unsigned t = 0; t < 7500; t++) /* 15 s */
     for (unsigned i = 0; i < 7; i++)
--- a/test/place.c
+++ b/test/place.c
@@ -124,10 +124,10 @@
   place = place_new (loop, mesh, 0x7f000001, &place_ops, NULL);
   rt_cat_add_service (cat, &service, NULL);
   rt_cat_add_org (cat, &org, NULL);
-  broker_catalogue (place_broker (place), cat);
+  broker_set_catalogue (place_own_broker (place), cat);
   g_array_append_val (list, server);
-  servers_take_read (servers, list, loop_now (loop));
-  broker_servers (place_broker (place), servers);
+  servers_apply_read (servers, list, loop_now (loop));
+  broker_set_servers (place_own_broker (place), servers);
   g_array_unref (list);
   g_ptr_array_unref (org.keys);
   rt_cat_unref (cat);
@@ -150,7 +150,7 @@
   MeshView view = { .term = term, .leader = one->peer.ip, .proved = true, .entries = 1 };
 
   one->peer.heard = loop_now (loop);
-  place_view (place, &one->peer, &view);
+  place_apply_view (place, &one->peer, &view);
 }
 
 static void
@@ -271,7 +271,7 @@
   char none[] = "", service[] = "s";
 
   begin ();
-  Broker *broker = place_broker (place);
+  Broker *broker = place_own_broker (place);
   Scheduler entry = scheduler (31);
   asks.MeshMsg_u.ask = (MeshAsk){ .request = 1,
                                   .service = service,
@@ -280,17 +280,17 @@
                                   .server = none,
                                   .org_fill_ms = MESH_FILL_UNKNOWN,
                                   .end_in_us = FT_SECOND };
-  broker_up (broker, &entry.peer);
+  broker_link_up (broker, &entry.peer);
   broker_message (broker, &entry.peer, &asks);
-  g_assert_cmpuint (broker_askers (broker), ==, 1);
+  g_assert_cmpuint (broker_asker_count (broker), ==, 1);
   broker_message (broker, &entry.peer, &turns);
-  g_assert_cmpuint (broker_askers (broker), ==, 0);
-  g_assert_cmpuint (broker_away (broker), ==, 1);
+  g_assert_cmpuint (broker_asker_count (broker), ==, 0);
+  g_assert_cmpuint (broker_away_count (broker), ==, 1);
   asks.MeshMsg_u.ask.request = 2;
   broker_message (broker, &entry.peer, &asks);
-  g_assert_cmpuint (broker_askers (broker), ==, 1);
-  g_assert_cmpuint (broker_away (broker), ==, 0);
-  broker_down (broker, &entry.peer);
+  g_assert_cmpuint (broker_asker_count (broker), ==, 1);
+  g_assert_cmpuint (broker_away_count (broker), ==, 0);
+  broker_link_down (broker, &entry.peer);
   test_peer_end (&entry);
   end ();
 }
@@ -305,7 +305,7 @@
   unsigned granted = 0;
 
   begin ();
-  Broker *broker = place_broker (place);
+  Broker *broker = place_own_broker (place);
   Scheduler entry = scheduler (31);
   asks.MeshMsg_u.ask = (MeshAsk){ .request = 1,
                                   .service = service,
@@ -317,9 +317,9 @@
                                   .aim_in_us = FT_SECOND,
                                   .limit_in_us = FT_SECOND,
                                   .end_in_us = FT_SECOND };
-  broker_up (broker, &entry.peer);
+  broker_link_up (broker, &entry.peer);
   broker_message (broker, &entry.peer, &turns);
-  broker_share_heard (broker, 1, 0);
+  broker_set_shares_by_heard (broker, 1, 0);
   broker_message (broker, &entry.peer, &asks);
   while (test_peer_next (&entry, &msg))
     {
@@ -327,7 +327,7 @@
       codec_clear (CODEC (MeshMsg), &msg);
     }
   g_assert_cmpuint (granted, ==, 1);
-  broker_down (broker, &entry.peer);
+  broker_link_down (broker, &entry.peer);
   test_peer_end (&entry);
   end ();
 }
@@ -355,7 +355,7 @@
 {
   BrokerConf conf = { .handover_us = 200 * FT_MS };
 
-  broker_configure (place_broker (place), &conf);
+  broker_configure (place_own_broker (place), &conf);
 }
 
 /* Guards against a scheduler that takes an entry for settled before it knows what runs there, and
@@ -439,32 +439,32 @@
 ask_waits_for_reports (void)
 {
   MeshMsg first = ask_of (1, 800), second = ask_of (2, 800), gone = { .kind = MESH_DONE };
-  uint64_t held = count_of (COUNT_HELD);
+  uint64_t held = count_get (COUNT_HELD_ASKS);
 
   begin ();
   hand_over ();
-  Broker *broker = place_broker (place);
+  Broker *broker = place_own_broker (place);
   Scheduler a = scheduler (31), b = scheduler (32);
-  broker_up (broker, &a.peer);
-  broker_up (broker, &b.peer);
-  broker_share_heard (broker, 4, 0);
+  broker_link_up (broker, &a.peer);
+  broker_link_up (broker, &b.peer);
+  broker_set_shares_by_heard (broker, 4, 0);
   broker_take_over (broker);
   say_reported (broker, &a);
-  g_assert_cmpuint (broker_askers (broker), ==, 0); /* else a deputy sends it lists */
+  g_assert_cmpuint (broker_asker_count (broker), ==, 0); /* else a deputy sends it lists */
   broker_message (broker, &a.peer, &second);
   gone.MeshMsg_u.done.request = 2;
   broker_message (broker, &a.peer, &gone);
   broker_message (broker, &a.peer, &first);
   g_assert_false (test_peer_next (&a, &first));
-  g_assert_cmpuint (count_of (COUNT_HELD), ==, held + 2);
-  g_assert_true (broker_waits (broker, &a.peer));
-  broker_down (broker, &b.peer); /* two of three: b is no longer waited for */
+  g_assert_cmpuint (count_get (COUNT_HELD_ASKS), ==, held + 2);
+  g_assert_true (broker_peer_waits (broker, &a.peer));
+  broker_link_down (broker, &b.peer); /* two of three: b is no longer waited for */
   Scheduler c = scheduler (33);
-  broker_up (broker, &c.peer);
+  broker_link_up (broker, &c.peer);
   say_reported (broker, &c);
   g_assert_cmpuint (verdicts (&a, MESH_GRANT), ==, 1);
-  broker_down (broker, &a.peer);
-  broker_down (broker, &c.peer);
+  broker_link_down (broker, &a.peer);
+  broker_link_down (broker, &c.peer);
   test_peer_end (&a);
   test_peer_end (&b);
   test_peer_end (&c);
@@ -482,11 +482,11 @@
   begin ();
   hand_over ();
   Scheduler voter = scheduler (11), entry = scheduler (31);
-  place_view (place, &voter.peer, &view);
+  place_apply_view (place, &voter.peer, &view);
   entry.peer.role = MESH_ENTRY;
   entry.peer.dialled = false;
-  place_up (place, &entry.peer);
-  say_reported (place_broker (place), &entry);
+  place_link_up (place, &entry.peer);
+  say_reported (place_own_broker (place), &entry);
   for (uint64_t i = 1; i <= 4; i++)
     {
       msg = ask_of (i, 0);
@@ -495,7 +495,7 @@
   for (unsigned i = 0; i < 6; i++) /* longer than the handover */
     run_until_ticked ();
   g_assert_cmpuint (verdicts (&entry, MESH_GRANT), ==, 2);
-  place_down (place, &entry.peer);
+  place_link_down (place, &entry.peer);
   test_peer_end (&voter);
   test_peer_end (&entry);
   end ();
@@ -569,7 +569,7 @@
   in_charge (&a, 1);
   entry.peer.role = MESH_ENTRY;
   entry.peer.dialled = false;
-  place_up (place, &entry.peer);
+  place_link_up (place, &entry.peer);
   msg.MeshMsg_u.ask = (MeshAsk){ .request = 1,
                                  .service = service,
                                  .org = org,
@@ -587,7 +587,7 @@
       codec_clear (CODEC (MeshMsg), &msg);
     }
   g_assert_cmpuint (granted, ==, 1);
-  place_down (place, &entry.peer);
+  place_link_down (place, &entry.peer);
   test_peer_end (&a);
   test_peer_end (&entry);
   end ();
@@ -629,21 +629,21 @@
   Spent *spent = all->entries[entry];
   const char *name = all->names[org];
   int64_t now = all->clock.now, age, given_for, wait;
-  double full, elsewhere = spent_elsewhere (spent, quota, name, &given_for);
+  double full, elsewhere = spent_take_untold (spent, quota, name, &given_for);
 
-  if (spent_reported (spent, quota, name, &full, &age))
-    quota_report (quota, name, full, now - age);
+  if (spent_latest_report (spent, quota, name, &full, &age))
+    quota_apply_report (quota, name, full, now - age);
   if (elsewhere > 0)
-    quota_used (quota, name, elsewhere, now - given_for);
+    quota_charge_remote (quota, name, elsewhere, now - given_for);
   bool granted = quota_take (quota, name, COST, 0, &wait);
   if (granted)
     {
-      spent_granted (spent, quota, name, COST);
+      spent_record_grant (spent, quota, name, COST);
       all->given[org][step] += COST;
     }
   else
     all->refused[org]++;
-  spent_report (spent, quota, name, quota_full (quota, name));
+  spent_record_report (spent, quota, name, quota_fill_level (quota, name));
 }
 
 /* The first voter leads for three seconds, the second until it dies after fifteen; within 0.2 s the
@@ -691,13 +691,13 @@
   for (unsigned i = 0; i < 3; i++)
     {
       all->schedulers[i] = quota_new (&all->clock.base);
-      quota_margin (all->schedulers[i], 0.1, 140000, 8, true);
+      quota_set_margin (all->schedulers[i], 0.1, 140000, 8, true);
     }
   for (unsigned org = 0; org < ORGS; org++)
     {
       g_snprintf (all->names[org], sizeof all->names[org], "o%u", org);
       for (unsigned i = 0; i < 3; i++)
-        quota_limit (all->schedulers[i], all->names[org], LIMIT, LIMIT);
+        quota_set_limit (all->schedulers[i], all->names[org], LIMIT, LIMIT);
     }
   all->clock.now += 60 * FT_SECOND;
   for (unsigned step = 0; step < TOTAL; step++)
@@ -740,7 +740,7 @@
   ask (1, 0);
   grant (&a, 1);
   in_charge (&b, 2);
-  place_done (place, 1, &ok);
+  place_end (place, 1, &ok);
   g_assert_cmpuint (count_kind (&a, MESH_DONE, 1), ==, 1);
   g_assert_cmpuint (count_kind (&b, MESH_DONE, 1), ==, 1);
   test_peer_end (&a);
@@ -790,10 +790,10 @@
   begin ();
   Scheduler a = scheduler (11);
   in_charge (&a, 1);
-  g_assert_cmpstr (place_by (place), ==, "voter");
+  g_assert_cmpstr (place_scheduler_name (place), ==, "voter");
   ask (1, 0);
   run_until (is_granted);
-  g_assert_cmpstr (place_by (place), ==, "own");
+  g_assert_cmpstr (place_scheduler_name (place), ==, "own");
   count_kind (&a, MESH_DONE, 1);
   grant (&a, 1);
   g_assert_cmpuint (grants, ==, 1);
@@ -849,7 +849,7 @@
   ask (1, 0);
   grant (&a, 1);
   ask (2, 0);
-  place_notice (place, 1, "i", &said);
+  place_report_notice (place, 1, "i", &said);
   g_assert_true (next_notice (&a, &told, &asks));
   g_assert_cmpuint (told.request, ==, 1);
   g_assert_cmpuint (told.rate_milli, ==, 2000);
@@ -879,13 +879,13 @@
   in_charge (&a, 1);
   ask (1, 0);
   grant (&a, 1);
-  place_notice (place, 1, "i", &nothing);
+  place_report_notice (place, 1, "i", &nothing);
   g_assert_false (next_notice (&a, &told, &asks));
   ask (2, 0);
   paced.MeshMsg_u.grant
       = (MeshGrant){ .request = 2, .server = (char *) "i", .name = none, .ip = 1, .paced = true };
   place_message (place, &a.peer, &paced);
-  place_notice (place, 2, "i", &nothing);
+  place_report_notice (place, 2, "i", &nothing);
   g_assert_true (next_notice (&a, &told, &asks));
   g_assert_cmpuint (told.rate_milli, ==, 0);
   test_peer_end (&a);
@@ -905,13 +905,13 @@
   begin ();
   Scheduler a = scheduler (11);
   in_charge (&a, 1);
-  g_assert_null (place_withholds (place, "i", &left));
+  g_assert_null (place_block_reason (place, "i", &left));
   ask (1, 0);
   grant (&a, 1);
-  place_notice (place, 1, "i", &said);
+  place_report_notice (place, 1, "i", &said);
   while (next_notice (&a, &told, &asks))
     ;
-  g_assert_cmpstr (place_withholds (place, "i", &left), ==, "leaving");
+  g_assert_cmpstr (place_block_reason (place, "i", &left), ==, "leaving");
   g_assert_true (next_notice (&a, &told, &asks));
   g_assert_true (told.leaving);
   test_peer_end (&a);
@@ -931,7 +931,7 @@
     {
       ask (9, 0);
       run_until (one_granted);
-      place_done (place, 9, &result);
+      place_end (place, 9, &result);
       grants = 0;
     }
   Scheduler a = scheduler (11);
@@ -939,11 +939,11 @@
   run_until_ticked ();
   ask (1, 0);
   grant (&a, 1);
-  place_notice (place, 1, "i", &said);
+  place_report_notice (place, 1, "i", &said);
   run_until_ticked ();
   ask (2, 0);
-  place_down (place, &a.peer);
-  g_assert_cmpstr (place_by (place), ==, "own");
+  place_link_down (place, &a.peer);
+  g_assert_cmpstr (place_scheduler_name (place), ==, "own");
   run_until (one_more_granted);
   g_assert_cmpuint (refusals, ==, 0);
   test_peer_end (&a);
@@ -959,14 +959,14 @@
   BrokerConf conf = { .return_part = 0.25 };
   char none[] = "", service[] = "s", org[] = "o";
   MeshMsg asks = { .kind = MESH_ASK }, refused[2];
-  uint64_t promised = count_of (COUNT_PROMISED);
+  uint64_t promised = count_get (COUNT_RETURNS_PROMISED);
 
   begin ();
-  Broker *broker = place_broker (place);
+  Broker *broker = place_own_broker (place);
   Scheduler entry = scheduler (31);
   broker_configure (broker, &conf);
-  broker_share (broker, 1, 1, 0);
-  broker_up (broker, &entry.peer);
+  broker_set_shares (broker, 1, 1, 0);
+  broker_link_up (broker, &entry.peer);
   for (uint64_t i = 0; i < 2; i++)
     {
       asks.MeshMsg_u.ask = (MeshAsk){ .request = i + 1,
@@ -991,11 +991,11 @@
   g_assert_cmpuint (again->retry_after_ms, <=, first->retry_after_ms);
   g_assert_nonnull (strstr (again->rule, "; promised in "));
   broker_tick (broker);
-  g_assert_cmpuint (count_of (COUNT_PROMISED), ==, promised + 1);
+  g_assert_cmpuint (count_get (COUNT_RETURNS_PROMISED), ==, promised + 1);
   g_free (told);
   for (unsigned i = 0; i < 2; i++)
     codec_clear (CODEC (MeshMsg), &refused[i]);
-  broker_down (broker, &entry.peer);
+  broker_link_down (broker, &entry.peer);
   test_peer_end (&entry);
   end ();
 }
--- a/test/pool.c
+++ b/test/pool.c
@@ -133,19 +133,19 @@
           int64_t due_ms, unsigned prompt)
 {
   unsigned number = ++fixture->asked;
-  FtAsk ask = { .entry = 1,
-                .request = number,
-                .tier = tier,
-                .org = org,
-                .class_name = "c",
-                .weight = 1,
-                .limits = limits,
-                .prompt_tokens = prompt,
-                .first_in = first_ms * FT_MS,
-                .due_in = due_ms * FT_MS };
+  FtPoolRequest ask = { .entry = 1,
+                        .request = number,
+                        .tier = tier,
+                        .org = org,
+                        .class_name = "c",
+                        .weight = 1,
+                        .limits = limits,
+                        .prompt_tokens = prompt,
+                        .first_token_in_us = first_ms * FT_MS,
+                        .deadline_in_us = due_ms * FT_MS };
 
   fixture->seen[number].tier = tier;
-  g_assert_cmpint (ft_pool_ask (fixture->pool, &ask), ==, FT_OK);
+  g_assert_cmpint (ft_pool_submit (fixture->pool, &ask), ==, FT_OK);
   return number;
 }
 
@@ -159,7 +159,7 @@
 done (Fixture *fixture, unsigned number)
 {
   fixture->seen[number].kind = DONE;
-  ft_pool_done (fixture->pool, 1, number, FT_DONE_WHOLE, 100);
+  ft_pool_end_request (fixture->pool, 1, number, FT_OUTCOME_COMPLETE, 100);
 }
 
 static void
@@ -176,7 +176,7 @@
   unsigned early = ask (fixture, 2, "o");
 
   g_assert_cmpint (fixture->seen[early].kind, ==, WAITING); /* no server yet */
-  ft_pool_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
+  ft_pool_update_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
   g_assert_cmpint (fixture->seen[early].kind, ==, RUNNING);
   done (fixture, early);
   end (fixture);
@@ -207,7 +207,7 @@
   FtLimits concurrent = { .concurrent = 1 }, per_minute = { .requests_per_minute = 2 },
            tokens = { .tokens_per_minute = 500 };
 
-  ft_pool_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
+  ft_pool_update_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
   unsigned a = ask_with (fixture, 1, "a", concurrent, 2000, 60000, 100);
   unsigned b = ask_with (fixture, 1, "a", concurrent, 2000, 60000, 100);
   g_assert_cmpint (fixture->seen[a].kind, ==, RUNNING);
@@ -237,7 +237,7 @@
 {
   Fixture *fixture = begin (1, 2, true);
 
-  ft_pool_server (fixture->pool, "s1", 1, FT_SERVER_LIVE);
+  ft_pool_update_server (fixture->pool, "s1", 1, FT_SERVER_LIVE);
   ask (fixture, 1, "o");
   unsigned low = ask_with (fixture, 5, "o", (FtLimits){ 0 }, 60000, 90000, 1);
   unsigned last = ask_with (fixture, 5, "o", (FtLimits){ 0 }, 60000, 90000, 1);
@@ -258,7 +258,7 @@
   Fixture *fixture = begin (1, 0, false);
   unsigned first, hog = 0;
 
-  ft_pool_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
+  ft_pool_update_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
   first = ask (fixture, 3, "hog");
   for (unsigned i = 0; i < 100; i++)
     hog = ask_with (fixture, 3, "hog", (FtLimits){ 0 }, 600000, 900000, 100);
@@ -275,13 +275,13 @@
 {
   Fixture *fixture = begin (8, 0, false);
 
-  ft_pool_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
+  ft_pool_update_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
   unsigned one = ask (fixture, 3, "o");
-  ft_pool_server (fixture->pool, "e1", 1, FT_SERVER_LEAVING);
+  ft_pool_update_server (fixture->pool, "e1", 1, FT_SERVER_LEAVING);
   unsigned two = ask (fixture, 3, "o");
   g_assert_cmpint (fixture->seen[one].kind, ==, RUNNING);
   g_assert_cmpint (fixture->seen[two].kind, ==, WAITING);
-  ft_pool_server (fixture->pool, "e2", 1, FT_SERVER_LIVE);
+  ft_pool_update_server (fixture->pool, "e2", 1, FT_SERVER_LIVE);
   g_assert_cmpstr (fixture->seen[two].server, ==, "e2");
   end (fixture);
 }
@@ -297,24 +297,24 @@
 
   for (unsigned i = 0; i < 32; i++)
     blocks[i] = i + 1;
-  ft_pool_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
-  ft_pool_server (fixture->pool, "e2", 1, FT_SERVER_LIVE);
+  ft_pool_update_server (fixture->pool, "e1", 1, FT_SERVER_LIVE);
+  ft_pool_update_server (fixture->pool, "e2", 1, FT_SERVER_LIVE);
   for (unsigned i = 0; i < 3; i++)
     {
       unsigned number = ++fixture->asked;
-      FtAsk request = { .entry = 1,
-                        .request = number,
-                        .tier = 1,
-                        .org = "o",
-                        .class_name = "c",
-                        .weight = 1,
-                        .prompt_tokens = 32 * FT_BLOCK_TOKENS,
-                        .first_in = 60 * FT_SECOND,
-                        .due_in = 90 * FT_SECOND,
-                        .blocks = blocks,
-                        .block_count = 32 };
+      FtPoolRequest request = { .entry = 1,
+                                .request = number,
+                                .tier = 1,
+                                .org = "o",
+                                .class_name = "c",
+                                .weight = 1,
+                                .prompt_tokens = 32 * FT_BLOCK_TOKENS,
+                                .first_token_in_us = 60 * FT_SECOND,
+                                .deadline_in_us = 90 * FT_SECOND,
+                                .blocks = blocks,
+                                .block_count = 32 };
       fixture->seen[number].tier = 1;
-      ft_pool_ask (fixture->pool, &request);
+      ft_pool_submit (fixture->pool, &request);
       if (i == 0)
         ft_pool_progress (fixture->pool, 1, number, 1);
       g_strlcpy (where[i], fixture->seen[number].server, 32);
@@ -337,7 +337,8 @@
 
       fixture->check_tiers = true;
       for (unsigned i = 0; i < 3; i++)
-        ft_pool_server (fixture->pool, (const char *[]){ "a", "b", "c" }[i], 1, FT_SERVER_LIVE);
+        ft_pool_update_server (fixture->pool, (const char *[]){ "a", "b", "c" }[i], 1,
+                               FT_SERVER_LIVE);
       for (unsigned step = 0; step < 4000; step++)
         {
           unsigned number
--- a/test/publish.c
+++ b/test/publish.c
@@ -84,7 +84,7 @@
                         .slots = 4 };
 
   g_array_append_val (list, server);
-  g_assert_true (servers_take_read (servers, list, loop_now (loop)));
+  g_assert_true (servers_apply_read (servers, list, loop_now (loop)));
   g_array_unref (list);
 }
 
--- a/test/returns.c
+++ b/test/returns.c
@@ -65,7 +65,7 @@
 static void
 take_refusal (Caller *caller, int64_t now, int64_t advice, bool promised, uint64_t number)
 {
-  int64_t third = (caller->end_at - now) / ADVICE_PART;
+  int64_t third = (caller->end_at - now) / RET_WAIT_DIVISOR;
   int64_t way = 2 * FT_MS + (int64_t) (number * 2654435761u % 20) * FT_MS;
 
   caller->refusals++;
@@ -128,9 +128,9 @@
   forget_callers ();
   limit->clock = test_clock ();
   limit->quota = quota_new (&limit->clock.base);
-  limit->ret = ret_new (&limit->clock.base, RET_MOST);
-  ret_part (limit->ret, part);
-  quota_limit (limit->quota, "o", RATE, RATE);
+  limit->ret = ret_new (&limit->clock.base, RET_MAX_RESERVATIONS);
+  ret_set_share (limit->ret, part);
+  quota_set_limit (limit->quota, "o", RATE, RATE);
 }
 
 static void
@@ -141,9 +141,9 @@
 }
 
 static bool
-take (Limit *limit, uint64_t content, unsigned rank, int64_t end_at, int64_t *wait, RetWord *word)
+take (Limit *limit, uint64_t content, unsigned rank, int64_t end_at, int64_t *wait, RetAdvice *word)
 {
-  RetAsk ask = { "o", content, COST, rank, end_at, 0 };
+  RetRequest ask = { "o", content, COST, rank, end_at, 0 };
 
   return ret_take_tokens (limit->ret, limit->quota, &ask, wait, word);
 }
@@ -155,19 +155,19 @@
 {
   Limit limit;
   int64_t wait = 0;
-  RetWord word = RET_PLAIN;
+  RetAdvice word = RET_NO_RESERVATION;
 
   limit_begin (&limit, 0.25);
-  for (uint64_t content = 1; word == RET_PLAIN; content++)
+  for (uint64_t content = 1; word == RET_NO_RESERVATION; content++)
     take (&limit, content, 0, limit.clock.now + 10 * FT_SECOND, &wait, &word);
-  g_assert_cmpint (word, ==, RET_PROMISED);
-  RetAsk ask = { "o", 1000, COST, 0, limit.clock.now + 10 * FT_SECOND, limit.clock.now + wait };
+  g_assert_cmpint (word, ==, RET_RESERVED);
+  RetRequest ask = { "o", 1000, COST, 0, limit.clock.now + 10 * FT_SECOND, limit.clock.now + wait };
   g_assert_false (ret_take_tokens (limit.ret, limit.quota, &ask, &wait, &word));
-  g_assert_cmpint (word, ==, RET_BEYOND);
-  ask = (RetAsk){ "o", 1001, COST, 0, ask.end_at, limit.clock.now + 2 * wait };
+  g_assert_cmpint (word, ==, RET_TOO_LATE);
+  ask = (RetRequest){ "o", 1001, COST, 0, ask.end_at, limit.clock.now + 2 * wait };
   g_assert_false (ret_take_tokens (limit.ret, limit.quota, &ask, &wait, &word));
-  g_assert_cmpint (word, ==, RET_PROMISED);
-  g_assert_cmpint (limit.clock.now + wait, <=, ask.use_until);
+  g_assert_cmpint (word, ==, RET_RESERVED);
+  g_assert_cmpint (limit.clock.now + wait, <=, ask.useful_until);
   limit_end (&limit);
 }
 
@@ -175,7 +175,7 @@
 come_to_limit (Limit *limit, Caller *caller, uint64_t number, Sum *sum)
 {
   int64_t now = limit->clock.now, wait;
-  RetWord word;
+  RetAdvice word;
   bool served = take (limit, caller->content, 0, caller->end_at, &wait, &word);
 
   note_back (sum, caller, served);
@@ -188,7 +188,7 @@
     caller->done = true;
   else
     take_refusal (caller, now, MIN (wait, caller->end_at - now) / FT_MS * FT_MS,
-                  word == RET_PROMISED, number);
+                  word == RET_RESERVED, number);
 }
 
 /* per_s callers a second come for seconds, of mixed manners. Those that are refused come back
@@ -204,7 +204,7 @@
   for (unsigned ms = 0; limit->clock.now < until + PATIENCE; ms++)
     {
       limit->clock.now += FT_MS;
-      ret_tick (limit->ret);
+      ret_expire (limit->ret);
       if (limit->clock.now <= until)
         due += per_s / 1000;
       while (caller_count < (unsigned) due)
@@ -281,7 +281,7 @@
       report ("nobody comes back", i * PART, &sum);
       served[i] = sum.served;
       g_assert_cmpuint (ret_counts (limit.ret)->lapsed, ==, ret_counts (limit.ret)->promised);
-      g_assert_cmpfloat (ret_aside (limit.ret, ret_line ("o", 0), 9, 0), ==, 0);
+      g_assert_cmpfloat (ret_reserved (limit.ret, ret_resource_id ("o", 0), 9, 0), ==, 0);
       limit_end (&limit);
     }
   g_assert_cmpuint (served[1] * 100, >=, served[0] * 96);
@@ -302,7 +302,7 @@
 times_are_spread (void)
 {
   Limit limit;
-  RetWord word;
+  RetAdvice word;
   int64_t wait, before = 0;
 
   limit_begin (&limit, PART);
@@ -311,7 +311,7 @@
   for (uint64_t i = 1; i <= 20; i++)
     {
       g_assert_false (take (&limit, i, 0, end_at, &wait, &word));
-      g_assert_cmpint (word, ==, RET_PROMISED);
+      g_assert_cmpint (word, ==, RET_RESERVED);
       g_assert_cmpfloat ((double) (wait - before), >=, COST / (PART * RATE) * 1e6);
       before = wait;
     }
@@ -320,7 +320,7 @@
   g_assert_cmpuint (ret_counts (limit.ret)->promised, ==, 20);
   /* Another caller asks for the same with more time left: it has no claim to that time. */
   g_assert_false (take (&limit, 7, 0, end_at + FT_SECOND, &wait, &word));
-  g_assert_cmpint (word, ==, RET_PLAIN);
+  g_assert_cmpint (word, ==, RET_NO_RESERVATION);
   limit_end (&limit);
 }
 
@@ -330,7 +330,7 @@
 window_is_kept (void)
 {
   Limit limit;
-  RetWord word;
+  RetAdvice word;
   int64_t wait, other;
 
   for (int way = 0; way < 3; way++)
@@ -340,10 +340,10 @@
       int64_t end_at = limit.clock.now + PATIENCE;
       g_assert_false (take (&limit, 1, 0, end_at, &wait, &word));
       static const int64_t off[]
-          = { -RETURN_EARLY - FT_MS, -RETURN_EARLY, RETURN_GRACE + 2 * FT_MS };
+          = { -RET_EARLY_US - FT_MS, -RET_EARLY_US, RET_GRACE_US + 2 * FT_MS };
       limit.clock.now += wait + off[way];
       empty (&limit); /* which heeds no promise ... */
-      quota_give_back (limit.quota, "o", COST);
+      quota_refund (limit.quota, "o", COST);
       if (way < 2) /* ... as others do */
         g_assert_false (take (&limit, 2, 0, end_at, &other, &word));
       g_assert_cmpint (take (&limit, 1, 0, end_at, &other, &word), ==, way > 0);
@@ -361,21 +361,21 @@
 useless_times_are_not_promised (void)
 {
   Limit limit;
-  RetWord word;
+  RetAdvice word;
   int64_t wait;
   char rule[120] = "limit";
 
   limit_begin (&limit, PART);
   empty (&limit);
   g_assert_false (take (&limit, 1, 0, limit.clock.now + 400 * FT_MS, &wait, &word));
-  g_assert_cmpint (word, ==, RET_BEYOND);
-  g_assert_cmpint (wait, >, 400 * FT_MS / ADVICE_PART);
+  g_assert_cmpint (word, ==, RET_TOO_LATE);
+  g_assert_cmpint (wait, >, 400 * FT_MS / RET_WAIT_DIVISOR);
   g_assert_cmpuint (ret_counts (limit.ret)->promised, ==, 0);
   limit.clock.now += FT_SECOND;
-  g_assert_cmpfloat (ret_aside (limit.ret, ret_line ("o", 0), 0, 0), ==, 0);
+  g_assert_cmpfloat (ret_reserved (limit.ret, ret_resource_id ("o", 0), 0, 0), ==, 0);
   ret_explain (word, wait, rule, sizeof rule);
   g_assert_nonnull (strstr (rule, "limit; no time to promise"));
-  ret_explain (RET_PROMISED, 340 * FT_MS, rule, sizeof rule);
+  ret_explain (RET_RESERVED, 340 * FT_MS, rule, sizeof rule);
   g_assert_nonnull (strstr (rule, "promised in 340 ms"));
   limit_end (&limit);
 }
@@ -386,13 +386,13 @@
 unknown_contents_get_none (void)
 {
   Limit limit;
-  RetWord word;
+  RetAdvice word;
   int64_t wait;
 
   limit_begin (&limit, PART);
   empty (&limit);
   g_assert_false (take (&limit, 0, 0, limit.clock.now + PATIENCE, &wait, &word));
-  g_assert_cmpint (word, ==, RET_PLAIN);
+  g_assert_cmpint (word, ==, RET_NO_RESERVATION);
   g_assert_cmpuint (ret_counts (limit.ret)->promised, ==, 0);
   limit_end (&limit);
 }
@@ -403,7 +403,7 @@
 higher_ranks_go_first_at_limits (void)
 {
   Limit limit;
-  RetWord word;
+  RetAdvice word;
   int64_t wait;
 
   limit_begin (&limit, PART);
@@ -412,9 +412,9 @@
   while (take (&limit, 0, 2, limit.clock.now + PATIENCE, &wait, &word))
     ;
   g_assert_false (take (&limit, 1, 2, limit.clock.now + PATIENCE, &wait, &word));
-  g_assert_cmpint (word, ==, RET_PROMISED);
+  g_assert_cmpint (word, ==, RET_RESERVED);
   limit.clock.now += wait;
-  g_assert_cmpfloat (ret_aside (limit.ret, ret_line ("o", 0), 1, 0), ==, 0);
+  g_assert_cmpfloat (ret_reserved (limit.ret, ret_resource_id ("o", 0), 1, 0), ==, 0);
   unsigned taken = 0;
   while (take (&limit, 0, 0, limit.clock.now + PATIENCE, &wait, &word))
     taken++;
@@ -427,7 +427,7 @@
       take (&limit, 0, 0, limit.clock.now + PATIENCE, &wait, &word);
     }
   g_assert_false (take (&limit, 3, 2, limit.clock.now + PATIENCE, &wait, &word));
-  g_assert_cmpint (word, ==, RET_BEYOND);
+  g_assert_cmpint (word, ==, RET_TOO_LATE);
   limit_end (&limit);
 }
 
@@ -437,24 +437,25 @@
 promises_are_bounded (void)
 {
   TestClock clock = test_clock ();
-  Returns *ret = ret_new (&clock.base, RET_MOST);
+  Returns *ret = ret_new (&clock.base, RET_MAX_RESERVATIONS);
   int64_t at;
   bool promised;
-  RetOffer offer = { .line = 5, .cost = 1, .rate = 1, .end_at = clock.now + PATIENCE };
+  RetDemand offer = { .line = 5, .cost = 1, .rate = 1, .end_at = clock.now + PATIENCE };
 
-  ret_part (ret, PART);
-  for (offer.content = 1; offer.content <= RET_MOST + 100; offer.content++)
-    g_assert_true (ret_promise (ret, &offer, &at));
-  g_assert_cmpuint (ret_counts (ret)->promised, ==, RET_MOST + 100);
+  ret_set_share (ret, PART);
+  for (offer.content = 1; offer.content <= RET_MAX_RESERVATIONS + 100; offer.content++)
+    g_assert_true (ret_reserve (ret, &offer, &at));
+  g_assert_cmpuint (ret_counts (ret)->promised, ==, RET_MAX_RESERVATIONS + 100);
   g_assert_cmpuint (ret_counts (ret)->lapsed, ==, 100);
-  g_assert_cmpint (ret_state (ret, 5, 100, offer.end_at, &at, &promised), ==, RET_NONE);
-  g_assert_cmpint (ret_state (ret, 5, 101, offer.end_at, &at, &promised), ==, RET_EARLY);
-  for (offer.content = 1; offer.content <= 3 * RET_MOST; offer.content++)
-    ret_tell (ret, &offer, FT_SECOND);
-  g_assert_cmpint (ret_state (ret, 5, 2 * RET_MOST, offer.end_at, &at, &promised), ==, RET_NONE);
-  ret_part (ret, 0);
-  g_assert_cmpuint (ret_counts (ret)->lapsed, ==, RET_MOST + 100);
-  g_assert_false (ret_promise (ret, &offer, &at));
+  g_assert_cmpint (ret_lookup (ret, 5, 100, offer.end_at, &at, &promised), ==, RET_UNKNOWN);
+  g_assert_cmpint (ret_lookup (ret, 5, 101, offer.end_at, &at, &promised), ==, RET_EARLY);
+  for (offer.content = 1; offer.content <= 3 * RET_MAX_RESERVATIONS; offer.content++)
+    ret_record_wait (ret, &offer, FT_SECOND);
+  g_assert_cmpint (ret_lookup (ret, 5, 2 * RET_MAX_RESERVATIONS, offer.end_at, &at, &promised), ==,
+                   RET_UNKNOWN);
+  ret_set_share (ret, 0);
+  g_assert_cmpuint (ret_counts (ret)->lapsed, ==, RET_MAX_RESERVATIONS + 100);
+  g_assert_false (ret_reserve (ret, &offer, &at));
   ret_free (ret);
 }
 
@@ -512,7 +513,7 @@
 {
   forget_callers ();
   begin (SERVERS, 6, true);
-  sched_returns (world->sched, part);
+  sched_set_return_share (world->sched, part);
   load (4, 30, usual); /* speeds are learned */
 }
 
@@ -557,7 +558,7 @@
       places_begin (i * PART);
       sums[i] = run_places (150, 5, obey, 1);
       report ("twice the places for 5 s", i * PART, &sums[i]);
-      RetCounts counts = sched_returned (world->sched);
+      RetCounts counts = sched_return_counts (world->sched);
       g_assert_cmpuint (counts.promised, ==, counts.kept + counts.lapsed + counts.lost);
       g_assert_cmpuint (counts.kept, ==, sums[i].promised_served);
       end ();
@@ -582,7 +583,7 @@
 {
   forget_callers ();
   begin (2, 2, false);
-  sched_returns (world->sched, PART);
+  sched_set_return_share (world->sched, PART);
   for (int i = 0; i < 100; i++)
     {
       Caller *caller = new_caller (world->clock.now, OBEYS);
@@ -603,7 +604,7 @@
   int64_t due;
   Caller *caller = promised_caller (&due);
 
-  for (; world->clock.now < due - RETURN_EARLY; step ())
+  for (; world->clock.now < due - RET_EARLY_US; step ())
     {
       const Work *work = &world->work[place_asked (caller, 2)];
       g_assert_true (work->refused);
@@ -613,10 +614,10 @@
       queued += !world->work[place_asked (newcomer, 2)].refused;
     }
   g_assert_cmpuint (queued, >, 0);
-  g_assert_cmpuint (sched_returned (world->sched).kept, ==, 0);
+  g_assert_cmpuint (sched_return_counts (world->sched).kept, ==, 0);
   place_asked (caller, 2);
   settle ();
-  g_assert_cmpuint (sched_returned (world->sched).kept, ==, 1);
+  g_assert_cmpuint (sched_return_counts (world->sched).kept, ==, 1);
   end ();
 }
 
@@ -633,7 +634,7 @@
       Sum sum = run_places (150, 5, never, 1);
       report ("twice the places, nobody comes back", i * PART, &sum);
       in_time[i] = sum.in_time;
-      RetCounts counts = sched_returned (world->sched);
+      RetCounts counts = sched_return_counts (world->sched);
       g_assert_cmpuint (counts.lapsed, ==, counts.promised);
       g_assert_cmpuint (counts.promised > 0, ==, i > 0);
       end ();
@@ -661,7 +662,7 @@
   settle ();
   for (unsigned i = 0; i < 2; i++)
     g_assert_cmpint (world->work[waiting[i]].sent_at, <, world->work[waiting[i + 1]].sent_at);
-  g_assert_cmpuint (sched_returned (world->sched).kept, ==, 1);
+  g_assert_cmpuint (sched_return_counts (world->sched).kept, ==, 1);
   end ();
 }
 
--- a/test/reuse.c
+++ b/test/reuse.c
@@ -38,14 +38,14 @@
 
 static void
 on_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *id,
-          int64_t rest_most)
+          int64_t max_idle_us)
 {
   Work *work = &works[request];
 
   (void) host;
   (void) owner;
   (void) org;
-  (void) rest_most;
+  (void) max_idle_us;
   work->server = (unsigned) atoi (id + 1);
   double noise = 0.9 + 0.2 * draw ();
   work->end_at = clock_.now + (int64_t) (2e3 + lengths[work->route] * speeds[work->server] * noise);
@@ -98,7 +98,7 @@
       speeds[i] = i % 3 == 2 ? 3.0 : 0.68;
       list[i] = (SchedServer){ ids[i], "s", "d", SLOTS, false, 0, NULL };
     }
-  sched_list (sched, list, SERVERS);
+  sched_set_servers (sched, list, SERVERS);
   return sched;
 }
 
@@ -108,7 +108,7 @@
   unsigned count = 0;
   char id[8];
 
-  for (unsigned i = 0; i < SERVERS && count < SCHED_KEPT_MOST; i++)
+  for (unsigned i = 0; i < SERVERS && count < SCHED_CONNECTED_MAX; i++)
     if (used_at[owner][i] && clock_.now - used_at[owner][i] < KEPT)
       {
         snprintf (id, sizeof id, "s%u", i);
@@ -139,7 +139,7 @@
 static bool
 ask (Sched *sched, bool *could)
 {
-  uint32_t kept[SCHED_KEPT_MOST];
+  uint32_t kept[SCHED_CONNECTED_MAX];
   Work *work = &works[asked];
 
   *work = (Work){ .owner = 1 + (unsigned) (draw () * (OWNERS - 1)),
--- a/test/rollout.c
+++ b/test/rollout.c
@@ -11,15 +11,15 @@
 /* ---- The account ---- */
 
 static bool
-order (RollAccount *account, uint64_t index, const char *target, uint64_t after)
+order (RolloutTable *account, uint64_t index, const char *target, uint64_t after)
 {
   MsgRolloutStart start = { (char *) "s", (char *) target, (char *) "v1", 12000, after };
 
-  return roll_start (account, index, &start);
+  return roll_apply_start (account, index, &start);
 }
 
 static bool
-step_to (RollAccount *account, uint64_t index, uint64_t number, MsgRolloutPhase phase)
+step_to (RolloutTable *account, uint64_t index, uint64_t number, MsgRolloutPhase phase)
 {
   MsgRolloutStep step = { .service = (char *) "s",
                           .number = number,
@@ -27,7 +27,7 @@
                           .trial = { .elapsed_ms = (int64_t) index, .reserved = 7 },
                           .why = (char *) "why" };
 
-  return roll_step (account, index, &step);
+  return roll_apply_step (account, index, &step);
 }
 
 /* The answer to an order is lost, and its operator sends it again, to another voter, after a change
@@ -35,7 +35,7 @@
 static void
 order_again_begins_nothing (void)
 {
-  RollAccount *account = roll_new ();
+  RolloutTable *account = roll_new ();
 
   g_assert_cmpint (roll_check (account, "s", "v2", false), ==, ROLL_NEW);
   g_assert_true (order (account, 5, "v2", 0));
@@ -60,7 +60,7 @@
 static void
 ends_are_for_good (void)
 {
-  RollAccount *account = roll_new ();
+  RolloutTable *account = roll_new ();
 
   order (account, 1, "v2", 0);
   g_assert_true (step_to (account, 2, 1, MSG_ROLLOUT_MOVING));
@@ -124,7 +124,7 @@
   GByteArray *bytes = state_capture (state);
   g_byte_array_set_size (bytes, bytes->len - 12); /* what the older program did not write */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_OK);
-  g_assert_nonnull (blame_find (state_blame (later), content));
+  g_assert_nonnull (crashes_find (state_blame (later), content));
   g_assert_cmpuint (roll_index (state_rollouts (later)), ==, 0);
   g_byte_array_set_size (bytes, bytes->len - 4); /* cut in the middle of what it did write */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_CORRUPT);
@@ -137,12 +137,12 @@
 
 static const PlanLimits limits = { 0.1, 50 };
 
-static PlanFacts
+static PlanInput
 facts_at (int64_t elapsed_us)
 {
   unsigned placed = (unsigned) (300 * elapsed_us / FT_SECOND);
 
-  return (PlanFacts){ .phase = MSG_ROLLOUT_TRYING,
+  return (PlanInput){ .phase = MSG_ROLLOUT_TRYING,
                       .elapsed_us = elapsed_us,
                       .limit_us = 12 * FT_SECOND,
                       .placed = placed,
@@ -165,7 +165,7 @@
 
   for (int64_t at = 0; moved_ms == 0; at += 20 * FT_MS)
     {
-      PlanFacts facts = facts_at (at);
+      PlanInput facts = facts_at (at);
       facts.granted = granted;
       facts.answers = granted;
       plan_next (&limits, &facts, &step);
@@ -185,7 +185,7 @@
 static void
 completes_when_nothing_runs (void)
 {
-  PlanFacts facts = facts_at (13 * FT_SECOND);
+  PlanInput facts = facts_at (13 * FT_SECOND);
   PlanStep step;
 
   facts.phase = MSG_ROLLOUT_MOVING;
@@ -222,7 +222,7 @@
 static void
 rolls_back_what_cannot_move (void)
 {
-  PlanFacts facts = facts_at (8 * FT_SECOND);
+  PlanInput facts = facts_at (8 * FT_SECOND);
   PlanStep step;
 
   facts.places = 100;
@@ -249,7 +249,7 @@
 static void
 idle_service_moves (void)
 {
-  PlanFacts facts = facts_at (11 * FT_SECOND);
+  PlanInput facts = facts_at (11 * FT_SECOND);
   PlanStep step;
 
   facts.placed = facts.granted = facts.answers = 0;
@@ -272,8 +272,8 @@
   Court *court = g_new0 (Court, 1);
 
   court->clock = test_clock ();
-  court->judge = judge_new (&court->clock.base, JUDGE_SEQUENTIAL);
-  judge_servers (court->judge, 4);
+  court->judge = judge_new (&court->clock.base, JUDGE_CUSUM);
+  judge_set_servers (court->judge, 4);
   court->rand = g_rand_new_with_seed (seed);
   return court;
 }
@@ -302,7 +302,7 @@
 
   for (unsigned i = 0; i < 300 * seconds; i++)
     {
-      JudgeFacts facts;
+      JudgeResult facts;
       JudgeAnswer answer = { .route = 1 + i % 5, .ordered = i % 16 == 0 };
       answer.server = (answer.ordered ? 1 : 100) + (guint32) g_rand_int_range (court->rand, 0, 4);
       double share = answer.ordered ? bad.after : bad.before;
@@ -312,9 +312,9 @@
         share = MAX (share, bad.one_route);
       answer.bad = g_rand_double (court->rand) < share;
       court->clock.now += FT_SECOND / 300;
-      judge_answer (court->judge, &answer);
+      judge_add_answer (court->judge, &answer);
       answers += answer.ordered;
-      judge_facts (court->judge, &facts);
+      judge_get_result (court->judge, &facts);
       if (facts.suspicion >= 1)
         return answers;
     }
@@ -380,10 +380,10 @@
 evidence_is_taken_over (void)
 {
   Court *court = court_new (1);
-  JudgeFacts facts;
+  JudgeResult facts;
 
   judge_resume (court->judge, 12, 5, 0.8);
-  judge_facts (court->judge, &facts);
+  judge_get_result (court->judge, &facts);
   g_assert_cmpuint (facts.answers, ==, 12);
   g_assert_cmpuint (facts.bad, ==, 5);
   g_assert_cmpfloat (facts.suspicion, >, 0.79);
@@ -406,14 +406,14 @@
 
 static void
 on_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
-          int64_t rest_most)
+          int64_t max_idle_us)
 {
   Pool *pool = host;
 
   (void) owner;
   (void) request;
   (void) org;
-  (void) rest_most;
+  (void) max_idle_us;
   g_strlcpy (pool->last, server, sizeof pool->last);
   pool->granted[server[1] - '0']++;
 }
@@ -446,15 +446,16 @@
 }
 
 static void
-on_judged (void *host, const SchedJudged *judged)
+on_judged (void *host, const SchedVerdict *judged)
 {
   Pool *pool = host;
 
   pool->judged++;
   pool->judged_bad += judged->bad;
   if (pool->judge)
-    judge_answer (pool->judge, &(JudgeAnswer){ judged->route, sched_server_digest (judged->server),
-                                               judged->ordered, judged->bad });
+    judge_add_answer (pool->judge,
+                      &(JudgeAnswer){ judged->route, sched_server_digest (judged->server),
+                                      judged->ordered, judged->bad });
   g_assert_cmpint (judged->ordered, ==, judged->server[1] >= '2');
 }
 
@@ -473,7 +474,7 @@
   for (unsigned i = 0; i < 4; i++)
     if (listed >> i & 1)
       list[count++] = (SchedServer){ ids[i], "s", "d", pool->slots, false, 0, i < 2 ? "v1" : "v2" };
-  sched_list (pool->sched, list, count);
+  sched_set_servers (pool->sched, list, count);
 }
 
 static Pool *
@@ -484,7 +485,7 @@
   pool->clock = test_clock ();
   pool->slots = 4;
   pool->sched = sched_new (&pool->clock.base, &sched_ops, pool);
-  sched_service (pool->sched, "s", &(SchedServiceConf){ 0 });
+  sched_set_service (pool->sched, "s", &(SchedServiceConf){ 0 });
   list_servers (pool, listed);
   return pool;
 }
@@ -525,7 +526,7 @@
       SchedResult result = { .outcome = SCHED_OK, .answer_us = took_us };
       ask_one (pool, ++number);
       pool->clock.now += took_us;
-      sched_first (pool->sched, 1, number, took_us);
+      sched_first_event (pool->sched, 1, number, took_us);
       sched_done (pool->sched, 1, number, &result);
       sched_tick (pool->sched);
     }
@@ -575,7 +576,7 @@
       g_snprintf (ids[i], sizeof ids[i], "%c0-%u", i < ODD ? 's' : 't', i);
       list[i] = (SchedServer){ ids[i], "s", "d", 4, false, 0, i < ODD ? "v0" : "v1" };
     }
-  sched_list (pool->sched, list, MANY);
+  sched_set_servers (pool->sched, list, MANY);
   SchedServiceStats stats;
   sched_service_stats (pool->sched, "s", &stats);
   g_assert_cmpstr (stats.in_use, ==, "v1");
@@ -594,14 +595,14 @@
   Pool *pool = pool_new (15);
   SchedVersions trial = { "v1", "v2", "v2", 0.1, 1000, false, true };
 
-  sched_versions (pool->sched, "s", &trial);
+  sched_set_versions (pool->sched, "s", &trial);
   run_many (pool, 400, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), >=, 38);
   g_assert_cmpuint (granted_new (pool), <=, 40);
   g_assert_cmpuint (pool->granted[2], >=, 15);
   g_assert_cmpuint (pool->granted[3], >=, 15);
   trial.left = 3;
-  sched_versions (pool->sched, "s", &trial);
+  sched_set_versions (pool->sched, "s", &trial);
   run_many (pool, 400, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), ==, 3);
   g_assert_cmpuint (pool->judged, ==, 800);
@@ -616,10 +617,10 @@
 {
   Pool *pool = pool_new (15);
 
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, false });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, false });
   run_many (pool, 20, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), ==, 20);
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, false, false });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, false, false });
   run_many (pool, 20, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), ==, 0);
   list_servers (pool, 12);
@@ -635,7 +636,7 @@
 {
   Pool *pool = pool_new (15);
 
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, true, false });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, true, false });
   run_many (pool, 20, 20 * FT_MS);
   g_assert_cmpuint (granted_new (pool), ==, 0);
   list_servers (pool, 12);
@@ -651,10 +652,10 @@
 {
   Pool *pool = pool_new (15);
 
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0.1, 0, false, true });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0.1, 0, false, true });
   run_many (pool, 100, 40 * FT_MS);
   g_assert_cmpuint (pool->judged_bad, ==, 0);
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
   run_many (pool, 10, 200 * FT_MS);
   g_assert_cmpuint (pool->judged_bad, ==, 10);
   ask_one (pool, 9000);
@@ -675,14 +676,14 @@
   SchedResult slow = { .outcome = SCHED_OK, .event_us = 100 * FT_MS };
   SchedAsk old = { .owner = 1, .request = 50, .service = "s", .org = "o" };
 
-  sched_service (pool->sched, "s", &(SchedServiceConf){ .engine = true, .stride = 1 });
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
+  sched_set_service (pool->sched, "s", &(SchedServiceConf){ .engine = true, .stride = 1 });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
   sched_adopt (pool->sched, &old, "s0");
   sched_tick (pool->sched);
   for (uint64_t number = 1; number <= 10; number++)
     {
       ask_one (pool, number);
-      sched_first (pool->sched, 1, number, 300 * FT_MS);
+      sched_first_event (pool->sched, 1, number, 300 * FT_MS);
       sched_done (pool->sched, 1, number, &usual);
     }
   g_assert_cmpuint (pool->judged, ==, 10);
@@ -715,7 +716,8 @@
   Pool *pool = pool_new (13);
   uint64_t number = 0;
 
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0.1, 100, false, true });
+  sched_set_versions (pool->sched, "s",
+                      &(SchedVersions){ "v1", "v2", "v2", 0.1, 100, false, true });
   while (number < 50 * ROUTES)
     {
       number++;
@@ -724,7 +726,7 @@
   for (unsigned i = 0; i < 10; i++)
     answer_in (pool, ++number * ROUTES + 1, 20 * FT_MS);
   unsigned bad = pool->judged_bad;
-  sched_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
+  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
   for (unsigned i = 0; i < 10; i++)
     answer_in (pool, ++number * ROUTES, 160 * FT_MS);
   g_assert_cmpuint (pool->judged_bad, ==, bad);
@@ -794,7 +796,7 @@
       && now >= (engine ? sent->sent_at + (sent->due_at - sent->sent_at) / 5 : sent->due_at))
     {
       sent->first_at = now;
-      sched_first (pool->sched, 1, sent->number, took);
+      sched_first_event (pool->sched, 1, sent->number, took);
     }
   if (now < sent->due_at)
     return;
@@ -822,23 +824,23 @@
   Pool *pool = pool_new (0);
   Sent sent[UNDER_WAY] = { { 0 } };
   GRand *rand = g_rand_new_with_seed (seed);
-  JudgeFacts facts = { 0 };
+  JudgeResult facts = { 0 };
 
   pool->slots = UNDER_WAY / 4;
   pool->prompt_tokens = play->engine ? PROMPT : 0;
-  sched_service (pool->sched, "s", &(SchedServiceConf){ .engine = play->engine, .stride = 1 });
+  sched_set_service (pool->sched, "s", &(SchedServiceConf){ .engine = play->engine, .stride = 1 });
   list_servers (pool, 15);
   SchedVersions trial = { "v1", "v2", "v2", 0, 10000, false, true };
-  sched_versions (pool->sched, "s", &trial);
-  pool->judge = judge_new (&pool->clock.base, JUDGE_SEQUENTIAL);
-  judge_servers (pool->judge, 2);
+  sched_set_versions (pool->sched, "s", &trial);
+  pool->judge = judge_new (&pool->clock.base, JUDGE_CUSUM);
+  judge_set_servers (pool->judge, 2);
   for (int64_t at = 0, asked = 0; at < PLAYED && facts.suspicion < 1; at += FT_MS)
     {
       pool->clock.now += FT_MS;
       if (at == ORDER_AT)
         {
           trial.share = play->share;
-          sched_versions (pool->sched, "s", &trial);
+          sched_set_versions (pool->sched, "s", &trial);
         }
       for (unsigned i = 0; i < UNDER_WAY; i++)
         if (sent[i].number)
@@ -847,7 +849,7 @@
         send_one (pool, play, rand, sent, at);
       if (at % (20 * FT_MS) == 0)
         sched_tick (pool->sched);
-      judge_facts (pool->judge, &facts);
+      judge_get_result (pool->judge, &facts);
     }
   unsigned took = facts.suspicion >= 1 ? facts.answers : 0;
   judge_free (pool->judge);
--- a/test/scenario.c
+++ b/test/scenario.c
@@ -346,9 +346,9 @@
   FtNode *node = node_arg (lua, 1);
 
   return push_ticket (lua, instance_arg (lua, 1),
-                      ft_node_change (node, luaL_checkstring (lua, 2), "scenario",
-                                      (uint64_t) luaL_checkinteger (lua, 3),
-                                      luaL_checkstring (lua, 4), 1));
+                      ft_node_propose_catalogue (node, luaL_checkstring (lua, 2), "scenario",
+                                                 (uint64_t) luaL_checkinteger (lua, 3),
+                                                 luaL_checkstring (lua, 4), 1));
 }
 
 static int
@@ -366,11 +366,11 @@
 {
   static const char *const ends[] = { "released", "answered", "unknown", NULL };
   FtNode *node = node_arg (lua, 1);
-  FtClaimEnd end = (FtClaimEnd) luaL_checkoption (lua, 4, NULL, ends);
+  FtClaimOutcome end = (FtClaimOutcome) luaL_checkoption (lua, 4, NULL, ends);
 
   return push_ticket (
       lua, instance_arg (lua, 1),
-      ft_node_claim_end (node, luaL_checkstring (lua, 2), luaL_checkstring (lua, 3), end, 1));
+      ft_node_end_claim (node, luaL_checkstring (lua, 2), luaL_checkstring (lua, 3), end, 1));
 }
 
 static int
@@ -379,10 +379,10 @@
   static const char *const kinds[]
       = { "answer", "refusal", "claim", "history", "in_force", "catalogue", "suspects", NULL };
   FtNode *node = node_arg (lua, 1);
-  FtFindKind kind = (FtFindKind) luaL_checkoption (lua, 2, NULL, kinds);
+  FtQueryKind kind = (FtQueryKind) luaL_checkoption (lua, 2, NULL, kinds);
 
   return push_ticket (lua, instance_arg (lua, 1),
-                      ft_node_find (node, kind, luaL_optstring (lua, 3, "")));
+                      ft_node_query (node, kind, luaL_optstring (lua, 3, "")));
 }
 
 static int
@@ -412,7 +412,7 @@
 static int
 do_fresh (lua_State *lua)
 {
-  lua_pushboolean (lua, ft_node_fresh (node_arg (lua, 1)));
+  lua_pushboolean (lua, ft_node_is_fresh (node_arg (lua, 1)));
   return 1;
 }
 
@@ -465,7 +465,7 @@
 
   for (unsigned i = 1; i <= world.instances; i++)
     if (sim_node (world.sim, i) && !sim_frozen (world.sim, i)
-        && ft_node_holds (sim_node (world.sim, i), luaL_checkstring (lua, 1)))
+        && ft_node_holds_lease (sim_node (world.sim, i), luaL_checkstring (lua, 1)))
       holder = holder ? world.instances + 1 : i; /* two: a number that no instance has */
   lua_pushinteger (lua, holder);
   return 1;
@@ -490,8 +490,8 @@
 static int
 do_server_at (lua_State *lua)
 {
-  ft_node_server (node_arg (lua, 1), luaL_checkstring (lua, 2), luaL_checkstring (lua, 3), 1,
-                  state_arg (lua, 4));
+  ft_node_update_server (node_arg (lua, 1), luaL_checkstring (lua, 2), luaL_checkstring (lua, 3), 1,
+                         state_arg (lua, 4));
   sim_flush (world.sim, instance_arg (lua, 1));
   return 0;
 }
@@ -502,8 +502,8 @@
   for (unsigned i = 1; i <= world.instances; i++)
     if (sim_node (world.sim, i) && !sim_frozen (world.sim, i))
       {
-        ft_node_server (sim_node (world.sim, i), luaL_checkstring (lua, 1),
-                        luaL_checkstring (lua, 2), 1, state_arg (lua, 3));
+        ft_node_update_server (sim_node (world.sim, i), luaL_checkstring (lua, 1),
+                               luaL_checkstring (lua, 2), 1, state_arg (lua, 3));
         sim_flush (world.sim, i);
       }
   return 0;
@@ -518,16 +518,16 @@
   luaL_checktype (lua, 2, LUA_TTABLE);
   request.life = sim_life (world.sim, request.instance);
   g_array_append_val (world.requests, request);
-  FtNodeAsk ask = { .request = world.requests->len,
-                    .pool = field_string (lua, 2, "pool", "p1"),
-                    .org = field_string (lua, 2, "org", "o1"),
-                    .class_name = field_string (lua, 2, "class", "t3"),
-                    .prompt_tokens = (unsigned) field_integer (lua, 2, "prompt", 100),
-                    .most_tokens = (unsigned) field_integer (lua, 2, "out", 100),
-                    .first_in = field_integer (lua, 2, "first_ms", 2000) * FT_MS,
-                    .due_in = field_integer (lua, 2, "due_ms", 60000) * FT_MS,
-                    .content = (uint64_t) field_integer (lua, 2, "content", 0) };
-  ft_node_ask (node, &ask);
+  FtNodeRequest ask = { .request = world.requests->len,
+                        .pool = field_string (lua, 2, "pool", "p1"),
+                        .org = field_string (lua, 2, "org", "o1"),
+                        .class_name = field_string (lua, 2, "class", "t3"),
+                        .prompt_tokens = (unsigned) field_integer (lua, 2, "prompt", 100),
+                        .most_tokens = (unsigned) field_integer (lua, 2, "out", 100),
+                        .first_token_in_us = field_integer (lua, 2, "first_ms", 2000) * FT_MS,
+                        .deadline_in_us = field_integer (lua, 2, "due_ms", 60000) * FT_MS,
+                        .content = (uint64_t) field_integer (lua, 2, "content", 0) };
+  ft_node_submit (node, &ask);
   sim_flush (world.sim, request.instance);
   lua_pushinteger (lua, world.requests->len);
   return 1;
@@ -571,8 +571,8 @@
   request->state = "done";
   if (node)
     {
-      ft_node_done (node, (uint64_t) lua_tointeger (lua, 1),
-                    (FtDone) luaL_checkoption (lua, 2, "whole", ends), 100);
+      ft_node_end_request (node, (uint64_t) lua_tointeger (lua, 1),
+                           (FtOutcome) luaL_checkoption (lua, 2, "whole", ends), 100);
       sim_flush (world.sim, request->instance);
     }
   return 0;
@@ -586,7 +586,7 @@
 
   if (node)
     {
-      ft_node_server_ended (node, (uint64_t) lua_tointeger (lua, 1),
+      ft_node_report_crash (node, (uint64_t) lua_tointeger (lua, 1),
                             (int64_t) sim_now (world.sim) / FT_MS);
       sim_flush (world.sim, request->instance);
     }
@@ -596,7 +596,7 @@
 static int
 do_release (lua_State *lua)
 {
-  ft_node_release (node_arg (lua, 1), (uint64_t) luaL_checkinteger (lua, 2));
+  ft_node_release_content (node_arg (lua, 1), (uint64_t) luaL_checkinteger (lua, 2));
   sim_flush (world.sim, instance_arg (lua, 1));
   return 0;
 }
@@ -610,7 +610,7 @@
   request->state = "waiting";
   if (node)
     {
-      ft_node_ask_again (node, (uint64_t) lua_tointeger (lua, 1));
+      ft_node_resubmit (node, (uint64_t) lua_tointeger (lua, 1));
       sim_flush (world.sim, request->instance);
     }
   return 0;
@@ -619,8 +619,8 @@
 static int
 do_note (lua_State *lua)
 {
-  ft_node_note_refusal (node_arg (lua, 1), luaL_checkstring (lua, 2), "o1",
-                        FT_REASON_LIMIT_CONCURRENT, 3, 1000, "the rule", 1);
+  ft_node_record_refusal (node_arg (lua, 1), luaL_checkstring (lua, 2), "o1",
+                          FT_REASON_LIMIT_CONCURRENT, 3, 1000, "the rule", 1);
   return 0;
 }
 
--- a/test/sched.c
+++ b/test/sched.c
@@ -261,7 +261,7 @@
     {
       for (unsigned i = 0; i < SERVERS; i++)
         list[i] = (SchedServer){ world->servers[i].id, "s", "d", world->slots, i == gone, 0, NULL };
-      sched_list (world->sched, list, SERVERS);
+      sched_set_servers (world->sched, list, SERVERS);
       unsigned first = world->works;
       load (1, 55, usual);
       for (unsigned i = first; i < world->works; i++)
@@ -312,7 +312,7 @@
   settle ();
   sched_free (world->sched);
   world->sched = sched_new (&world->clock.base, &ops, NULL);
-  sched_list (world->sched, NULL, 0);
+  sched_set_servers (world->sched, NULL, 0);
   number = ask (0, 1000, 10);
   g_assert_true (world->work[number].refused); /* a list that names none is another matter */
   end ();
@@ -349,7 +349,7 @@
       = { { "s0", "s", "d", 4, true, 0, NULL }, { "s1", "s", "d", 4, false, 0, NULL } };
 
   begin (2, 4, false);
-  sched_list (world->sched, list, 2);
+  sched_set_servers (world->sched, list, 2);
   for (int i = 0; i < 200; i++)
     {
       unsigned number = ask (0, 500, 10);
@@ -366,7 +366,7 @@
 {
   SchedServiceConf conf = { true, 3, tokens };
 
-  sched_service (world->sched, "s", &conf);
+  sched_set_service (world->sched, "s", &conf);
 }
 
 static uint64_t
@@ -392,7 +392,7 @@
     {
       begin (3, 6, false);
       limit_memory (8000);
-      sched_share (world->sched, parts[i], 1);
+      sched_set_share (world->sched, parts[i], 1);
       for (int j = 0; j < 3000; j++)
         {
           if (draw () < 0.1)
--- a/test/shares.c
+++ b/test/shares.c
@@ -82,10 +82,10 @@
 play (const char *what, bool fair, double seconds)
 {
   begin (SERVERS, slots, true);
-  sched_fair (world->sched, fair);
+  sched_set_fair (world->sched, fair);
   for (unsigned i = 0; i < ORGS; i++)
     {
-      sched_weight (world->sched, names[i], askers[i].limit);
+      sched_set_weight (world->sched, names[i], askers[i].limit);
       askers[i].asked = askers[i].in_time = askers[i].refused = askers[i].kept = 0;
       askers[i].work = 0;
     }
@@ -212,9 +212,9 @@
   for (unsigned fair = 0; fair < 2; fair++)
     {
       begin (SERVERS, 6, true);
-      sched_fair (world->sched, fair);
-      sched_weight (world->sched, "o", 3);
-      sched_weight (world->sched, "another", 1000);
+      sched_set_fair (world->sched, fair);
+      sched_set_weight (world->sched, "o", 3);
+      sched_set_weight (world->sched, "another", 1000);
       load (4, 30, parts);
       load (10, 110, parts);
       settle ();
@@ -271,7 +271,7 @@
 late_ones_are_seen_anywhere (void)
 {
   begin (1, 1, false);
-  sched_fair (world->sched, true);
+  sched_set_fair (world->sched, true);
   world->patience = 1000 * FT_SECOND;
   ask (0, 100, 1000);
   for (unsigned i = 0; i < 200; i++)
@@ -295,7 +295,7 @@
 hopeless_is_not_what_goes_first (void)
 {
   begin (1, 1, false);
-  sched_fair (world->sched, true);
+  sched_set_fair (world->sched, true);
   ask (0, 100, 100);
   unsigned number = ask (0, 100, 3);
   world->aim /= 2;
@@ -324,7 +324,7 @@
   for (unsigned i = 0; i < 1000; i++)
     {
       if (i % 50 == 0)
-        sched_fair (world->sched, i % 100 == 0);
+        sched_set_fair (world->sched, i % 100 == 0);
       ask_all (world->clock.now);
       step ();
       char *text = sched_describe (world->sched);
@@ -390,7 +390,7 @@
       ShrItem *item = cds_list_first_entry (&queue, ShrItem, link);
       among += item >= first && item < first + count;
       shr_serve (shares, item, item < first || item >= first + count ? "a" : "b", item->work_us, 1);
-      shr_settle (shares);
+      shr_reorder (shares);
     }
   return among;
 }
@@ -436,7 +436,7 @@
   enqueue ("a", 10, 10);
   for (unsigned i = 0; i < 8; i++)
     shr_remove (shares, &left[i]);
-  shr_settle (shares);
+  shr_reorder (shares);
   g_assert_cmpuint (serve (4, left, 10), ==, 2);
   end_queue ();
 }
@@ -463,7 +463,7 @@
         shr_serve (shares, &items[which], orgs[of[which]], items[which].work_us, i);
       else if (draw () < 0.2)
         shr_serve (shares, NULL, orgs[of[which]], 5, i);
-      shr_settle (shares);
+      shr_reorder (shares);
       double tag = 0;
       memset (last, 0, sizeof last);
       cds_list_for_each_entry (item, &queue, link)
@@ -496,11 +496,11 @@
       snprintf (name, sizeof name, "org%u", i);
       shr_note_arrival (shares, name, 10, 1 + i);
     }
-  g_assert_cmpuint (shr_known (shares), <=, 520);
+  g_assert_cmpuint (shr_known_orgs (shares), <=, 520);
   for (unsigned i = 0; i < 300; i++)
     shr_note_arrival (shares, "org1", 10, 6 * FT_SECOND + i);
-  g_assert_cmpuint (shr_known (shares), ==, 2);
-  g_assert_cmpuint (shr_waiting (shares), ==, 1);
+  g_assert_cmpuint (shr_known_orgs (shares), ==, 2);
+  g_assert_cmpuint (shr_waiting_orgs (shares), ==, 1);
   end_queue ();
 }
 
@@ -509,28 +509,28 @@
 static void
 turn_of_a_newcomer (void)
 {
-  ShrTurn turn;
+  ShrOvertaking turn;
 
   begin_queue ();
   enqueue ("a", 10, 10);
   enqueue ("b", 10, 3);
-  shr_turn (shares, "c", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.behind_us, ==, 90 + 20);
-  g_assert_cmpfloat (turn.before_us, ==, 0);
-  shr_turn (shares, "b", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.behind_us, ==, 60);
-  shr_turn (shares, "a", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.behind_us, ==, 0);
+  shr_overtaking (shares, "c", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (turn.overtakes_us, ==, 90 + 20);
+  g_assert_cmpfloat (turn.overtaken_by_us, ==, 0);
+  shr_overtaking (shares, "b", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (turn.overtakes_us, ==, 60);
+  shr_overtaking (shares, "a", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (turn.overtakes_us, ==, 0);
   /* b sends half of what the place can do, so behind 130 of it a newcomer waits twice as long, but
    * for no more than 110 of b's. */
   shr_note_arrival (shares, "b", 1e6, 1);
-  shr_turn (shares, "a", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.before_us, ==, 80);
+  shr_overtaking (shares, "a", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (turn.overtaken_by_us, ==, 80);
   enqueue ("a", 10, 20);
-  shr_turn (shares, "a", 10, 330, 1, 1, &turn);
-  g_assert_cmpfloat (fabs (turn.before_us - 280), <, 1e-6);
-  shr_turn (shares, "a", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (fabs (turn.before_us - 130), <, 1e-6);
+  shr_overtaking (shares, "a", 10, 330, 1, 1, &turn);
+  g_assert_cmpfloat (fabs (turn.overtaken_by_us - 280), <, 1e-6);
+  shr_overtaking (shares, "a", 10, 130, 1, 1, &turn);
+  g_assert_cmpfloat (fabs (turn.overtaken_by_us - 130), <, 1e-6);
   end_queue ();
 }
 
@@ -609,9 +609,9 @@
 
   g_array_append_val (list, server);
   broker_configure (broker, &conf);
-  broker_catalogue (broker, cat);
-  g_assert_true (servers_take_read (servers, list, loop_now (loop)));
-  broker_servers (broker, servers);
+  broker_set_catalogue (broker, cat);
+  g_assert_true (servers_apply_read (servers, list, loop_now (loop)));
+  broker_set_servers (broker, servers);
   for (unsigned i = 0; i < 30; i++)
     ask_broker (broker, loop, i, "hot");
   for (unsigned i = 0; i < G_N_ELEMENTS (orgs); i++)
@@ -620,8 +620,8 @@
   g_assert_nonnull (strstr (text, "# shares service=s tier=0 organisations=3 hot=29/1.00"));
   g_free (text);
   broker_tick (broker);
-  g_assert_cmpuint (count_of (COUNT_FAIR_QUEUED), ==, 2);
-  char *page = count_text (NULL);
+  g_assert_cmpuint (count_get (COUNT_FAIR_QUEUED), ==, 2);
+  char *page = count_format (NULL);
   g_assert_nonnull (strstr (page, "\nfoxtail_fair_queued_total 2\n"));
   g_assert_nonnull (strstr (page, "\nfoxtail_fair_refused_total 0\n"));
   g_free (page);
--- a/test/text.c
+++ b/test/text.c
@@ -106,17 +106,17 @@
 {
   FtReq *req = ft_req_new ("id", NULL, NULL);
 
-  g_assert_cmpint (ft_req_move (req, FT_REQ_DISPATCHED), ==, FT_INVALID);
-  g_assert_cmpint (ft_req_move (req, FT_REQ_ASKED), ==, FT_OK);
-  g_assert_cmpint (ft_req_move (req, FT_REQ_GRANTED), ==, FT_OK);
-  g_assert_cmpint (ft_req_ask_again (req), ==, FT_OK); /* the connect was refused */
-  g_assert_cmpint (ft_req_move (req, FT_REQ_GRANTED), ==, FT_OK);
-  g_assert_cmpint (ft_req_move (req, FT_REQ_DISPATCHED), ==, FT_OK);
-  g_assert_cmpint (ft_req_move (req, FT_REQ_DISPATCHED), ==, FT_INVALID);
-  g_assert_cmpint (ft_req_ask_again (req), ==, FT_INVALID);
-  g_assert_cmpint (ft_req_move (req, FT_REQ_REFUSED), ==, FT_INVALID);
-  g_assert_cmpint (ft_req_move (req, FT_REQ_UNKNOWN), ==, FT_OK);
-  g_assert_cmpint (ft_req_move (req, FT_REQ_ANSWERED), ==, FT_INVALID);
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_DISPATCHED), ==, FT_INVALID);
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_SUBMITTED), ==, FT_OK);
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_GRANTED), ==, FT_OK);
+  g_assert_cmpint (ft_req_undo_grant (req), ==, FT_OK); /* the connect was refused */
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_GRANTED), ==, FT_OK);
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_DISPATCHED), ==, FT_OK);
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_DISPATCHED), ==, FT_INVALID);
+  g_assert_cmpint (ft_req_undo_grant (req), ==, FT_INVALID);
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_REFUSED), ==, FT_INVALID);
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_UNKNOWN), ==, FT_OK);
+  g_assert_cmpint (ft_req_set_state (req, FT_REQ_ANSWERED), ==, FT_INVALID);
   ft_req_unref (req);
 }
 
@@ -128,16 +128,16 @@
   FtReq *req = ft_req_new ("id", NULL, NULL);
   size_t size;
 
-  g_assert_cmpint (ft_req_piece (req, 0, "a", 1), ==, FT_OK);
-  g_assert_cmpint (ft_req_piece (req, 2, "c", 1), ==, FT_OK);
-  g_assert_cmpint (ft_req_piece (req, 0, "x", 1), ==, FT_CONFLICT);
-  g_assert_cmpint (ft_req_piece (req, 2, "x", 1), ==, FT_CONFLICT);
-  ft_req_end (req, 4);
-  g_assert_cmpuint (ft_req_next (req), ==, 1);
-  g_assert_cmpint (ft_req_piece (req, 1, "b", 1), ==, FT_OK);
-  g_assert_false (ft_req_whole (req));
-  g_assert_cmpint (ft_req_piece (req, 3, "d", 1), ==, FT_OK);
-  g_assert_true (ft_req_whole (req));
+  g_assert_cmpint (ft_req_add_piece (req, 0, "a", 1), ==, FT_OK);
+  g_assert_cmpint (ft_req_add_piece (req, 2, "c", 1), ==, FT_OK);
+  g_assert_cmpint (ft_req_add_piece (req, 0, "x", 1), ==, FT_CONFLICT);
+  g_assert_cmpint (ft_req_add_piece (req, 2, "x", 1), ==, FT_CONFLICT);
+  ft_req_set_piece_count (req, 4);
+  g_assert_cmpuint (ft_req_next_piece (req), ==, 1);
+  g_assert_cmpint (ft_req_add_piece (req, 1, "b", 1), ==, FT_OK);
+  g_assert_false (ft_req_is_complete (req));
+  g_assert_cmpint (ft_req_add_piece (req, 3, "d", 1), ==, FT_OK);
+  g_assert_true (ft_req_is_complete (req));
   const char *bytes = ft_req_bytes (req, &size);
   g_assert_cmpmem (bytes, size, "abcd", 4);
   ft_req_unref (req);
--- a/test/torture.c
+++ b/test/torture.c
@@ -199,11 +199,11 @@
       if (node == NULL || sim_frozen (sim, i))
         continue;
       FtCat *cat = ft_node_catalogue (node);
-      if (ft_node_fresh (node) && ft_cat_revision (cat) < world->in_force)
+      if (ft_node_is_fresh (node) && ft_cat_revision (cat) < world->in_force)
         fail (world, sim, "in force: an instance takes requests under an older catalogue");
       /* A holder whose lease is not proved is held back by its own clock. */
       for (unsigned p = 0; p < 2; p++)
-        holders[p] += ft_node_holds (node, pools[p]);
+        holders[p] += ft_node_holds_lease (node, pools[p]);
     }
   if (holders[0] > 1 || holders[1] > 1)
     fail (world, sim, "holder: two instances hold one pool's lease");
@@ -235,8 +235,8 @@
   Change *change = &world->changes[index];
   Asked asked = { at, sim_life (sim, at), 0, (int) index, -1, 0 };
 
-  asked.number
-      = ft_node_change (sim_node (sim, at), change->id, "operator", change->base, change->text, 1);
+  asked.number = ft_node_propose_catalogue (sim_node (sim, at), change->id, "operator",
+                                            change->base, change->text, 1);
   g_array_append_val (world->asked, asked);
   sim_flush (sim, at);
 }
@@ -293,7 +293,7 @@
     return;
   uint64_t revision = ft_cat_revision (cat);
   g_snprintf (text, sizeof text, "%" G_GUINT64_FORMAT, revision);
-  uint64_t number = ft_node_find (sim_node (sim, at), FT_FIND_IN_FORCE, text);
+  uint64_t number = ft_node_query (sim_node (sim, at), FT_QUERY_IN_FORCE, text);
   g_hash_table_replace (
       world->force_questions,
       g_strdup_printf ("%u/%u/%" G_GUINT64_FORMAT, at, sim_life (sim, at), number),
@@ -463,7 +463,7 @@
       FtCat *cat = ft_node_catalogue (node);
       if (last && (cat == NULL || ft_cat_revision (cat) < last))
         fail (world, sim, "accepted: a change is lost after everything was mended");
-      if (last && !ft_node_fresh (node))
+      if (last && !ft_node_is_fresh (node))
         fail (world, sim, "liveness: an instance does not come back");
     }
 }
--- a/test/witness.c
+++ b/test/witness.c
@@ -1,8 +1,8 @@
-/* witness.c - what entries and voters tell each other of servers that ended. The other end of each
+/* crashrep.c - what entries and voters tell each other of servers that ended. The other end of each
  * link is played over a socket pair; the log is a real one without other voters; nothing hangs on
  * how long anything takes. */
 #include "suspects.h"
-#include "witness.h"
+#include "crashrep.h"
 #include "peer.h"
 
 #include <glib/gstdio.h>
@@ -57,7 +57,7 @@
 /* ---- An entry ---- */
 
 static HCli *cli;
-static Witness *witness;
+static CrashReporter *witness;
 static TestPeer voter_peer;
 static unsigned changes;
 static MeshMsg last; /* of a kind that is looked for */
@@ -72,7 +72,7 @@
 static void
 tick_witness (void)
 {
-  witness_tick (witness);
+  crashrep_tick (witness);
 }
 
 static void
@@ -80,7 +80,7 @@
 {
   begin_loop (MESH_ENTRY);
   cli = hcli_new (loop);
-  witness = witness_new (loop, mesh, cli, on_changed, NULL);
+  witness = crashrep_new (loop, mesh, cli, on_changed, NULL);
   voter_peer = test_peer (loop, mesh, 9, MESH_VOTER, true);
   changes = 0;
   each_turn = tick_witness;
@@ -90,7 +90,7 @@
 end_entry (void)
 {
   each_turn = NULL;
-  witness_free (witness);
+  crashrep_free (witness);
   hcli_free (cli);
   test_peer_end (&voter_peer);
   mesh_free (mesh);
@@ -145,7 +145,7 @@
   MeshMsg msg = { .kind = MESH_CRASH_ACK };
 
   msg.MeshMsg_u.known.number = number;
-  g_assert_true (witness_message (witness, &voter_peer.peer, &msg));
+  g_assert_true (crashrep_message (witness, &voter_peer.peer, &msg));
 }
 
 /* The voter in charge loses what it was told, with its charge or to a disk that refuses writes.
@@ -154,20 +154,21 @@
 report_is_told_until_known (void)
 {
   begin_entry ();
-  witness_voter (witness, &voter_peer.peer);
-  witness_broke (witness, "s1", nobody (), CONTENT, "r1");
+  crashrep_set_voter (witness, &voter_peer.peer);
+  crashrep_connection_lost (witness, "s1", nobody (), CONTENT, "r1");
   run_until (voter_got_end);
   uint64_t number = last.MeshMsg_u.ended.number;
   g_assert_cmpstr (last.MeshMsg_u.ended.server, ==, "s1");
   g_assert_cmpuint (last.MeshMsg_u.ended.contents.contents_len, ==, 1);
   g_assert_cmphex (last.MeshMsg_u.ended.contents.contents_val[0], ==, CONTENT);
-  g_assert_cmpint (witness_judge (witness, CONTENT).state, ==, QUAR_SUSPECT);
+  g_assert_cmpint (crashrep_check (witness, CONTENT).state, ==, QUAR_SUSPECT);
   run_until (voter_got_end);
   g_assert_cmpuint (last.MeshMsg_u.ended.number, ==, number);
   known (number);
-  g_assert_cmpint (witness_judge (witness, CONTENT).state, ==, QUAR_FREE); /* others know more */
+  g_assert_cmpint (crashrep_check (witness, CONTENT).state, ==,
+                   QUAR_NO_CRASHES); /* others know more */
   GString *metrics = g_string_new (NULL);
-  witness_describe (witness, metrics);
+  crashrep_describe (witness, metrics);
   g_assert_nonnull (strstr (metrics->str, "foxtail_reports_untold 0"));
   g_string_free (metrics, TRUE);
   end_entry ();
@@ -178,10 +179,10 @@
 report_waits_for_a_voter (void)
 {
   begin_entry ();
-  witness_broke (witness, "s1", nobody (), CONTENT, "r1");
+  crashrep_connection_lost (witness, "s1", nobody (), CONTENT, "r1");
   run_until (was_changed);
   g_assert_false (voter_got_end ());
-  witness_voter (witness, &voter_peer.peer);
+  crashrep_set_voter (witness, &voter_peer.peer);
   g_assert_true (voter_got_end ());
   end_entry ();
 }
@@ -196,7 +197,7 @@
   msg.MeshMsg_u.blamed.index = ends;
   msg.MeshMsg_u.blamed.suspects.suspects_len = 1;
   msg.MeshMsg_u.blamed.suspects.suspects_val = &suspect;
-  g_assert_true (witness_message (witness, &voter_peer.peer, &msg));
+  g_assert_true (crashrep_message (witness, &voter_peer.peer, &msg));
 }
 
 /* Two servers lose power under a content that this entry has just answered whole. The voters are
@@ -205,10 +206,10 @@
 answered_content_is_told (void)
 {
   begin_entry ();
-  witness_answered (witness, "s9", CONTENT, loop_now (loop));
+  crashrep_answered (witness, "s9", CONTENT, loop_now (loop));
   take_account (2);
   g_assert_false (got (&voter_peer, MESH_ANSWERED));
-  witness_voter (witness, &voter_peer.peer);
+  crashrep_set_voter (witness, &voter_peer.peer);
   g_assert_true (got (&voter_peer, MESH_ANSWERED));
   g_assert_cmphex (last.MeshMsg_u.answered.contents.contents_val[0], ==, CONTENT);
   end_entry ();
@@ -219,9 +220,9 @@
 living_server_is_told (void)
 {
   begin_entry ();
-  witness_voter (witness, &voter_peer.peer);
+  crashrep_set_voter (witness, &voter_peer.peer);
   take_account (2);
-  witness_answered (witness, "s2", 1, loop_now (loop));
+  crashrep_answered (witness, "s2", 1, loop_now (loop));
   g_assert_true (got (&voter_peer, MESH_CRASH_RETRACTED));
   g_assert_cmpstr (last.MeshMsg_u.survived.server, ==, "s2");
   end_entry ();
