--- a/node/brokerlink.c
+++ b/node/brokerlink.c
@@ -73,7 +73,7 @@
 /* A report does not make an entry an asker: askers make a deputy read the server list for them,
  * and this entry may have nothing to ask. */
 static void
-handle_report (Broker *broker, Asker *asker, const MeshReported *from)
+handle_report (Broker *broker, Asker *asker, const MeshReportEnd *from)
 {
   note_returned (broker, asker);
   for (unsigned i = 0; i < from->accounts.accounts_len; i++)
@@ -196,29 +196,30 @@
       if (asker)
         handle_ask (broker, asker, &msg->MeshMsg_u.ask);
       return true;
-    case MESH_REPORTED:
+    case MESH_REPORT_END:
       if (asker && broker_handover_enabled (broker))
         handle_report (broker, asker, &msg->MeshMsg_u.reported);
       return true;
-    case MESH_FIRST:
+    case MESH_FIRST_EVENT:
       sched_first_event (broker->sched, peer->lifetime, msg->MeshMsg_u.first.request,
                          msg->MeshMsg_u.first.after_us);
       return true;
     case MESH_NOTICE:
       handle_notice (broker, peer, &msg->MeshMsg_u.notice);
       return true;
-    case MESH_SILENT:
+    case MESH_SILENCE:
       sched_silent (broker->sched, peer->lifetime, msg->MeshMsg_u.silent.request);
       return true;
     case MESH_DONE:
-      if (done->request == MESH_TURNED_AWAY)
+      if (done->request == MESH_SCHEDULER_CHANGED)
         {
           note_turned_away (broker, asker);
           return true;
         }
       result
           = (SchedResult){ done->outcome <= SCHED_LEFT ? (SchedOutcome) done->outcome : SCHED_LEFT,
-                           done->event_us, done->answer_us, done->broke, done->rested_ms * FT_MS };
+                           done->event_us, done->answer_us, done->broke,
+                           done->conn_idle_ms * FT_MS };
       hand_cancel (broker->hand, peer->lifetime, done->request);
       sched_done (broker->sched, peer->lifetime, done->request, &result);
       return true;
--- a/node/crashrep.c
+++ b/node/crashrep.c
@@ -21,7 +21,7 @@
   uint64_t number;
   char *server;
   int64_t crashed_at, sent_at; /* sent_at 0: not sent yet */
-  uint64_t contents[MESH_CONTENTS_MOST];
+  uint64_t contents[MESH_CONTENTS_MAX];
   unsigned count;
 } Report;
 
@@ -60,9 +60,9 @@
 send_report (CrashReporter *reporter, Report *report)
 {
   int64_t now = loop_now (reporter->loop);
-  MeshMsg msg = { .kind = MESH_ENDED };
+  MeshMsg msg = { .kind = MESH_CRASH };
 
-  msg.MeshMsg_u.ended = (MeshEnded){ .number = report->number,
+  msg.MeshMsg_u.ended = (MeshCrash){ .number = report->number,
                                      .server = report->server,
                                      .age_ms = (u_int) ((now - report->crashed_at) / FT_MS),
                                      .contents = { report->count, report->contents } };
@@ -84,7 +84,7 @@
   report->number = ++reporter->next_number;
   report->server = g_strdup (server);
   report->crashed_at = at;
-  for (unsigned i = 0; i < count && report->count < MESH_CONTENTS_MOST; i++)
+  for (unsigned i = 0; i < count && report->count < MESH_CONTENTS_MAX; i++)
     {
       quar_add_crash (reporter->quar, runs[i].content, server, true);
       report->contents[report->count++] = runs[i].content;
@@ -108,9 +108,9 @@
 static void
 send_recent_answers (const CrashReporter *reporter)
 {
-  uint64_t contents[MESH_CONTENTS_MOST];
+  uint64_t contents[MESH_CONTENTS_MAX];
   MeshMsg msg = { .kind = MESH_ANSWERED };
-  unsigned count = quar_recently_answered (reporter->quar, contents, MESH_CONTENTS_MOST);
+  unsigned count = quar_recently_answered (reporter->quar, contents, MESH_CONTENTS_MAX);
 
   if (count == 0 || reporter->voter == NULL)
     return;
@@ -148,7 +148,7 @@
 }
 
 static void
-handle_crash_table (CrashReporter *reporter, const MeshBlamed *blamed)
+handle_crash_table (CrashReporter *reporter, const MeshCrashTable *blamed)
 {
   unsigned count = blamed->suspects.suspects_len;
   QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
@@ -191,7 +191,7 @@
 static void
 handle_remote_crash (CrashReporter *reporter, const MeshPeer *peer, const MeshMsg *msg)
 {
-  const MeshEnded *ended = &msg->MeshMsg_u.ended;
+  const MeshCrash *ended = &msg->MeshMsg_u.ended;
   Forward context = { peer, msg };
 
   for (unsigned i = 0; i < ended->contents.contents_len; i++)
@@ -206,13 +206,13 @@
 {
   switch (msg->kind)
     {
-    case MESH_ENDED:
+    case MESH_CRASH:
       handle_remote_crash (reporter, peer, msg);
       return true;
-    case MESH_ENDED_KNOWN:
+    case MESH_CRASH_ACK:
       handle_acknowledged (reporter, msg->MeshMsg_u.known.number);
       return true;
-    case MESH_BLAMED:
+    case MESH_CRASH_TABLE:
       handle_crash_table (reporter, &msg->MeshMsg_u.blamed);
       return true;
     default:
@@ -285,7 +285,7 @@
 void
 crashrep_answered (CrashReporter *reporter, const char *server, uint64_t content, int64_t sent_at)
 {
-  MeshMsg msg = { .kind = MESH_SURVIVED };
+  MeshMsg msg = { .kind = MESH_CRASH_RETRACTED };
 
   if (quar_answered (reporter->quar, content))
     send_recent_answers (reporter);
--- a/node/entry.c
+++ b/node/entry.c
@@ -262,7 +262,7 @@
 handle_list_result (Entry *entry, MeshPeer *peer, ServersResult result)
 {
   bool from_voter = peer->role == MESH_VOTER;
-  MeshMsg want = { .kind = MESH_WANT_LIST };
+  MeshMsg want = { .kind = MESH_LIST_REQUEST };
 
   if (result == SERVERS_APPLIED)
     use_new_list (entry, from_voter ? "voter" : "deputy", from_voter);
@@ -293,7 +293,7 @@
     case MESH_DOCUMENT:
       apply_catalogue (entry, &msg->MeshMsg_u.document, peer);
       break;
-    case MESH_WANT_LIST:
+    case MESH_LIST_REQUEST:
       if (!peer->dialled)
         send_whole_list (entry, peer);
       break;
--- a/node/place.c
+++ b/node/place.c
@@ -113,7 +113,7 @@
 {
   MeshMsg msg = { .kind = MESH_DONE };
 
-  msg.MeshMsg_u.done = (MeshDone){ .request = MESH_TURNED_AWAY, .outcome = SCHED_LEFT };
+  msg.MeshMsg_u.done = (MeshDone){ .request = MESH_SCHEDULER_CHANGED, .outcome = SCHED_LEFT };
   mesh_send (peer, &msg);
 }
 
@@ -439,7 +439,7 @@
                               .addr = { from->ip, (uint16_t) from->port },
                               .leaving = from->ip == 0 },
                   .listed_at = loop_now (place->loop) - from->list_age_ms * FT_MS,
-                  .max_idle_us = from->rest_most_ms * FT_MS };
+                  .max_idle_us = from->max_idle_ms * FT_MS };
   place->ops->grant (place->host, from->request, &grant);
 }
 
@@ -473,7 +473,7 @@
       update_shares (place);
     }
   broker_message (place->own, peer, msg);
-  if (msg->kind == MESH_DONE && msg->MeshMsg_u.done.request == MESH_TURNED_AWAY)
+  if (msg->kind == MESH_DONE && msg->MeshMsg_u.done.request == MESH_SCHEDULER_CHANGED)
     update_shares (place);
 }
 
@@ -542,7 +542,7 @@
   req->ask.service = req->service = g_strdup (ask->service);
   req->ask.org = req->org = g_strdup (ask->org ? ask->org : "");
   req->ask.avoid = req->avoid = g_strdup (ask->avoid);
-  req->ask.kept_count = MIN (ask->kept_count, MESH_KEPT_MOST);
+  req->ask.kept_count = MIN (ask->kept_count, MESH_CONNECTED_MAX);
   req->ask.kept = req->kept = g_memdup2 (ask->kept, req->ask.kept_count * sizeof *ask->kept);
   req->cost = cost;
   g_hash_table_insert (place->reqs, &req->number, req);
@@ -554,10 +554,10 @@
 place_report_first (Place *place, uint64_t request, int64_t after_us)
 {
   const PlaceReq *req = place_find (place, request);
-  MeshMsg msg = { .kind = MESH_FIRST };
+  MeshMsg msg = { .kind = MESH_FIRST_EVENT };
 
   broker_report_first (place->own, request, after_us);
-  msg.MeshMsg_u.first = (MeshFirst){ request, after_us };
+  msg.MeshMsg_u.first = (MeshFirstEvent){ request, after_us };
   if (req)
     pmsg_tell_all (req, &msg);
 }
@@ -566,7 +566,7 @@
 place_report_silence (Place *place, uint64_t request)
 {
   const PlaceReq *req = place_find (place, request);
-  MeshMsg msg = { .kind = MESH_SILENT };
+  MeshMsg msg = { .kind = MESH_SILENCE };
 
   broker_report_silence (place->own, request);
   msg.MeshMsg_u.silent.request = request;
--- a/node/suspects.c
+++ b/node/suspects.c
@@ -76,9 +76,9 @@
 static GBytes *
 pack_table (const Suspects *suspects, uint64_t index)
 {
-  MeshMsg msg = { .kind = MESH_BLAMED };
-  MeshBlamed *blamed = &msg.MeshMsg_u.blamed;
-  MsgBlame all;
+  MeshMsg msg = { .kind = MESH_CRASH_TABLE };
+  MeshCrashTable *blamed = &msg.MeshMsg_u.blamed;
+  MsgCrashTable all;
 
   crashes_capture (suspects->table, CRASHES_PUBLISH_MIN, &all);
   blamed->index = index;
@@ -132,7 +132,7 @@
 static void
 log_suspect (const MsgSuspect *now, const MsgSuspect *before)
 {
-  const MsgServerEnd *last = &now->latest.latest_val[now->latest.latest_len - 1];
+  const MsgServerCrash *last = &now->latest.latest_val[now->latest.latest_len - 1];
   bool quarantined
       = now->ends >= CRASHES_QUARANTINE && (before == NULL || before->ends < CRASHES_QUARANTINE);
   char content[CONTENT_ID_SIZE];
@@ -148,7 +148,7 @@
 static void
 log_changes (const CrashTable *before, const CrashTable *now)
 {
-  MsgBlame all;
+  MsgCrashTable all;
   char content[CONTENT_ID_SIZE];
 
   crashes_capture (now, 0, &all);
@@ -169,18 +169,18 @@
 suspects_committed (Suspects *suspects)
 {
   GBytes *bytes = voter_blame (suspects->voter);
-  MsgBlame captured = { 0 };
+  MsgCrashTable captured = { 0 };
   CrashTable *table;
   gsize size;
 
   if (bytes == NULL)
     return;
   const void *data = g_bytes_get_data (bytes, &size);
-  if (codec_unpack (CODEC (MsgBlame), data, size, &captured, NULL) != FT_OK)
+  if (codec_unpack (CODEC (MsgCrashTable), data, size, &captured, NULL) != FT_OK)
     g_error ("cannot unpack the committed crash table");
   table = crashes_new ();
   crashes_restore (table, &captured);
-  codec_clear (CODEC (MsgBlame), &captured);
+  codec_clear (CODEC (MsgCrashTable), &captured);
   g_bytes_unref (bytes);
   if (is_in_charge (suspects))
     log_changes (suspects->table, table);
@@ -209,7 +209,7 @@
 static void
 acknowledge (const Suspects *suspects, uint64_t reporter, uint64_t number)
 {
-  MeshMsg msg = { .kind = MESH_ENDED_KNOWN };
+  MeshMsg msg = { .kind = MESH_CRASH_ACK };
 
   msg.MeshMsg_u.known.number = number;
   MeshPeer *peer = tell_find (suspects->tell, reporter);
@@ -223,7 +223,7 @@
   for (unsigned i = 0; i < suspects->proposals->len; i++)
     {
       const Proposal *proposal = suspects->proposals->pdata[i];
-      if (proposal->op.kind == MSG_OP_ENDED && proposal->reporter == reporter
+      if (proposal->op.kind == MSG_OP_CRASH && proposal->reporter == reporter
           && proposal->number == number)
         return true;
     }
@@ -231,10 +231,10 @@
 }
 
 static void
-handle_crash (Suspects *suspects, const MeshPeer *peer, const MeshEnded *from)
+handle_crash (Suspects *suspects, const MeshPeer *peer, const MeshCrash *from)
 {
-  MsgOp op = { .kind = MSG_OP_ENDED };
-  MsgEnded *ended = &op.MsgOp_u.ended;
+  MsgOp op = { .kind = MSG_OP_CRASH };
+  MsgCrash *ended = &op.MsgOp_u.ended;
   unsigned count = from->contents.contents_len;
 
   if (has_pending_report (suspects, peer->lifetime, from->number))
@@ -303,7 +303,7 @@
   for (unsigned i = 0; i < suspects->proposals->len; i++)
     {
       const Proposal *proposal = suspects->proposals->pdata[i];
-      if (proposal->op.kind == MSG_OP_SURVIVED
+      if (proposal->op.kind == MSG_OP_CRASH_RETRACTED
           && strcmp (proposal->op.MsgOp_u.survived.server, server) == 0)
         return true;
     }
@@ -311,9 +311,9 @@
 }
 
 static void
-handle_survived (Suspects *suspects, const MeshPeer *peer, const MeshSurvived *from)
+handle_survived (Suspects *suspects, const MeshPeer *peer, const MeshCrashRetracted *from)
 {
-  MsgOp op = { .kind = MSG_OP_SURVIVED };
+  MsgOp op = { .kind = MSG_OP_CRASH_RETRACTED };
 
   if (has_pending_survival (suspects, from->server))
     return;
@@ -331,7 +331,7 @@
       const Proposal *proposal = suspects->proposals->pdata[i];
       if (proposal->ticket != ticket)
         continue;
-      if (status == FT_OK && proposal->op.kind == MSG_OP_ENDED)
+      if (status == FT_OK && proposal->op.kind == MSG_OP_CRASH)
         acknowledge (suspects, proposal->reporter, proposal->number);
       g_ptr_array_remove_index (suspects->proposals, i);
       return;
@@ -342,11 +342,11 @@
 suspects_message (Suspects *suspects, MeshPeer *peer, const MeshMsg *msg)
 {
   bool handled
-      = msg->kind == MESH_ENDED || msg->kind == MESH_ANSWERED || msg->kind == MESH_SURVIVED;
+      = msg->kind == MESH_CRASH || msg->kind == MESH_ANSWERED || msg->kind == MESH_CRASH_RETRACTED;
 
   if (!handled || !is_in_charge (suspects) || suspects->proposals->len >= PENDING_MAX)
     return handled;
-  if (msg->kind == MESH_ENDED)
+  if (msg->kind == MESH_CRASH)
     handle_crash (suspects, peer, &msg->MeshMsg_u.ended);
   else if (msg->kind == MESH_ANSWERED)
     handle_answered (suspects, peer, &msg->MeshMsg_u.answered);
--- a/node/versions.c
+++ b/node/versions.c
@@ -92,5 +92,5 @@
     return false;
   if (current->phase == MESH_VERSIONS_MOVED)
     return strcmp (version, current->before) == 0;
-  return current->phase == MESH_VERSIONS_BACK && strcmp (version, current->target) == 0;
+  return current->phase == MESH_VERSIONS_ROLLED_BACK && strcmp (version, current->target) == 0;
 }
--- a/src/crashes.c
+++ b/src/crashes.c
@@ -100,7 +100,7 @@
   suspect = g_new0 (MsgSuspect, 1);
   suspect->content = content;
   suspect->first_ms = wall_ms;
-  suspect->latest.latest_val = calloc (FT_SUSPECT_SERVERS, sizeof (MsgServerEnd));
+  suspect->latest.latest_val = calloc (FT_SUSPECT_CRASHES_MAX, sizeof (MsgServerCrash));
   insert (table, suspect);
   return suspect;
 }
@@ -119,7 +119,7 @@
 static void
 remove_crash (MsgSuspect *suspect, unsigned position)
 {
-  MsgServerEnd *ends = suspect->latest.latest_val;
+  MsgServerCrash *ends = suspect->latest.latest_val;
 
   free (ends[position].server);
   suspect->latest.latest_len--;
@@ -131,7 +131,7 @@
 /* A crash counts once however many instances report it. A server that has restarted under the same
  * name may crash again. */
 static bool
-is_recorded (const MsgSuspect *suspect, const MsgEnded *ended)
+is_recorded (const MsgSuspect *suspect, const MsgCrash *ended)
 {
   int position = index_of_crash (suspect, ended->server);
 
@@ -140,16 +140,16 @@
 }
 
 static bool
-add_crash (CrashTable *table, uint64_t index, uint64_t content, const MsgEnded *ended)
+add_crash (CrashTable *table, uint64_t index, uint64_t content, const MsgCrash *ended)
 {
   MsgSuspect *suspect = find_or_add (table, content, ended->wall_ms);
 
   if (is_recorded (suspect, ended))
     return false;
-  if (suspect->latest.latest_len == FT_SUSPECT_SERVERS)
+  if (suspect->latest.latest_len == FT_SUSPECT_CRASHES_MAX)
     remove_crash (suspect, 0);
   suspect->latest.latest_val[suspect->latest.latest_len++]
-      = (MsgServerEnd){ strdup (ended->server), ended->wall_ms };
+      = (MsgServerCrash){ strdup (ended->server), ended->wall_ms };
   suspect->ends++;
   suspect->index = index;
   return true;
@@ -164,7 +164,7 @@
 }
 
 bool
-crashes_add (CrashTable *table, uint64_t index, const MsgEnded *ended)
+crashes_add (CrashTable *table, uint64_t index, const MsgCrash *ended)
 {
   bool changed = false;
 
@@ -189,7 +189,7 @@
 }
 
 bool
-crashes_retract (CrashTable *table, uint64_t index, const MsgSurvived *survived)
+crashes_retract (CrashTable *table, uint64_t index, const MsgCrashRetracted *survived)
 {
   GHashTableIter iter;
   gpointer value;
@@ -220,7 +220,7 @@
 }
 
 bool
-crashes_is_recorded (const CrashTable *table, const MsgEnded *ended)
+crashes_is_recorded (const CrashTable *table, const MsgCrash *ended)
 {
   for (unsigned i = 0; i < ended->contents.contents_len; i++)
     {
@@ -257,7 +257,7 @@
 }
 
 void
-crashes_capture (const CrashTable *table, unsigned min_crashes, MsgBlame *out)
+crashes_capture (const CrashTable *table, unsigned min_crashes, MsgCrashTable *out)
 {
   GArray *all = g_array_new (FALSE, FALSE, sizeof (MsgSuspect));
   GHashTableIter iter;
@@ -276,7 +276,7 @@
 static void
 append_suspect_json (const MsgSuspect *suspect, int64_t wall_ms, GString *out)
 {
-  const MsgServerEnd *ends = suspect->latest.latest_val;
+  const MsgServerCrash *ends = suspect->latest.latest_val;
   unsigned count = suspect->latest.latest_len;
   int64_t last_ms = count ? ends[count - 1].wall_ms : suspect->first_ms;
   char content[CONTENT_ID_SIZE];
@@ -300,7 +300,7 @@
 void
 crashes_append_json (const CrashTable *table, int64_t wall_ms, GString *out)
 {
-  MsgBlame all;
+  MsgCrashTable all;
 
   crashes_capture (table, 0, &all);
   g_string_append_c (out, '[');
@@ -318,15 +318,15 @@
 {
   MsgSuspect *copy = g_memdup2 (from, sizeof *from);
 
-  copy->latest.latest_val = calloc (FT_SUSPECT_SERVERS, sizeof (MsgServerEnd));
+  copy->latest.latest_val = calloc (FT_SUSPECT_CRASHES_MAX, sizeof (MsgServerCrash));
   for (unsigned i = 0; i < from->latest.latest_len; i++)
-    copy->latest.latest_val[i] = (MsgServerEnd){ strdup (from->latest.latest_val[i].server),
-                                                 from->latest.latest_val[i].wall_ms };
+    copy->latest.latest_val[i] = (MsgServerCrash){ strdup (from->latest.latest_val[i].server),
+                                                   from->latest.latest_val[i].wall_ms };
   return copy;
 }
 
 void
-crashes_restore (CrashTable *table, const MsgBlame *in)
+crashes_restore (CrashTable *table, const MsgCrashTable *in)
 {
   g_hash_table_remove_all (table->suspects);
   table->index = in->index;
--- a/src/crashes.h
+++ b/src/crashes.h
@@ -20,11 +20,11 @@
 void crashes_free (CrashTable *table);
 /* These apply a committed operation with its log index and are deterministic. They return true if
  * the table has changed. */
-bool crashes_add (CrashTable *table, uint64_t index, const MsgEnded *ended);
-bool crashes_retract (CrashTable *table, uint64_t index, const MsgSurvived *survived);
+bool crashes_add (CrashTable *table, uint64_t index, const MsgCrash *ended);
+bool crashes_retract (CrashTable *table, uint64_t index, const MsgCrashRetracted *survived);
 bool crashes_clear (CrashTable *table, uint64_t index, const MsgCleared *cleared);
 /* Whether crashes_add would change nothing. */
-bool crashes_is_recorded (const CrashTable *table, const MsgEnded *ended);
+bool crashes_is_recorded (const CrashTable *table, const MsgCrash *ended);
 /* Returns a borrowed entry, or NULL if no crash is recorded for the content. */
 const MsgSuspect *crashes_find (const CrashTable *table, uint64_t content);
 /* Log index of the latest change; 0 if there was none. */
@@ -33,11 +33,11 @@
 unsigned crashes_count (const CrashTable *table, unsigned *quarantined);
 /* Copies the entries with at least min_crashes crashes. The caller frees the array suspects_val
  * with g_free; what its records point to remains owned by the table. */
-void crashes_capture (const CrashTable *table, unsigned min_crashes, MsgBlame *out);
+void crashes_capture (const CrashTable *table, unsigned min_crashes, MsgCrashTable *out);
 /* Appends all entries as a JSON array, most crashes first. wall_ms is the current time, from which
  * ages are computed. */
 void crashes_append_json (const CrashTable *table, int64_t wall_ms, GString *out);
 /* Replaces the contents of the table by a deep copy of a snapshot. */
-void crashes_restore (CrashTable *table, const MsgBlame *in);
+void crashes_restore (CrashTable *table, const MsgCrashTable *in);
 
 #endif
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -36,8 +36,8 @@
 {
   uint64_t content;
   unsigned ends, server_count;
-  uint32_t servers[FT_SUSPECT_SERVERS];
-  int64_t received_at[FT_SUSPECT_SERVERS]; /* when each of them was first received here */
+  uint32_t servers[FT_SUSPECT_CRASHES_MAX];
+  int64_t received_at[FT_SUSPECT_CRASHES_MAX]; /* when each of them was first received here */
   int64_t limit_reached_at; /* when CRASHES_QUARANTINE was reached; 0 if it was not */
 } TableEntry;
 
@@ -109,10 +109,10 @@
 static unsigned
 count_evidence (const Quarantine *quar, uint64_t content, const TableEntry *entry, int64_t *last)
 {
-  uint32_t servers[FT_SUSPECT_SERVERS];
+  uint32_t servers[FT_SUSPECT_CRASHES_MAX];
   unsigned count = 0;
 
-  for (unsigned i = 0; i < quar->evidence->len && count < FT_SUSPECT_SERVERS; i++)
+  for (unsigned i = 0; i < quar->evidence->len && count < FT_SUSPECT_CRASHES_MAX; i++)
     {
       const Evidence *evidence = &g_array_index (quar->evidence, Evidence, i);
       if (evidence->content != content || contains_server (servers, count, evidence->server)
@@ -273,7 +273,7 @@
 
   entry->content = record->content;
   entry->ends = record->ends;
-  entry->server_count = MIN (record->server_count, FT_SUSPECT_SERVERS);
+  entry->server_count = MIN (record->server_count, FT_SUSPECT_CRASHES_MAX);
   for (unsigned i = 0; i < entry->server_count; i++)
     {
       entry->servers[i] = record->servers[i];
--- a/src/rollout.c
+++ b/src/rollout.c
@@ -83,7 +83,7 @@
   const MsgRollout *known = find (table, service);
 
   if (known == NULL)
-    return table->all->len < FT_ROLLOUTS_MOST ? ROLL_NEW : ROLL_FULL;
+    return table->all->len < FT_ROLLOUTS_MAX ? ROLL_NEW : ROLL_FULL;
   if (strcmp (known->target, target) != 0)
     return roll_is_active (known) ? ROLL_BUSY : ROLL_NEW;
   if (known->phase == MSG_ROLLOUT_ROLLED_BACK)
@@ -108,7 +108,7 @@
   MsgRollout *rollout = find (table, start->service);
 
   if (start->after != (rollout ? rollout->number : 0)
-      || (rollout == NULL && table->all->len >= FT_ROLLOUTS_MOST)
+      || (rollout == NULL && table->all->len >= FT_ROLLOUTS_MAX)
       || (rollout && roll_is_active (rollout)))
     return false;
   if (rollout == NULL)
--- a/src/rollout.h
+++ b/src/rollout.h
@@ -16,7 +16,7 @@
   ROLL_NEW,   /* it starts a roll-out */
   ROLL_KNOWN, /* it repeats a roll-out that is active or ended recently */
   ROLL_BUSY,  /* a roll-out to another target is active */
-  ROLL_FULL   /* the table already holds FT_ROLLOUTS_MOST services */
+  ROLL_FULL   /* the table already holds FT_ROLLOUTS_MAX services */
 } RollCheck;
 
 /* An order has no id, so a repeated one is recognized by service and target: while the roll-out is
--- a/src/susp.c
+++ b/src/susp.c
@@ -3,7 +3,7 @@
  *
  * Crashes that the shell observed are proposed to the log like any other operation. The voters'
  * table of crashes arrives with the replies that prove freshness, so an instance whose table may
- * be older than FRESH_LIMIT accepts no requests at all.
+ * be older than FRESH_PROOF_MAX_AGE accepts no requests at all.
  */
 #include "node.h"
 
@@ -21,7 +21,7 @@
     list[i] = contents[i];
   op.MsgOp_u.cleared.contents.contents_len = count;
   op.MsgOp_u.cleared.contents.contents_val = list;
-  return prop_propose (node, &op, silent);
+  return prop_submit (node, &op, silent);
 }
 
 static void
@@ -35,16 +35,16 @@
 }
 
 void
-susp_update_table (FtNode *node, const MsgBlame *blame)
+susp_update_table (FtNode *node, const MsgCrashTable *blame)
 {
   unsigned count = blame->suspects.suspects_len;
   QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
-  uint32_t *servers = g_new0 (uint32_t, MAX (count, 1) * FT_SUSPECT_SERVERS);
+  uint32_t *servers = g_new0 (uint32_t, MAX (count, 1) * FT_SUSPECT_CRASHES_MAX);
 
   for (unsigned i = 0; i < count; i++)
     {
       const MsgSuspect *from = &blame->suspects.suspects_val[i];
-      uint32_t *digests = servers + (size_t) i * FT_SUSPECT_SERVERS;
+      uint32_t *digests = servers + (size_t) i * FT_SUSPECT_CRASHES_MAX;
       for (unsigned j = 0; j < from->latest.latest_len; j++)
         digests[j] = quar_server_digest (from->latest.latest_val[j].server);
       records[i] = (QuarRecord){ from->content, from->ends, digests, from->latest.latest_len };
@@ -62,14 +62,14 @@
 susp_propose_crash (FtNode *node, const char *pool, const char *server, uint64_t content,
                     int64_t wall_ms)
 {
-  MsgOp op = { .kind = MSG_OP_ENDED };
+  MsgOp op = { .kind = MSG_OP_CRASH };
   u_quad_t contents[] = { content };
-  char name[2 * FT_NAME_MOST + 1];
+  char name[2 * FT_NAME_MAX + 1];
 
   g_snprintf (name, sizeof name, "%s/%s", pool, server);
-  op.MsgOp_u.ended = (MsgEnded){ name, wall_ms, { 1, contents } };
+  op.MsgOp_u.ended = (MsgCrash){ name, wall_ms, { 1, contents } };
   quar_add_crash (node->quar, content, name, true);
-  prop_propose (node, &op, true);
+  prop_submit (node, &op, true);
 }
 
 void
