--- a/net/hcli.c
+++ b/net/hcli.c
@@ -211,7 +211,7 @@
 
   sock_peek (conn->sock, &left);
   conn->xfer = NULL;
-  sock_hold (conn->sock, false);
+  sock_pause_all (conn->sock, false);
   /* Bytes behind a complete answer belong to no request; part of the request may be unsent. */
   if (conn->spoilt || left > 0 || sock_unsent (conn->sock) > 0)
     close_conn (conn, left > 0 || sock_unsent (conn->sock) > 0);
@@ -268,11 +268,11 @@
 {
   switch (how)
     {
-    case SOCK_END_CONNECT:
+    case SOCK_END_CONNECT_FAILED:
       return HXFER_UNREACHED;
     case SOCK_END_REFUSED:
       return HXFER_REFUSED;
-    case SOCK_END_SILENT:
+    case SOCK_END_TIMED_OUT:
       return HXFER_LOST;
     default:
       return HXFER_BROKEN;
@@ -398,7 +398,7 @@
       g_free (conn);
       return NULL;
     }
-  sock_count_unsent (conn->sock, &cli->unsent);
+  sock_set_unsent_total (conn->sock, &cli->unsent);
   conn->key = g_strdup (target->key);
   conn->read = hread_new (false, &read_ops, conn);
   conn->timer.fire = on_connect_timer;
@@ -461,7 +461,7 @@
 void
 hxfer_hold (HXfer *xfer, bool held)
 {
-  sock_hold (xfer->conn->sock, held);
+  sock_pause_all (xfer->conn->sock, held);
 }
 
 int64_t
--- a/net/hsrv.c
+++ b/net/hsrv.c
@@ -349,7 +349,7 @@
       g_free (conn);
       return;
     }
-  sock_count_unsent (conn->sock, &srv->unsent);
+  sock_set_unsent_total (conn->sock, &srv->unsent);
   conn->read = hread_new (true, &read_ops, conn);
   conn->timer.fire = on_timer;
   cds_list_add_tail (&conn->link, &srv->conns);
--- a/net/loop.c
+++ b/net/loop.c
@@ -1,8 +1,8 @@
-/* loop.c - epoll, one pairing heap of timers and a queue of calls.
+/* loop.c - event loop on epoll, with a pairing heap of timers and a queue of posted calls.
  *
- * All that a request needs on its way runs in one thread: an instance has a fraction of a core, and
- * a change of thread costs more there than most steps of a request. Other threads (the voter's,
- * the operators' server's) hand their calls over with loop_post.
+ * All steps of a request run in one thread: an instance has a fraction of a core, where a thread
+ * switch costs more than most of these steps. Other threads, such as the voter's and that of the
+ * operators' server, pass calls to the loop with loop_post.
  */
 #include "loop.h"
 
@@ -11,12 +11,12 @@
 #include <time.h>
 #include <unistd.h>
 
-#define EVENTS_MOST 128 /* reports taken in one turn: timers are not held up for longer */
-#define POSTED_MOST 32  /* posted calls in one turn, likewise */
+#define EVENTS_MAX 128 /* events handled per iteration; bounds the delay of timers */
+#define POSTED_MAX 32  /* posted calls run per iteration, for the same reason */
 
 typedef struct
 {
-  LoopFn fn;
+  LoopFunc fn;
   void *data;
 } Call;
 
@@ -24,20 +24,20 @@
 {
   FtClock clock;
   int epoll;
-  LoopFd wake;
+  LoopFd wakeup;
   FtHeap timers;
   int64_t now;
   bool stopped;
-  struct epoll_event reports[EVENTS_MOST];
-  int report_count;
-  GPtrArray *garbage;
-  GArray *turn_calls; /* Call */
-  LoopTurned turned;  /* NULL: nobody watches */
-  void *watcher;
-  LoopTurn turn;
-  int64_t piece_at; /* when the piece of work that is done now began */
+  struct epoll_event events[EVENTS_MAX];
+  int event_count;
+  GPtrArray *deferred_frees;
+  GArray *before_wait;              /* Call */
+  LoopIterationFunc iteration_func; /* NULL: iterations are not timed */
+  void *iteration_data;
+  LoopIteration iteration;
+  int64_t work_start; /* start of the current piece of work */
   pthread_mutex_t lock;
-  GArray *posted; /* Call, in order; under lock */
+  GArray *posted; /* Call, oldest first; protected by lock */
 };
 
 static int64_t
@@ -68,21 +68,22 @@
 }
 
 static void
-wake (const Loop *loop)
+wakeup (const Loop *loop)
 {
   uint64_t one = 1;
 
-  if (write (loop->wake.fd, &one, sizeof one) < 0)
-    return; /* the counter is full, so the loop is about to wake anyway */
+  if (write (loop->wakeup.fd, &one, sizeof one) < 0)
+    return; /* the counter is full, so a wake-up is already pending */
 }
 
-/* Failure: the log's thread commits a hundred changes while the loop waits for its processor.
- * Symptom: all their reports are delivered in one turn, and timers, asks and grants wait behind
- * them. Some are taken in each turn; the others keep their order, and wake the loop again. */
+/* Runs at most POSTED_MAX posted calls per iteration and wakes the loop again for the rest, which
+ * keep their order. Otherwise, if the voter's log thread commits a hundred changes while the loop
+ * waits for a CPU, timers, requests and grants are delayed until all of the posted calls have
+ * run. */
 static void
-on_wake (LoopFd *fd, uint32_t bits)
+on_wakeup (LoopFd *fd, uint32_t bits)
 {
-  Loop *loop = (Loop *) ((char *) fd - offsetof (Loop, wake));
+  Loop *loop = (Loop *) ((char *) fd - offsetof (Loop, wakeup));
   uint64_t count;
 
   (void) bits;
@@ -90,13 +91,13 @@
     return;
   GArray *calls = g_array_new (FALSE, FALSE, sizeof (Call));
   pthread_mutex_lock (&loop->lock);
-  unsigned taken = MIN (loop->posted->len, POSTED_MOST);
+  unsigned taken = MIN (loop->posted->len, POSTED_MAX);
   g_array_append_vals (calls, loop->posted->data, taken);
   g_array_remove_range (loop->posted, 0, taken);
   bool more = loop->posted->len > 0;
   pthread_mutex_unlock (&loop->lock);
   if (more)
-    wake (loop);
+    wakeup (loop);
   run_calls (calls);
   g_array_unref (calls);
 }
@@ -108,13 +109,13 @@
 
   loop->clock.ops = &clock_ops;
   loop->now = read_clock ();
-  loop->garbage = g_ptr_array_new_with_free_func (g_free);
-  loop->turn_calls = g_array_new (FALSE, FALSE, sizeof (Call));
+  loop->deferred_frees = g_ptr_array_new_with_free_func (g_free);
+  loop->before_wait = g_array_new (FALSE, FALSE, sizeof (Call));
   loop->posted = g_array_new (FALSE, FALSE, sizeof (Call));
   pthread_mutex_init (&loop->lock, NULL);
   loop->epoll = epoll_create1 (EPOLL_CLOEXEC);
-  loop->wake = (LoopFd){ .fd = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC), .ready = on_wake };
-  if (loop->epoll < 0 || loop->wake.fd < 0 || !loop_add (loop, &loop->wake, EPOLLIN))
+  loop->wakeup = (LoopFd){ .fd = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC), .ready = on_wakeup };
+  if (loop->epoll < 0 || loop->wakeup.fd < 0 || !loop_add (loop, &loop->wakeup, EPOLLIN))
     {
       loop_free (loop);
       return NULL;
@@ -129,10 +130,10 @@
     return;
   if (loop->epoll >= 0)
     close (loop->epoll);
-  if (loop->wake.fd >= 0)
-    close (loop->wake.fd);
-  g_ptr_array_unref (loop->garbage);
-  g_array_unref (loop->turn_calls);
+  if (loop->wakeup.fd >= 0)
+    close (loop->wakeup.fd);
+  g_ptr_array_unref (loop->deferred_frees);
+  g_array_unref (loop->before_wait);
   g_array_unref (loop->posted);
   pthread_mutex_destroy (&loop->lock);
   g_free (loop);
@@ -174,9 +175,9 @@
 loop_remove (Loop *loop, LoopFd *fd)
 {
   epoll_ctl (loop->epoll, EPOLL_CTL_DEL, fd->fd, NULL);
-  for (int i = 0; i < loop->report_count; i++)
-    if (loop->reports[i].data.ptr == fd)
-      loop->reports[i].data.ptr = NULL;
+  for (int i = 0; i < loop->event_count; i++)
+    if (loop->events[i].data.ptr == fd)
+      loop->events[i].data.ptr = NULL;
 }
 
 void
@@ -196,66 +197,66 @@
 }
 
 void
-loop_post (Loop *loop, LoopFn fn, void *data)
+loop_post (Loop *loop, LoopFunc fn, void *data)
 {
   Call call = { fn, data };
 
   pthread_mutex_lock (&loop->lock);
   g_array_append_val (loop->posted, call);
   pthread_mutex_unlock (&loop->lock);
-  wake (loop);
+  wakeup (loop);
 }
 
 void
 loop_free_later (Loop *loop, void *memory)
 {
-  g_ptr_array_add (loop->garbage, memory);
+  g_ptr_array_add (loop->deferred_frees, memory);
 }
 
 void
-loop_each_turn (Loop *loop, LoopFn fn, void *data)
+loop_add_before_wait (Loop *loop, LoopFunc fn, void *data)
 {
   Call call = { fn, data };
 
-  g_array_append_val (loop->turn_calls, call);
+  g_array_append_val (loop->before_wait, call);
 }
 
 void
-loop_watch (Loop *loop, LoopTurned fn, void *data)
+loop_set_iteration_callback (Loop *loop, LoopIterationFunc fn, void *data)
 {
-  loop->turned = fn;
-  loop->watcher = data;
+  loop->iteration_func = fn;
+  loop->iteration_data = data;
 }
 
 void
-loop_done (Loop *loop, const char *work)
+loop_mark_work_end (Loop *loop, const char *work)
 {
-  if (loop->turned == NULL)
+  if (loop->iteration_func == NULL)
     return;
   int64_t now = read_clock ();
-  if (now - loop->piece_at > loop->turn.longest_us)
+  if (now - loop->work_start > loop->iteration.longest_us)
     {
-      loop->turn.longest_us = now - loop->piece_at;
-      loop->turn.longest = work;
+      loop->iteration.longest_us = now - loop->work_start;
+      loop->iteration.longest = work;
     }
-  loop->piece_at = now;
+  loop->work_start = now;
 }
 
 static void
-begin_turn (Loop *loop)
+begin_iteration (Loop *loop)
 {
-  loop->now = loop->piece_at = read_clock ();
-  loop->turn = (LoopTurn){ .late_us = -1, .longest = "" };
+  loop->now = loop->work_start = read_clock ();
+  loop->iteration = (LoopIteration){ .late_us = -1, .longest = "" };
 }
 
 static void
-end_turn (Loop *loop)
+end_iteration (Loop *loop)
 {
-  if (loop->turned == NULL)
+  if (loop->iteration_func == NULL)
     return;
-  loop_done (loop, "timers");
-  loop->turn.took_us = loop->piece_at - loop->now;
-  loop->turned (loop->watcher, &loop->turn);
+  loop_mark_work_end (loop, "timers");
+  loop->iteration.took_us = loop->work_start - loop->now;
+  loop->iteration_func (loop->iteration_data, &loop->iteration);
 }
 
 static void
@@ -266,7 +267,7 @@
   while ((top = ft_heap_top (&loop->timers)) != NULL && top->key <= (double) loop->now)
     {
       LoopTimer *timer = (LoopTimer *) top; /* node is the first member */
-      loop->turn.late_us = MAX (loop->turn.late_us, loop->now - (int64_t) top->key);
+      loop->iteration.late_us = MAX (loop->iteration.late_us, loop->now - (int64_t) top->key);
       loop_timer_stop (loop, timer);
       timer->fire (timer);
     }
@@ -289,23 +290,23 @@
   loop->stopped = false;
   while (!loop->stopped)
     {
-      run_calls (loop->turn_calls);
-      g_ptr_array_set_size (loop->garbage, 0);
-      int count = epoll_wait (loop->epoll, loop->reports, EVENTS_MOST, wait_ms (loop));
-      begin_turn (loop);
-      loop->report_count = MAX (count, 0);
-      for (int i = 0; i < loop->report_count; i++)
+      run_calls (loop->before_wait);
+      g_ptr_array_set_size (loop->deferred_frees, 0);
+      int count = epoll_wait (loop->epoll, loop->events, EVENTS_MAX, wait_ms (loop));
+      begin_iteration (loop);
+      loop->event_count = MAX (count, 0);
+      for (int i = 0; i < loop->event_count; i++)
         {
-          LoopFd *fd = loop->reports[i].data.ptr;
+          LoopFd *fd = loop->events[i].data.ptr;
           if (fd)
-            fd->ready (fd, loop->reports[i].events);
+            fd->ready (fd, loop->events[i].events);
         }
-      loop->report_count = 0;
-      loop_done (loop, "reports");
+      loop->event_count = 0;
+      loop_mark_work_end (loop, "reports");
       fire_timers (loop);
-      end_turn (loop);
+      end_iteration (loop);
     }
-  g_ptr_array_set_size (loop->garbage, 0);
+  g_ptr_array_set_size (loop->deferred_frees, 0);
 }
 
 void
--- a/net/loop.h
+++ b/net/loop.h
@@ -1,4 +1,4 @@
-/* loop.h - one thread's event loop: descriptors, timers and calls from other threads. */
+/* loop.h - event loop of one thread: file descriptors, timers and calls posted by other threads. */
 #ifndef LOOP_H
 #define LOOP_H
 
@@ -8,16 +8,16 @@
 
 typedef struct Loop Loop;
 
-/* A descriptor's part of its owner's record. */
+/* A watched file descriptor; embedded in a struct of its owner. */
 typedef struct LoopFd LoopFd;
 struct LoopFd
 {
   int fd;
-  uint32_t events;                           /* EPOLL bits that are waited for */
-  void (*ready) (LoopFd *fd, uint32_t bits); /* bits: what epoll reported */
+  uint32_t events;                           /* EPOLL* bits that are watched */
+  void (*ready) (LoopFd *fd, uint32_t bits); /* bits: EPOLL* bits that are set */
 };
 
-/* A timer's part of its owner's record; fires once. */
+/* A one-shot timer; embedded in a struct of its owner. */
 typedef struct LoopTimer LoopTimer;
 struct LoopTimer
 {
@@ -26,47 +26,50 @@
   void (*fire) (LoopTimer *timer);
 };
 
-/* NULL: no descriptor could be had; errno says why. */
+/* Returns NULL with errno set if epoll or eventfd fails. */
 Loop *loop_new (void);
 void loop_free (Loop *loop);
-/* Runs until loop_stop. */
+/* Runs until loop_stop is called. */
 void loop_run (Loop *loop);
 void loop_stop (Loop *loop);
 
-/* The clock of this loop: CLOCK_BOOTTIME, which goes on while the machine is suspended, read once
- * a turn. */
+/* The loop's clock in microseconds: CLOCK_BOOTTIME, which also counts the time that the machine is
+ * suspended. It is read once per iteration. */
 FtClock *loop_clock (Loop *loop);
 int64_t loop_now (Loop *loop);
 
-/* False: epoll refused, errno says why. */
+/* Starts watching fd->fd. Returns false with errno set if epoll_ctl fails. */
 bool loop_add (Loop *loop, LoopFd *fd, uint32_t events);
 void loop_change (Loop *loop, LoopFd *fd, uint32_t events);
-/* Also drops what this turn has still to report of it. Does not close fd->fd. */
+/* Stops watching fd and drops its events of this iteration that are not yet dispatched. Does not
+ * close fd->fd. */
 void loop_remove (Loop *loop, LoopFd *fd);
 
-/* at: microseconds of the loop's clock. An armed timer is moved. */
+/* Arms the timer for the time at of the loop's clock, in microseconds. Re-arms an armed timer. */
 void loop_timer_set (Loop *loop, LoopTimer *timer, int64_t at);
 void loop_timer_stop (Loop *loop, LoopTimer *timer);
 
-/* Calls fn (data) in the loop's thread, soon and in order. From any thread. */
-typedef void (*LoopFn) (void *data);
-void loop_post (Loop *loop, LoopFn fn, void *data);
-/* g_free (memory) once this turn's events are through. */
+/* Queues fn (data) to run in the loop's thread, in the order of posting. Safe from any thread. */
+typedef void (*LoopFunc) (void *data);
+void loop_post (Loop *loop, LoopFunc fn, void *data);
+/* Calls g_free (memory) after all events of this iteration are handled. */
 void loop_free_later (Loop *loop, void *memory);
-/* Called at the end of each turn, before waiting. */
-void loop_each_turn (Loop *loop, LoopFn fn, void *data);
+/* Calls fn (data) in every iteration, before the loop waits for events. */
+void loop_add_before_wait (Loop *loop, LoopFunc fn, void *data);
 
-/* How long a turn took, from its reports to its end, and what in it took longest. */
+/* Timing of one iteration, from the return of epoll_wait until its timers have fired. */
 typedef struct
 {
-  int64_t took_us, late_us; /* late: of the timer that fired latest after its time; -1: none did */
-  int64_t longest_us;       /* of one piece of work ... */
-  const char *longest;      /* ... by the name that loop_done gave it, or what reported it */
-} LoopTurn;
-typedef void (*LoopTurned) (void *data, const LoopTurn *turn);
-/* Calls fn (data, turn) after each turn. */
-void loop_watch (Loop *loop, LoopTurned fn, void *data);
-/* The piece of work that ends here, since the one before, was this. work: a literal. */
-void loop_done (Loop *loop, const char *work);
+  int64_t took_us;
+  int64_t late_us;     /* largest delay of a timer that fired; -1: none fired */
+  int64_t longest_us;  /* duration of the longest piece of work */
+  const char *longest; /* name of that piece, as given to loop_mark_work_end */
+} LoopIteration;
+typedef void (*LoopIterationFunc) (void *data, const LoopIteration *iteration);
+/* Calls fn (data, iteration) after each iteration. Without a callback nothing is timed. */
+void loop_set_iteration_callback (Loop *loop, LoopIterationFunc fn, void *data);
+/* Marks the end of a piece of work that began at the previous mark or at the start of the
+ * iteration. work: its name, a string literal. */
+void loop_mark_work_end (Loop *loop, const char *work);
 
 #endif
--- a/net/sock.c
+++ b/net/sock.c
@@ -1,9 +1,9 @@
-/* sock.c - non-blocking TCP with buffers.
+/* sock.c - buffered, non-blocking TCP.
  *
- * Failure: a connection goes silent for good without a reset, when a machine loses power or
- * something on the path forgets it. Symptom: a caller, a stream or a link hangs. Every socket has
- * keep-alive probes and a bound on unacknowledged bytes, so the kernel reports it within
- * KEEP_IDLE_S + KEEP_COUNT * KEEP_EVERY_S seconds.
+ * If a machine loses power or a device on the path drops its state, a connection goes silent
+ * without a reset, and the caller, stream or link that uses it would hang. Every socket therefore
+ * has TCP keep-alive and a user time-out for unacknowledged data, so that the kernel reports the
+ * loss within KEEPALIVE_IDLE_S + KEEPALIVE_PROBES * KEEPALIVE_INTERVAL_S seconds.
  */
 #include "sock.h"
 
@@ -15,15 +15,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Tuning; each row with its reason. */
-#define KEEP_IDLE_S     1    /* silence before the first probe: half of the 2 s aimed at */
-#define KEEP_EVERY_S    1    /* the option's smallest step */
-#define KEEP_COUNT      2    /* one lost probe is not taken for a dead peer */
-#define USER_TIMEOUT_MS 2500 /* unacknowledged bytes; above two retransmissions on a lossy link */
-#define READ_SIZE       16384
-#define READ_TURN       (2 * READ_SIZE) /* bytes of one connection before the others have a turn */
-#define KEEP_MOST       4096 /* an emptied buffer of an idle connection holds no more, bytes */
-#define BACKLOG         512  /* connections of a burst that arrive within one turn */
+#define KEEPALIVE_IDLE_S     1    /* until the first probe: half of the 2 s to detect a loss */
+#define KEEPALIVE_INTERVAL_S 1    /* the smallest value that the option takes */
+#define KEEPALIVE_PROBES     2    /* tolerates the loss of one probe */
+#define USER_TIMEOUT_MS      2500 /* leaves time for two retransmissions on a lossy link */
+#define READ_SIZE            16384
+#define READ_PER_EVENT_MAX   (2 * READ_SIZE) /* bytes of a connection before others are served */
+#define KEPT_BUFFER_MAX      4096            /* an empty buffer that is larger is freed, bytes */
+#define BACKLOG              512 /* connections that arrive in a burst within one iteration */
 
 bool
 sock_addr_parse (const char *text, SockAddr *addr)
@@ -46,15 +45,15 @@
 }
 
 const char *
-sock_addr_text (SockAddr addr, char *buffer)
+sock_addr_format (SockAddr addr, char *buffer)
 {
-  snprintf (buffer, SOCK_ADDR_TEXT, "%u.%u.%u.%u:%u", addr.ip >> 24, addr.ip >> 16 & 255,
+  snprintf (buffer, SOCK_ADDR_TEXT_SIZE, "%u.%u.%u.%u:%u", addr.ip >> 24, addr.ip >> 16 & 255,
             addr.ip >> 8 & 255, addr.ip & 255, addr.port);
   return buffer;
 }
 
 static struct sockaddr_in
-native (SockAddr addr)
+to_sockaddr (SockAddr addr)
 {
   return (struct sockaddr_in){ .sin_family = AF_INET,
                                .sin_addr.s_addr = htonl (addr.ip),
@@ -70,9 +69,9 @@
   } options[] = {
     { SOL_SOCKET, SO_KEEPALIVE, 1 },
     { IPPROTO_TCP, TCP_NODELAY, 1 },
-    { IPPROTO_TCP, TCP_KEEPIDLE, KEEP_IDLE_S },
-    { IPPROTO_TCP, TCP_KEEPINTVL, KEEP_EVERY_S },
-    { IPPROTO_TCP, TCP_KEEPCNT, KEEP_COUNT },
+    { IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S },
+    { IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S },
+    { IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES },
     { IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS },
   };
 
@@ -81,13 +80,13 @@
 }
 
 static void
-wait_for (Sock *sock)
+update_events (Sock *sock)
 {
-  uint32_t events = sock->held ? 0 : EPOLLRDHUP;
+  uint32_t events = sock->all_paused ? 0 : EPOLLRDHUP;
 
   if (sock->connecting || sock->out->len > sock->out_at)
     events |= EPOLLOUT;
-  if (!sock->paused && !sock->held && !sock->connecting)
+  if (!sock->paused && !sock->all_paused && !sock->connecting)
     events |= EPOLLIN;
   loop_change (sock->loop, &sock->fd, events);
 }
@@ -97,13 +96,13 @@
 {
   size_t unsent = sock->out ? sock->out->len - sock->out_at : 0;
 
-  if (sock->account)
-    *sock->account += unsent - sock->counted;
-  sock->counted = unsent;
+  if (sock->unsent_total)
+    *sock->unsent_total += unsent - sock->unsent_counted;
+  sock->unsent_counted = unsent;
 }
 
 static void
-end (Sock *sock, SockEnd how)
+report_end (Sock *sock, SockEnd reason)
 {
   if (sock->ended)
     return;
@@ -112,14 +111,14 @@
   if (sock->closing)
     sock_close (sock, false);
   else
-    sock->ops->ended (sock, how);
+    sock->ops->ended (sock, reason);
 }
 
-/* All of the buffer has been consumed. */
+/* Resets a buffer that is consumed completely. */
 static void
-empty (GByteArray **buffer, size_t *at)
+reset_buffer (GByteArray **buffer, size_t *at)
 {
-  if (*at > KEEP_MOST)
+  if (*at > KEPT_BUFFER_MAX)
     {
       g_byte_array_unref (*buffer);
       *buffer = g_byte_array_new ();
@@ -128,9 +127,9 @@
   *at = 0;
 }
 
-/* False: the connection has ended. */
+/* Sends buffered output. Returns false if the connection has failed. */
 static bool
-write_out (Sock *sock)
+send_buffered (Sock *sock)
 {
   while (sock->out->len > sock->out_at)
     {
@@ -144,20 +143,20 @@
         return false;
       sock->out_at += (size_t) done;
     }
-  empty (&sock->out, &sock->out_at);
+  reset_buffer (&sock->out, &sock->out_at);
   return true;
 }
 
 static bool
 flush (Sock *sock)
 {
-  bool alive = write_out (sock);
+  bool alive = send_buffered (sock);
 
   count_unsent (sock);
   return alive;
 }
 
-/* What the kernel has against the connection; 0: nothing. Asking takes it away. */
+/* Returns and clears the socket's pending error; 0: none. */
 static int
 pending_error (const Sock *sock)
 {
@@ -169,35 +168,36 @@
 }
 
 static SockEnd
-end_of_error (int error)
+end_reason (int error)
 {
-  return error == ETIMEDOUT ? SOCK_END_SILENT : SOCK_END_RESET;
+  return error == ETIMEDOUT ? SOCK_END_TIMED_OUT : SOCK_END_RESET;
 }
 
 static void
-finish_connect (Sock *sock)
+complete_connect (Sock *sock)
 {
   int error = pending_error (sock);
 
   if (error)
     {
-      end (sock, error == ECONNREFUSED ? SOCK_END_REFUSED : SOCK_END_CONNECT);
+      report_end (sock, error == ECONNREFUSED ? SOCK_END_REFUSED : SOCK_END_CONNECT_FAILED);
       return;
     }
   sock->connecting = false;
-  wait_for (sock);
+  update_events (sock);
   if (sock->ops->connected)
     sock->ops->connected (sock);
 }
 
-/* Reads until the kernel has no more, or most bytes. Returns 1: go on, 0: end of file, -1: failure,
- * by errno. */
+/* Reads what the kernel has buffered, up to about max_bytes bytes. Returns 1 if the connection is
+ * still open, 0 at end of file, and -1 with errno set on failure. */
 static int
-fill (Sock *sock, size_t most, bool *got)
+read_available (Sock *sock, size_t max_bytes, bool *got)
 {
-  static __thread uint8_t buffer[READ_SIZE]; /* idle connections hold no memory for reading */
+  /* Shared by all connections of the thread, so that idle ones need no read buffer. */
+  static __thread uint8_t buffer[READ_SIZE];
 
-  for (size_t sum = 0; sum < most; sum += READ_SIZE)
+  for (size_t sum = 0; sum < max_bytes; sum += READ_SIZE)
     {
       ssize_t done = recv (sock->fd.fd, buffer, sizeof buffer, MSG_DONTWAIT);
       if (done == 0)
@@ -215,23 +215,23 @@
 }
 
 static void
-read_some (Sock *sock, size_t most)
+read_some (Sock *sock, size_t max_bytes)
 {
   bool got = false;
-  int state = fill (sock, most, &got);
+  int state = read_available (sock, max_bytes, &got);
   int error = errno;
 
   if (got)
     {
-      /* The owner may close the socket; memory stays until the turn's end. */
+      /* The owner may close the socket; its memory is freed after this iteration's events. */
       sock->ops->data (sock);
       if (sock->ended)
         return;
     }
   if (state == 0)
-    end (sock, SOCK_END_EOF);
+    report_end (sock, SOCK_END_EOF);
   else if (state < 0)
-    end (sock, end_of_error (error));
+    report_end (sock, end_reason (error));
 }
 
 static void
@@ -242,7 +242,7 @@
   if (sock->connecting)
     {
       if (bits & (EPOLLERR | EPOLLHUP | EPOLLOUT))
-        finish_connect (sock);
+        complete_connect (sock);
       return;
     }
   if (bits & EPOLLOUT)
@@ -250,7 +250,7 @@
       bool waited = sock->out->len > sock->out_at;
       if (!flush (sock))
         {
-          end (sock, SOCK_END_RESET);
+          report_end (sock, SOCK_END_RESET);
           return;
         }
       if (waited && sock->out->len == 0)
@@ -265,22 +265,22 @@
           if (sock->ended)
             return;
         }
-      wait_for (sock);
+      update_events (sock);
     }
   if (bits & EPOLLERR)
     {
       if (!sock->paused && !sock->closing)
-        read_some (sock, SIZE_MAX); /* what came before the failure */
-      end (sock, end_of_error (pending_error (sock)));
+        read_some (sock, SIZE_MAX); /* the bytes received before the failure */
+      report_end (sock, end_reason (pending_error (sock)));
     }
   else if (bits & EPOLLIN && !sock->closing)
-    read_some (sock, READ_TURN);
+    read_some (sock, READ_PER_EVENT_MAX);
   else if (bits & (EPOLLRDHUP | EPOLLHUP))
-    end (sock, SOCK_END_EOF);
+    report_end (sock, SOCK_END_EOF);
 }
 
 static Sock *
-make (Loop *loop, int fd, SockAddr peer, const SockOps *ops, void *owner)
+sock_new (Loop *loop, int fd, SockAddr peer, const SockOps *ops, void *owner)
 {
   Sock *sock = g_new0 (Sock, 1);
 
@@ -298,7 +298,7 @@
 Sock *
 sock_connect (Loop *loop, SockAddr addr, const SockOps *ops, void *owner)
 {
-  struct sockaddr_in to = native (addr);
+  struct sockaddr_in to = to_sockaddr (addr);
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
   if (fd < 0)
@@ -310,7 +310,7 @@
       errno = error;
       return NULL;
     }
-  Sock *sock = make (loop, fd, addr, ops, owner);
+  Sock *sock = sock_new (loop, fd, addr, ops, owner);
   sock->connecting = true;
   if (!loop_add (loop, &sock->fd, EPOLLOUT | EPOLLRDHUP))
     {
@@ -324,7 +324,7 @@
 Sock *
 sock_accepted (Loop *loop, int fd, SockAddr peer, const SockOps *ops, void *owner)
 {
-  Sock *sock = make (loop, fd, peer, ops, owner);
+  Sock *sock = sock_new (loop, fd, peer, ops, owner);
 
   if (!loop_add (loop, &sock->fd, EPOLLIN | EPOLLRDHUP))
     {
@@ -343,7 +343,7 @@
   bool empty = sock->out->len == sock->out_at;
   if (empty && !sock->connecting)
     {
-      /* Most writes fit the kernel's buffer: no copy and no wait for EPOLLOUT. */
+      /* Most writes fit into the kernel's buffer and need neither a copy nor EPOLLOUT. */
       ssize_t done = send (sock->fd.fd, data, size, MSG_NOSIGNAL | MSG_DONTWAIT);
       if (done == (ssize_t) size)
         return;
@@ -352,11 +352,11 @@
           data = (const char *) data + done;
           size -= (size_t) done;
         }
-      /* A failure is reported by the next read or EPOLLOUT, never from within a write. */
+      /* A failure is reported on the next read or EPOLLOUT, never from within sock_write. */
     }
   g_byte_array_append (sock->out, data, (guint) size);
   count_unsent (sock);
-  wait_for (sock);
+  update_events (sock);
 }
 
 size_t
@@ -378,7 +378,7 @@
   sock->in_at += size;
   if (sock->in_at < sock->in->len)
     return;
-  empty (&sock->in, &sock->in_at);
+  reset_buffer (&sock->in, &sock->in_at);
 }
 
 void
@@ -386,22 +386,22 @@
 {
   sock->paused = paused;
   if (!sock->ended)
-    wait_for (sock);
+    update_events (sock);
 }
 
 void
-sock_hold (Sock *sock, bool held)
+sock_pause_all (Sock *sock, bool all_paused)
 {
-  sock->held = held;
+  sock->all_paused = all_paused;
   if (!sock->ended)
-    wait_for (sock);
+    update_events (sock);
 }
 
 void
-sock_count_unsent (Sock *sock, size_t *account)
+sock_set_unsent_total (Sock *sock, size_t *unsent_total)
 {
-  sock->account = account;
-  sock->counted = 0;
+  sock->unsent_total = unsent_total;
+  sock->unsent_counted = 0;
   count_unsent (sock);
 }
 
@@ -434,7 +434,7 @@
     }
   sock->closing = true;
   sock->paused = true;
-  wait_for (sock);
+  update_events (sock);
 }
 
 /* ---- Listening ---- */
@@ -468,7 +468,7 @@
 SockListener *
 sock_listen (Loop *loop, SockAddr addr, SockAccept accept, void *owner)
 {
-  struct sockaddr_in at = native (addr);
+  struct sockaddr_in at = to_sockaddr (addr);
   int one = 1;
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
--- a/net/sock.h
+++ b/net/sock.h
@@ -1,4 +1,4 @@
-/* sock.h - a buffered TCP connection on a loop. */
+/* sock.h - buffered, non-blocking TCP connections and listeners on an event loop. */
 #ifndef SOCK_H
 #define SOCK_H
 
@@ -12,30 +12,30 @@
   uint16_t port; /* host order */
 } SockAddr;
 
-/* "10.0.0.1:80". False: not of that form. */
+/* Parses "10.0.0.1:80". Returns false if text is not of that form. */
 bool sock_addr_parse (const char *text, SockAddr *addr);
-/* Into buffer of SOCK_ADDR_TEXT bytes; returns buffer. */
-#define SOCK_ADDR_TEXT 24
-const char *sock_addr_text (SockAddr addr, char *buffer);
+/* Writes addr into buffer, which holds SOCK_ADDR_TEXT_SIZE bytes; returns buffer. */
+#define SOCK_ADDR_TEXT_SIZE 24
+const char *sock_addr_format (SockAddr addr, char *buffer);
 
 typedef enum
 {
-  SOCK_END_EOF,     /* the other end closed in good order */
-  SOCK_END_RESET,   /* reset, or another failure of the connection */
-  SOCK_END_SILENT,  /* the kernel gave it up: the other machine has not been heard for too long */
-  SOCK_END_REFUSED, /* it was never established: the machine is there, and nobody listens */
-  SOCK_END_CONNECT  /* it was never established: no byte has reached the other end's program */
+  SOCK_END_EOF,           /* the peer closed its side */
+  SOCK_END_RESET,         /* reset by the peer, or another error of an established connection */
+  SOCK_END_TIMED_OUT,     /* the kernel's keep-alive or retransmission time-out expired */
+  SOCK_END_REFUSED,       /* connect refused: the machine is up, but nothing listens there */
+  SOCK_END_CONNECT_FAILED /* connect failed otherwise; no byte has reached the peer */
 } SockEnd;
 
 typedef struct Sock Sock;
 
-/* Called in the loop's thread. After ended the owner calls sock_close; nothing else is reported. */
+/* Callbacks, run in the loop's thread. ended is the last one; the owner then calls sock_close. */
 typedef struct
 {
   void (*connected) (Sock *sock); /* may be NULL */
-  /* Bytes have come; takes what it wants with sock_take. */
+  /* Bytes have been received; read them with sock_peek and sock_consume. */
   void (*data) (Sock *sock);
-  /* Everything written has been handed to the kernel; may be NULL. */
+  /* All buffered output has been passed to the kernel; may be NULL. */
   void (*drained) (Sock *sock);
   void (*ended) (Sock *sock, SockEnd how);
 } SockOps;
@@ -47,37 +47,42 @@
   Loop *loop;
   void *owner;
   GByteArray *in, *out;
-  size_t in_at, out_at; /* consumed so far */
-  size_t *account;      /* unsent bytes of all sockets that share it; NULL: not counted */
-  size_t counted;       /* of this one in account */
-  bool connecting, ended, paused, held, closing;
+  size_t in_at, out_at;  /* bytes of the buffer already consumed or sent */
+  size_t *unsent_total;  /* sum of the unsent bytes of all sockets that share it; may be NULL */
+  size_t unsent_counted; /* unsent bytes of this socket that are included in *unsent_total */
+  bool connecting, ended, paused, all_paused, closing;
   SockAddr peer;
 };
 
-/* Fails with NULL and errno when no descriptor can be had or the address is unreachable. */
+/* Starts to connect. Returns NULL with errno set if that fails at once, for lack of a descriptor or
+ * of a route. */
 Sock *sock_connect (Loop *loop, SockAddr addr, const SockOps *ops, void *owner);
-/* fd: an accepted descriptor, taken over. */
+/* Takes over fd, the descriptor of an accepted connection. Returns NULL, with fd closed, if the
+ * loop cannot watch it. */
 Sock *sock_accepted (Loop *loop, int fd, SockAddr peer, const SockOps *ops, void *owner);
 void sock_write (Sock *sock, const void *data, size_t size);
-/* Bytes not yet handed to the kernel. */
+/* Number of bytes written but not yet passed to the kernel. */
 size_t sock_unsent (const Sock *sock);
-/* What has come and not been consumed. */
+/* Received bytes that are not yet consumed. */
 const uint8_t *sock_peek (const Sock *sock, size_t *size);
 void sock_consume (Sock *sock, size_t size);
-/* While paused no bytes are read, so the sender is held up; its close is still noticed. */
+/* While paused, nothing is read, so that TCP flow control stops the sender. A close by the peer is
+ * still reported at once. */
 void sock_pause (Sock *sock, bool paused);
-/* The same, but a close in good order is noticed only when what came before it has been read. */
-void sock_hold (Sock *sock, bool held);
-/* From now on *account counts this socket's unsent bytes as well, until it is closed. */
-void sock_count_unsent (Sock *sock, size_t *account);
-/* Closes at once. reset: the other end is told that it was broken off. sock is invalid after. */
+/* Like sock_pause, but an orderly close by the peer is reported only after reading has resumed and
+ * all bytes before it have been read. */
+void sock_pause_all (Sock *sock, bool all_paused);
+/* Adds this socket's unsent bytes to *unsent_total and keeps that sum up to date until the socket
+ * is closed. */
+void sock_set_unsent_total (Sock *sock, size_t *unsent_total);
+/* Closes at once and invalidates sock. reset: sends a TCP reset instead of an orderly close. */
 void sock_close (Sock *sock, bool reset);
-/* Closes in good order once all is sent; the owner hears nothing more. */
+/* Closes in an orderly way after all output is sent. No callback runs any more. */
 void sock_close_when_sent (Sock *sock);
 
 typedef struct SockListener SockListener;
 typedef void (*SockAccept) (void *owner, int fd, SockAddr peer);
-/* NULL: the address cannot be bound; errno says why. */
+/* Returns NULL with errno set if the address cannot be bound. */
 SockListener *sock_listen (Loop *loop, SockAddr addr, SockAccept accept, void *owner);
 void sock_listener_free (SockListener *listener);
 
--- a/node/main.c
+++ b/node/main.c
@@ -136,7 +136,7 @@
 
 /* What a turn does late, all that waits for this instance gets late. */
 static void
-on_turned (void *data, const LoopTurn *turn)
+on_turned (void *data, const LoopIteration *turn)
 {
   (void) data;
   count_time (TIMED_TURN, turn->took_us);
@@ -210,8 +210,8 @@
   process.changed = changed_at (file);
   process.watch.fire = on_watch;
   loop_timer_set (process.loop, &process.watch, loop_now (process.loop) + SETTINGS_EVERY);
-  loop_each_turn (process.loop, each_turn, NULL);
-  loop_watch (process.loop, on_turned, NULL);
+  loop_add_before_wait (process.loop, each_turn, NULL);
+  loop_set_iteration_callback (process.loop, on_turned, NULL);
   loop_run (process.loop);
   jlog (JLOG_INFO, "stopped", NULL, JL_INT ("lines", jlog_written ()),
         JL_INT ("lines_dropped", jlog_dropped ()));
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -26,7 +26,7 @@
 {
   Fleet *fleet = owner;
   GString *body = g_string_new ("{\"Instances\":[");
-  char addr[SOCK_ADDR_TEXT];
+  char addr[SOCK_ADDR_TEXT_SIZE];
   bool any = false;
 
   for (unsigned i = 0; i < FLEET_SERVERS; i++)
@@ -38,7 +38,7 @@
                               "%s{\"Service\":\"s\",\"Address\":\"%s\",\"Zone\":\"z\",\"Slots\":%u,"
                               "\"Version\":\"%s\",\"ColdRemainingMs\":0,\"State\":\"%s\","
                               "\"Id\":\"%s\"}",
-                              any ? "," : "", sock_addr_text (server->addr, addr), fleet->slots,
+                              any ? "," : "", sock_addr_format (server->addr, addr), fleet->slots,
                               server->version, server->leaving ? "draining" : "ready", server->id);
       any = true;
     }
@@ -61,7 +61,7 @@
 static const char *
 ip_text (uint32_t ip, char *text)
 {
-  sock_addr_text ((SockAddr){ ip, 0 }, text);
+  sock_addr_format ((SockAddr){ ip, 0 }, text);
   *strrchr (text, ':') = '\0';
   return text;
 }
@@ -69,11 +69,11 @@
 static void
 write_settings (const Fleet *fleet, const FleetNode *node, bool first_start)
 {
-  char ip[SOCK_ADDR_TEXT], seed[SOCK_ADDR_TEXT], list[SOCK_ADDR_TEXT];
+  char ip[SOCK_ADDR_TEXT_SIZE], seed[SOCK_ADDR_TEXT_SIZE], list[SOCK_ADDR_TEXT_SIZE];
   GString *out = g_string_new ("// written by a test\n{");
 
   ip_text (node->ip, ip);
-  sock_addr_text ((SockAddr){ fleet->voters[0].ip - 1, LIST }, list);
+  sock_addr_format ((SockAddr){ fleet->voters[0].ip - 1, LIST }, list);
   g_string_append_printf (
       out,
       "\"name\":\"%s\",\"role\":\"%s\",\"ip\":\"%s\",\"domain\":\"z\","
@@ -386,8 +386,8 @@
 static void
 send_to (Fleet *fleet, SockAddr addr, const GString *request, Answer *answer)
 {
-  char key[SOCK_ADDR_TEXT];
-  HCliTarget target = { addr, sock_addr_text (addr, key), FT_SECOND, 5 * FT_SECOND, false };
+  char key[SOCK_ADDR_TEXT_SIZE];
+  HCliTarget target = { addr, sock_addr_format (addr, key), FT_SECOND, 5 * FT_SECOND, false };
 
   memset (answer, 0, sizeof *answer);
   answer->body = g_string_new (NULL);
--- a/test/place.c
+++ b/test/place.c
@@ -119,7 +119,7 @@
   loop = loop_new ();
   guard.fire = on_guard;
   loop_timer_set (loop, &guard, loop_now (loop) + GUARD);
-  loop_each_turn (loop, check_wanted, NULL);
+  loop_add_before_wait (loop, check_wanted, NULL);
   mesh = test_mesh (loop, MESH_ENTRY, 22000);
   place = place_new (loop, mesh, 0x7f000001, &place_ops, NULL);
   rt_cat_add_service (cat, &service, NULL);
--- a/test/wire.c
+++ b/test/wire.c
@@ -517,7 +517,7 @@
   Sock *sock = talk (&front, "GET / HTTP/1.1\r\n\r\n");
 
   front.until = (const char *) (uintptr_t) sock;
-  loop_each_turn (loop, close_when_held, &front);
+  loop_add_before_wait (loop, close_when_held, &front);
   loop_run (loop);
   g_assert_cmpuint (front.gone, ==, 1);
   front.until = NULL;
@@ -546,7 +546,7 @@
   Front front = { .begin = true };
 
   talk (&front, "GET / HTTP/1.1\r\n\r\n");
-  loop_each_turn (loop, close_when_begun, &front);
+  loop_add_before_wait (loop, close_when_begun, &front);
   loop_run (loop);
   g_assert_true (front.ended);
   g_assert_true (g_str_has_suffix (front.got->str, "part\r\n0\r\n\r\n"));
