--- a/net/hcli.c
+++ b/net/hcli.c
@@ -46,7 +46,7 @@
   Pool *pool; /* while idle */
   char *key;
   Sock *sock;
-  HRead *read;
+  HReader *read;
   HXfer *xfer;       /* NULL while idle */
   HCliProbed probed; /* of a probe that has not ended */
   void *probe_user;
@@ -144,7 +144,7 @@
   Conn *conn = user;
 
   conn->keep_us = kept_for (msg);
-  if (!hmsg_keeps_connection (msg))
+  if (!hmsg_keep_alive (msg))
     conn->spoilt = true;
   conn->skipping = conn->xfer == NULL || !conn->xfer->ops->head (conn->xfer->user, msg);
   if (conn->skipping)
@@ -297,7 +297,7 @@
       close_conn (conn, false);
       return;
     }
-  if (conn->xfer && how == SOCK_END_EOF && !conn->skipping && hread_eof (conn->read)
+  if (conn->xfer && how == SOCK_END_EOF && !conn->skipping && hread_finish (conn->read)
       && conn->ended_message)
     {
       conn->spoilt = true;
@@ -316,7 +316,7 @@
 
   loop_timer_stop (conn->cli->loop, &conn->timer);
   xfer->sent = true;
-  hread_expect_no_body (conn->read, xfer->no_body);
+  hread_set_no_body (conn->read, xfer->no_body);
   sock_write (conn->sock, xfer->request->str, xfer->request->len);
   g_string_free (xfer->request, TRUE);
   xfer->request = NULL;
--- a/net/hmsg.c
+++ b/net/hmsg.c
@@ -1,10 +1,9 @@
-/* hmsg.c - a thin layer over libhttp-parser, which refuses two lengths and a length together with
- * chunks.
+/* hmsg.c - a thin layer over libhttp-parser.
  *
- * Failure: the parser takes a field's name with a space before its colon, and control characters.
- * Symptom: another program on the path sees another end of the body, and runs a request that was
- * hidden in it. So names must be tokens (RFC 9110, 5.6.2) and values must be printable, else the
- * message is refused.
+ * The parser rejects two lengths and a length together with chunks, but accepts a space before the
+ * colon of a field and control characters. Another program on the path may then see a different end
+ * of the body and run a request that is hidden in it (request smuggling). So a message is also
+ * rejected unless its field names are tokens (RFC 9110, 5.6.2) and its values are printable.
  */
 #include "hmsg.h"
 
@@ -18,22 +17,22 @@
 
 struct HMsg
 {
-  GString *text; /* names and values, each ended by NUL */
+  GString *text; /* names and values, NUL-terminated */
   GString *target;
   GArray *fields; /* Field */
   const char *method;
   unsigned status;
-  bool keeps, ends_with_connection;
+  bool keep_alive, body_until_close;
 };
 
-struct HRead
+struct HReader
 {
   http_parser parser;
   const HReadOps *ops;
   void *user;
   HMsg *msg;
-  size_t head_most, body_most, head_bytes, body_bytes;
-  bool requests, in_value, within, head_done, ended, no_body;
+  size_t head_max, body_max, head_bytes, body_bytes;
+  bool requests, in_value, in_message, head_done, ended, no_body;
   HReadFault fault;
 };
 
@@ -106,9 +105,9 @@
   return NULL;
 }
 
-/* Is word one of the comma-separated words of list? */
+/* True if the comma-separated list contains word. */
 static bool
-list_has (const char *list, const char *word)
+list_contains (const char *list, const char *word)
 {
   size_t length = strlen (word);
 
@@ -124,7 +123,7 @@
 }
 
 bool
-hmsg_field_is_local (const HMsg *msg, unsigned index)
+hmsg_field_is_hop_by_hop (const HMsg *msg, unsigned index)
 {
   static const char *const names[] = { "Connection",
                                        "Keep-Alive",
@@ -144,98 +143,98 @@
       return true;
   for (unsigned i = 0; i < msg->fields->len; i++)
     if (g_ascii_strcasecmp (hmsg_field_name (msg, i), "Connection") == 0
-        && list_has (hmsg_field_value (msg, i), name))
+        && list_contains (hmsg_field_value (msg, i), name))
       return true;
   return false;
 }
 
 bool
-hmsg_keeps_connection (const HMsg *msg)
+hmsg_keep_alive (const HMsg *msg)
 {
-  return msg->keeps;
+  return msg->keep_alive;
 }
 
 bool
-hmsg_ends_with_connection (const HMsg *msg)
+hmsg_body_until_close (const HMsg *msg)
 {
-  return msg->ends_with_connection;
+  return msg->body_until_close;
 }
 
 /* ---- Reading ---- */
 
 static int
-stop (HRead *read, HReadFault fault)
+fail (HReader *reader, HReadFault fault)
 {
-  read->fault = fault;
+  reader->fault = fault;
   return -1;
 }
 
 static int
-count_head (HRead *read, size_t size)
+count_head (HReader *reader, size_t size)
 {
-  read->head_bytes += size;
-  if (read->head_most && read->head_bytes > read->head_most)
-    return stop (read, HREAD_HEAD_TOO_LARGE);
+  reader->head_bytes += size;
+  if (reader->head_max && reader->head_bytes > reader->head_max)
+    return fail (reader, HREAD_HEAD_TOO_LARGE);
   return 0;
 }
 
 static int
 on_begin (http_parser *parser)
 {
-  HRead *read = parser->data;
+  HReader *reader = parser->data;
 
-  hmsg_free (read->msg);
-  read->msg = hmsg_new ();
-  read->in_value = read->head_done = read->ended = false;
-  read->within = true;
-  read->head_bytes = read->body_bytes = 0;
+  hmsg_free (reader->msg);
+  reader->msg = hmsg_new ();
+  reader->in_value = reader->head_done = reader->ended = false;
+  reader->in_message = true;
+  reader->head_bytes = reader->body_bytes = 0;
   return 0;
 }
 
 static int
 on_target (http_parser *parser, const char *at, size_t size)
 {
-  HRead *read = parser->data;
+  HReader *reader = parser->data;
 
-  g_string_append_len (read->msg->target, at, (gssize) size);
-  return count_head (read, size);
+  g_string_append_len (reader->msg->target, at, (gssize) size);
+  return count_head (reader, size);
 }
 
 static int
 on_name (http_parser *parser, const char *at, size_t size)
 {
-  HRead *read = parser->data;
-  HMsg *msg = read->msg;
+  HReader *reader = parser->data;
+  HMsg *msg = reader->msg;
 
-  if (read->head_done)
-    return 0; /* a trailer: nothing here uses one */
-  if (read->in_value || msg->fields->len == 0)
+  if (reader->head_done)
+    return 0; /* trailer fields are ignored */
+  if (reader->in_value || msg->fields->len == 0)
     {
       Field field = { (guint) msg->text->len + 1, 0 };
       g_string_append_c (msg->text, '\0');
       g_array_append_val (msg->fields, field);
-      read->in_value = false;
+      reader->in_value = false;
     }
   g_string_append_len (msg->text, at, (gssize) size);
-  return count_head (read, size + 4);
+  return count_head (reader, size + 4);
 }
 
 static int
 on_value (http_parser *parser, const char *at, size_t size)
 {
-  HRead *read = parser->data;
-  HMsg *msg = read->msg;
+  HReader *reader = parser->data;
+  HMsg *msg = reader->msg;
 
-  if (read->head_done)
+  if (reader->head_done)
     return 0;
-  if (!read->in_value)
+  if (!reader->in_value)
     {
       g_string_append_c (msg->text, '\0');
       g_array_index (msg->fields, Field, msg->fields->len - 1).value = (guint) msg->text->len;
-      read->in_value = true;
+      reader->in_value = true;
     }
   g_string_append_len (msg->text, at, (gssize) size);
-  return count_head (read, size);
+  return count_head (reader, size);
 }
 
 static bool
@@ -259,7 +258,7 @@
 }
 
 static bool
-fields_are_sound (const HMsg *msg)
+fields_are_valid (const HMsg *msg)
 {
   for (unsigned i = 0; i < msg->fields->len; i++)
     if (!is_token (hmsg_field_name (msg, i)) || !is_printable (hmsg_field_value (msg, i)))
@@ -270,51 +269,51 @@
 static int
 on_head (http_parser *parser)
 {
-  HRead *read = parser->data;
-  HMsg *msg = read->msg;
+  HReader *reader = parser->data;
+  HMsg *msg = reader->msg;
 
-  if (!fields_are_sound (msg))
-    return stop (read, HREAD_BAD_SYNTAX);
-  read->head_done = true;
+  if (!fields_are_valid (msg))
+    return fail (reader, HREAD_BAD_SYNTAX);
+  reader->head_done = true;
   msg->status = parser->status_code;
-  msg->method = read->requests ? http_method_str ((enum http_method) parser->method) : "";
-  msg->keeps = http_should_keep_alive (parser);
+  msg->method = reader->requests ? http_method_str ((enum http_method) parser->method) : "";
+  msg->keep_alive = http_should_keep_alive (parser);
   bool bodiless
-      = read->no_body || msg->status / 100 == 1 || msg->status == 204 || msg->status == 304;
-  msg->ends_with_connection = !read->requests && !bodiless && !(parser->flags & F_CHUNKED)
-                              && parser->content_length == ULLONG_MAX;
-  if (read->body_most && parser->content_length != ULLONG_MAX
-      && parser->content_length > read->body_most)
-    return stop (read, HREAD_BODY_TOO_LARGE);
-  if (!read->requests && msg->status / 100 == 1)
-    return 0; /* an interim response; the real one follows */
-  read->ops->head (read->user, msg);
-  return read->no_body ? 1 : 0;
+      = reader->no_body || msg->status / 100 == 1 || msg->status == 204 || msg->status == 304;
+  msg->body_until_close = !reader->requests && !bodiless && !(parser->flags & F_CHUNKED)
+                          && parser->content_length == ULLONG_MAX;
+  if (reader->body_max && parser->content_length != ULLONG_MAX
+      && parser->content_length > reader->body_max)
+    return fail (reader, HREAD_BODY_TOO_LARGE);
+  if (!reader->requests && msg->status / 100 == 1)
+    return 0; /* an interim response; the final one follows */
+  reader->ops->head (reader->user, msg);
+  return reader->no_body ? 1 : 0;
 }
 
 static int
 on_body (http_parser *parser, const char *at, size_t size)
 {
-  HRead *read = parser->data;
+  HReader *reader = parser->data;
 
-  read->body_bytes += size;
-  if (read->body_most && read->body_bytes > read->body_most)
-    return stop (read, HREAD_BODY_TOO_LARGE);
-  read->ops->body (read->user, at, size);
+  reader->body_bytes += size;
+  if (reader->body_max && reader->body_bytes > reader->body_max)
+    return fail (reader, HREAD_BODY_TOO_LARGE);
+  reader->ops->body (reader->user, at, size);
   return 0;
 }
 
 static int
 on_end (http_parser *parser)
 {
-  HRead *read = parser->data;
+  HReader *reader = parser->data;
 
-  read->within = false;
-  if (!read->requests && read->msg->status / 100 == 1)
+  reader->in_message = false;
+  if (!reader->requests && reader->msg->status / 100 == 1)
     return 0;
-  read->ended = true;
+  reader->ended = true;
   http_parser_pause (parser, 1);
-  read->ops->end (read->user);
+  reader->ops->end (reader->user);
   return 0;
 }
 
@@ -326,73 +325,73 @@
                                                .on_body = on_body,
                                                .on_message_complete = on_end };
 
-HRead *
+HReader *
 hread_new (bool requests, const HReadOps *ops, void *user)
 {
-  HRead *read = g_new0 (HRead, 1);
+  HReader *reader = g_new0 (HReader, 1);
 
-  http_parser_init (&read->parser, requests ? HTTP_REQUEST : HTTP_RESPONSE);
-  read->parser.data = read;
-  read->requests = requests;
-  read->ops = ops;
-  read->user = user;
-  return read;
+  http_parser_init (&reader->parser, requests ? HTTP_REQUEST : HTTP_RESPONSE);
+  reader->parser.data = reader;
+  reader->requests = requests;
+  reader->ops = ops;
+  reader->user = user;
+  return reader;
 }
 
 void
-hread_free (HRead *read)
+hread_free (HReader *reader)
 {
-  if (read == NULL)
+  if (reader == NULL)
     return;
-  hmsg_free (read->msg);
-  g_free (read);
+  hmsg_free (reader->msg);
+  g_free (reader);
 }
 
 void
-hread_limits (HRead *read, size_t head_bytes, size_t body_bytes)
+hread_set_limits (HReader *reader, size_t head_bytes, size_t body_bytes)
 {
-  read->head_most = head_bytes;
-  read->body_most = body_bytes;
+  reader->head_max = head_bytes;
+  reader->body_max = body_bytes;
 }
 
 void
-hread_expect_no_body (HRead *read, bool none)
+hread_set_no_body (HReader *reader, bool no_body)
 {
-  read->no_body = none;
+  reader->no_body = no_body;
 }
 
 size_t
-hread_feed (HRead *read, const void *data, size_t size, HReadFault *fault)
+hread_feed (HReader *reader, const void *data, size_t size, HReadFault *fault)
 {
   *fault = 0;
-  if (HTTP_PARSER_ERRNO (&read->parser) == HPE_PAUSED)
-    http_parser_pause (&read->parser, 0);
-  size_t used = http_parser_execute (&read->parser, &settings, data, size);
-  enum http_errno error = HTTP_PARSER_ERRNO (&read->parser);
+  if (HTTP_PARSER_ERRNO (&reader->parser) == HPE_PAUSED)
+    http_parser_pause (&reader->parser, 0);
+  size_t used = http_parser_execute (&reader->parser, &settings, data, size);
+  enum http_errno error = HTTP_PARSER_ERRNO (&reader->parser);
   if (error == HPE_PAUSED)
     return used;
   if (error != HPE_OK)
-    *fault = read->fault                    ? read->fault
+    *fault = reader->fault                  ? reader->fault
              : error == HPE_HEADER_OVERFLOW ? HREAD_HEAD_TOO_LARGE
                                             : HREAD_BAD_SYNTAX;
-  else if (read->parser.upgrade)
-    *fault = HREAD_BAD_SYNTAX; /* no other protocol is spoken here */
+  else if (reader->parser.upgrade)
+    *fault = HREAD_BAD_SYNTAX; /* no other protocol is supported */
   return used;
 }
 
 bool
-hread_eof (HRead *read)
+hread_finish (HReader *reader)
 {
-  if (!read->within || HTTP_PARSER_ERRNO (&read->parser) != HPE_OK)
+  if (!reader->in_message || HTTP_PARSER_ERRNO (&reader->parser) != HPE_OK)
     return false;
-  http_parser_execute (&read->parser, &settings, NULL, 0);
-  return read->ended;
+  http_parser_execute (&reader->parser, &settings, NULL, 0);
+  return reader->ended;
 }
 
 /* ---- Writing ---- */
 
 const char *
-hwrite_reason (unsigned status)
+hwrite_reason_phrase (unsigned status)
 {
   switch (status)
     {
@@ -418,7 +417,7 @@
 void
 hwrite_status_line (GString *out, unsigned status)
 {
-  g_string_append_printf (out, "HTTP/1.1 %u %s\r\n", status, hwrite_reason (status));
+  g_string_append_printf (out, "HTTP/1.1 %u %s\r\n", status, hwrite_reason_phrase (status));
 }
 
 void
@@ -431,21 +430,21 @@
 }
 
 void
-hwrite_number (GString *out, const char *name, int64_t value)
+hwrite_number_field (GString *out, const char *name, int64_t value)
 {
   g_string_append_printf (out, "%s: %" G_GINT64_FORMAT "\r\n", name, value);
 }
 
 void
-hwrite_fields_of (GString *out, const HMsg *msg, bool (*skip) (const char *name))
+hwrite_forwarded_fields (GString *out, const HMsg *msg, bool (*skip) (const char *name))
 {
   for (unsigned i = 0; i < msg->fields->len; i++)
-    if (!hmsg_field_is_local (msg, i) && !(skip && skip (hmsg_field_name (msg, i))))
+    if (!hmsg_field_is_hop_by_hop (msg, i) && !(skip && skip (hmsg_field_name (msg, i))))
       hwrite_field (out, hmsg_field_name (msg, i), hmsg_field_value (msg, i));
 }
 
 void
-hwrite_end (GString *out)
+hwrite_head_end (GString *out)
 {
   g_string_append (out, "\r\n");
 }
--- a/net/hsrv.c
+++ b/net/hsrv.c
@@ -33,7 +33,7 @@
   struct cds_list_head link;
   HSrv *srv;
   Sock *sock;
-  HRead *read;
+  HReader *read;
   ConnState state;
   LoopTimer timer;
   size_t unsent_before; /* when the timer was set */
@@ -150,9 +150,9 @@
   hwrite_status_line (out, status);
   hwrite_field (out, "Connection", "close");
   if (status == 503)
-    hwrite_number (out, "Retry-After", RETRY_AFTER_S);
-  hwrite_number (out, "Content-Length", 0);
-  hwrite_end (out);
+    hwrite_number_field (out, "Retry-After", RETRY_AFTER_S);
+  hwrite_number_field (out, "Content-Length", 0);
+  hwrite_head_end (out);
   sock_write (conn->sock, out->str, out->len);
   g_string_free (out, TRUE);
   free_call (conn);
@@ -185,7 +185,7 @@
   static const char interim[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
   conn->call->msg = msg;
-  conn->call->keep = hmsg_keeps_connection (msg);
+  conn->call->keep = hmsg_keep_alive (msg);
   conn->call->no_body = strcmp (hmsg_method (msg), "HEAD") == 0;
   if (expect && g_ascii_strcasecmp (expect, "100-continue") == 0)
     sock_write (conn->sock, interim, sizeof interim - 1);
@@ -247,7 +247,7 @@
         return;
       if (conn->call == NULL)
         {
-          hread_limits (conn->read, conn->srv->limits.head_bytes, conn->srv->limits.body_bytes);
+          hread_set_limits (conn->read, conn->srv->limits.head_bytes, conn->srv->limits.body_bytes);
           start_call (conn);
         }
       size_t used = hread_feed (conn->read, data, size, &fault);
@@ -533,8 +533,8 @@
   GString *out = start_head (call, status, fields);
 
   if (status != 204 && status != 304)
-    hwrite_number (out, "Content-Length", (int64_t) size);
-  hwrite_end (out);
+    hwrite_number_field (out, "Content-Length", (int64_t) size);
+  hwrite_head_end (out);
   if (!call->no_body)
     g_string_append_len (out, body, (gssize) size);
   sock_write (conn->sock, out->str, out->len);
@@ -549,7 +549,7 @@
   GString *out = start_head (call, status, fields);
 
   hwrite_field (out, "Transfer-Encoding", "chunked");
-  hwrite_end (out);
+  hwrite_head_end (out);
   conn->state = CONN_ANSWERING;
   sock_write (conn->sock, out->str, out->len);
   g_string_free (out, TRUE);
--- a/node/try.c
+++ b/node/try.c
@@ -90,7 +90,7 @@
   SeamAnswer answer;
 
   req->all->conf.seam->read_answer (msg, &answer);
-  req->unframed = hmsg_ends_with_connection (msg);
+  req->unframed = hmsg_body_until_close (msg);
   if (!is_ours (req, &answer))
     {
       jlog (JLOG_WARN, "foreign-answer", req->id, JL_TEXT ("server", req->server),
--- a/test/adapter.c
+++ b/test/adapter.c
@@ -32,10 +32,10 @@
 
 static const HReadOps read_ops = { on_head, on_body, on_end };
 
-static HRead *
+static HReader *
 read_message (bool request, const char *text, GString *body)
 {
-  HRead *read = hread_new (request, &read_ops, body);
+  HReader *read = hread_new (request, &read_ops, body);
   HReadFault fault;
 
   hread_feed (read, text, strlen (text), &fault);
@@ -183,7 +183,7 @@
                                         "X-Foxtailgrade-Expect-Version",
                                         "Upgrade" };
   GString *body = g_string_new (NULL), *out = g_string_new (NULL);
-  HRead *read = read_message (
+  HReader *read = read_message (
       true,
       "POST /x/y?q=1 HTTP/1.1\r\nHost: h\r\nAuthorization: Token secret\r\n"
       "X-Foxtailgrade-Request-Id: id1\r\nX-Foxtailgrade-Tenant: evil\r\n"
@@ -234,12 +234,12 @@
 answers (void)
 {
   GString *body = g_string_new (NULL), *out = g_string_new (NULL);
-  HRead *read = read_message (false,
-                              "HTTP/1.1 503 Busy\r\nX-Foxtailgrade-Request-Id: id1\r\n"
-                              "X-Foxtailgrade-Not-Executed: 1\r\nContent-Length: 0\r\n"
-                              "X-Foxtailgrade-Server-Signature: sig\r\nKeep-Alive: timeout=3\r\n"
-                              "X-Foxtailgrade-Instance-Load: 3,1,8\r\n\r\n",
-                              body);
+  HReader *read = read_message (false,
+                                "HTTP/1.1 503 Busy\r\nX-Foxtailgrade-Request-Id: id1\r\n"
+                                "X-Foxtailgrade-Not-Executed: 1\r\nContent-Length: 0\r\n"
+                                "X-Foxtailgrade-Server-Signature: sig\r\nKeep-Alive: timeout=3\r\n"
+                                "X-Foxtailgrade-Instance-Load: 3,1,8\r\n\r\n",
+                                body);
   SeamAnswer answer;
 
   platform_seam ()->read_answer (kept, &answer);
@@ -311,7 +311,7 @@
       GString *body = g_string_new (NULL);
       char *text
           = g_strdup_printf ("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n%s\r\n", cases[i].fields);
-      HRead *read = read_message (false, text, body);
+      HReader *read = read_message (false, text, body);
       SeamAnswer answer;
 
       platform_seam ()->read_answer (kept, &answer);
@@ -333,7 +333,7 @@
 advice_for_callers (void)
 {
   GString *body = g_string_new (NULL);
-  HRead *read = read_message (
+  HReader *read = read_message (
       false, "HTTP/1.1 301 Moved\r\nContent-Length: 0\r\nRetry-After: 9\r\n\r\n", body);
   SeamAnswer answer;
 
