--- a/net/hcli.c
+++ b/net/hcli.c
@@ -1,9 +1,8 @@
-/* hcli.c - kept connections by key, newest first.
+/* hcli.c - HTTP/1.1 client with a pool of idle connections for each key, most recently used first.
  *
- * Why not the HTTP library's client: it sends a request again by itself when a kept connection ends
- * before the first byte of the answer, and has no switch for that. A request that may run once only
- * would run twice. Here the one place that writes a request is start_sending, called once a
- * transfer.
+ * The HTTP library's client is not used because it resends a request when a persistent connection
+ * closes before the first byte of the response, which cannot be disabled. A request that must run
+ * at most once could run twice. Here only start_sending writes a request, once for each transfer.
  */
 #include "hcli.h"
 
@@ -12,20 +11,17 @@
 #include <sys/socket.h>
 #include <urcu/list.h>
 
-/* Tuning; each row with its reason. */
-#define IDLE_UNSTATED                                                                              \
-  (300 * FT_MS)                   /* a server that states no time-out may close within a second    \
-                                   */
-#define IDLE_MARGIN (400 * FT_MS) /* a request must arrive before the server's time-out ends */
-#define IDLE_SWEEP  (1 * FT_SECOND)
-#define IDLE_MOST   64 /* idle connections a key; above the places of any server seen so far */
+#define IDLE_DEFAULT_US   (300 * FT_MS) /* servers without Keep-Alive may close within a second */
+#define IDLE_MARGIN_US    (400 * FT_MS) /* for a request to arrive before the server's time-out */
+#define SWEEP_INTERVAL_US (1 * FT_SECOND)
+#define IDLE_CONNS_MAX    64 /* for each key; more than the slots of any server seen so far */
 
 typedef struct Conn Conn;
 
 typedef struct
 {
   char *key;
-  struct cds_list_head idle; /* newest first */
+  struct cds_list_head idle; /* most recently used first */
   unsigned count;
 } Pool;
 
@@ -36,7 +32,7 @@
   LoopTimer sweep;
   struct cds_list_head conns;
   uint64_t opened;
-  size_t unsent; /* of requests, to servers that read slowly */
+  size_t unsent; /* bytes of requests in the sockets' buffers */
 };
 
 struct Conn
@@ -47,12 +43,12 @@
   char *key;
   Sock *sock;
   HReader *read;
-  HXfer *xfer;       /* NULL while idle */
-  HCliProbed probed; /* of a probe that has not ended */
+  HXfer *xfer;              /* NULL while idle */
+  HCliProbeFunc probe_func; /* callback of a probe in progress, else NULL */
   void *probe_user;
   LoopTimer timer;
-  int64_t idle_since, idle_until, keep_us;
-  bool ended_message, skipping, spoilt, feeding, closed;
+  int64_t idle_since, idle_until, idle_limit_us;
+  bool message_complete, skipping, not_reusable, feeding, closed;
 };
 
 struct HXfer
@@ -62,7 +58,7 @@
   void *user;
   GString *request;
   bool sent, no_body;
-  int64_t rested;
+  int64_t idle_us;
 };
 
 static void
@@ -74,7 +70,7 @@
 }
 
 static void
-leave_pool (Conn *conn)
+remove_from_pool (Conn *conn)
 {
   if (conn->pool == NULL)
     return;
@@ -86,11 +82,11 @@
 static void
 close_conn (Conn *conn, bool reset)
 {
-  leave_pool (conn);
+  remove_from_pool (conn);
   loop_timer_stop (conn->cli->loop, &conn->timer);
   sock_close (conn->sock, reset);
   conn->closed = true;
-  if (!conn->feeding) /* else the reader is freed once it has returned */
+  if (!conn->feeding) /* otherwise on_data frees the reader when hread_feed returns */
     hread_free (conn->read);
   cds_list_del (&conn->link);
   g_free (conn->key);
@@ -103,11 +99,11 @@
 static void
 end_probe (Conn *conn, bool connected, HXferFault fault)
 {
-  HCliProbed probed = conn->probed;
+  HCliProbeFunc probe_func = conn->probe_func;
 
-  conn->probed = NULL;
-  if (probed)
-    probed (conn->probe_user, connected, fault);
+  conn->probe_func = NULL;
+  if (probe_func)
+    probe_func (conn->probe_user, connected, fault);
 }
 
 static void
@@ -117,25 +113,25 @@
 
   conn->xfer = NULL;
   close_conn (conn, true);
-  end_probe (conn, false, fault); /* its memory stays until the turn's end */
+  end_probe (conn, false, fault); /* conn is freed after this iteration's events */
   if (xfer == NULL)
     return;
   xfer->ops->failed (xfer->user, fault);
   xfer_free (xfer);
 }
 
-/* ---- Reading answers ---- */
+/* ---- Reading responses ---- */
 
 static int64_t
-kept_for (const HMsg *msg)
+idle_limit (const HMsg *msg)
 {
   const char *value = hmsg_field (msg, "Keep-Alive");
-  const char *stated = value ? strstr (value, "timeout=") : NULL;
+  const char *timeout = value ? strstr (value, "timeout=") : NULL;
 
-  if (stated == NULL)
-    return IDLE_UNSTATED;
-  int64_t seconds = g_ascii_strtoll (stated + strlen ("timeout="), NULL, 10);
-  return MAX (IDLE_UNSTATED, seconds * FT_SECOND - IDLE_MARGIN);
+  if (timeout == NULL)
+    return IDLE_DEFAULT_US;
+  int64_t seconds = g_ascii_strtoll (timeout + strlen ("timeout="), NULL, 10);
+  return MAX (IDLE_DEFAULT_US, seconds * FT_SECOND - IDLE_MARGIN_US);
 }
 
 static void
@@ -143,12 +139,12 @@
 {
   Conn *conn = user;
 
-  conn->keep_us = kept_for (msg);
+  conn->idle_limit_us = idle_limit (msg);
   if (!hmsg_keep_alive (msg))
-    conn->spoilt = true;
+    conn->not_reusable = true;
   conn->skipping = conn->xfer == NULL || !conn->xfer->ops->head (conn->xfer->user, msg);
   if (conn->skipping)
-    conn->spoilt = true; /* the two ends no longer agree on what is awaited */
+    conn->not_reusable = true; /* its next response may belong to another request */
 }
 
 static void
@@ -165,13 +161,13 @@
 {
   Conn *conn = user;
 
-  conn->ended_message = true;
+  conn->message_complete = true;
 }
 
 static const HReadOps read_ops = { on_head, on_body, on_end };
 
 static Pool *
-pool_of (HCli *cli, const char *key)
+get_pool (HCli *cli, const char *key)
 {
   Pool *pool = g_hash_table_lookup (cli->pools, key);
 
@@ -186,25 +182,25 @@
 }
 
 static void
-become_idle (Conn *conn)
+add_to_pool (Conn *conn)
 {
   int64_t now = loop_now (conn->cli->loop);
-  Pool *pool = pool_of (conn->cli, conn->key);
+  Pool *pool = get_pool (conn->cli, conn->key);
 
-  if (pool->count >= IDLE_MOST)
+  if (pool->count >= IDLE_CONNS_MAX)
     {
       close_conn (conn, false);
       return;
     }
   conn->idle_since = now;
-  conn->idle_until = now + conn->keep_us;
+  conn->idle_until = now + conn->idle_limit_us;
   conn->pool = pool;
   cds_list_add (&conn->idle_link, &pool->idle);
   pool->count++;
 }
 
 static void
-complete (Conn *conn)
+complete_transfer (Conn *conn)
 {
   HXfer *xfer = conn->xfer;
   size_t left;
@@ -212,11 +208,12 @@
   sock_peek (conn->sock, &left);
   conn->xfer = NULL;
   sock_pause_all (conn->sock, false);
-  /* Bytes behind a complete answer belong to no request; part of the request may be unsent. */
-  if (conn->spoilt || left > 0 || sock_unsent (conn->sock) > 0)
+  /* The connection is not reusable if bytes follow the complete response or if part of the
+   * request is unsent. */
+  if (conn->not_reusable || left > 0 || sock_unsent (conn->sock) > 0)
     close_conn (conn, left > 0 || sock_unsent (conn->sock) > 0);
   else
-    become_idle (conn);
+    add_to_pool (conn);
   xfer->ops->end (xfer->user);
   xfer_free (xfer);
 }
@@ -230,7 +227,7 @@
 
   if (conn->xfer == NULL)
     {
-      close_conn (conn, true); /* bytes that nobody asked for */
+      close_conn (conn, true); /* data without a request */
       return;
     }
   for (;;)
@@ -238,7 +235,7 @@
       const uint8_t *data = sock_peek (sock, &size);
       if (size == 0)
         return;
-      conn->ended_message = false;
+      conn->message_complete = false;
       conn->feeding = true;
       size_t used = hread_feed (conn->read, data, size, &fault);
       conn->feeding = false;
@@ -250,30 +247,30 @@
       sock_consume (sock, used);
       if (fault)
         {
-          fail (conn, HXFER_GARBLED);
+          fail (conn, HXFER_BAD_RESPONSE);
           return;
         }
-      if (!conn->ended_message)
+      if (!conn->message_complete)
         return;
       if (!conn->skipping)
         {
-          complete (conn);
+          complete_transfer (conn);
           return;
         }
     }
 }
 
 static HXferFault
-fault_of (SockEnd how)
+end_fault (SockEnd reason)
 {
-  switch (how)
+  switch (reason)
     {
     case SOCK_END_CONNECT_FAILED:
-      return HXFER_UNREACHED;
+      return HXFER_NOT_CONNECTED;
     case SOCK_END_REFUSED:
       return HXFER_REFUSED;
     case SOCK_END_TIMED_OUT:
-      return HXFER_LOST;
+      return HXFER_TIMED_OUT;
     default:
       return HXFER_BROKEN;
     }
@@ -288,23 +285,23 @@
 }
 
 static void
-on_ended (Sock *sock, SockEnd how)
+on_ended (Sock *sock, SockEnd reason)
 {
   Conn *conn = sock->owner;
 
-  if (conn->xfer == NULL && conn->probed == NULL)
+  if (conn->xfer == NULL && conn->probe_func == NULL)
     {
       close_conn (conn, false);
       return;
     }
-  if (conn->xfer && how == SOCK_END_EOF && !conn->skipping && hread_finish (conn->read)
-      && conn->ended_message)
+  if (conn->xfer && reason == SOCK_END_EOF && !conn->skipping && hread_finish (conn->read)
+      && conn->message_complete)
     {
-      conn->spoilt = true;
-      complete (conn);
+      conn->not_reusable = true;
+      complete_transfer (conn);
       return;
     }
-  fail (conn, fault_of (how));
+  fail (conn, end_fault (reason));
 }
 
 /* ---- Sending ---- */
@@ -327,15 +324,15 @@
 {
   Conn *conn = sock->owner;
 
-  if (conn->probed == NULL)
+  if (conn->probe_func == NULL)
     {
       start_sending (conn);
       return;
     }
   loop_timer_stop (conn->cli->loop, &conn->timer);
-  conn->keep_us = IDLE_UNSTATED;
-  become_idle (conn);
-  end_probe (conn, true, HXFER_UNREACHED);
+  conn->idle_limit_us = IDLE_DEFAULT_US;
+  add_to_pool (conn);
+  end_probe (conn, true, HXFER_NOT_CONNECTED);
 }
 
 static const SockOps sock_ops = { on_connected, on_data, NULL, on_ended };
@@ -343,17 +340,17 @@
 static void
 on_connect_timer (LoopTimer *timer)
 {
-  fail ((Conn *) ((char *) timer - offsetof (Conn, timer)), HXFER_UNREACHED);
+  fail ((Conn *) ((char *) timer - offsetof (Conn, timer)), HXFER_NOT_CONNECTED);
 }
 
 typedef enum
 {
-  PEEK_ENDED, /* the other end has closed or reset it */
+  PEEK_ENDED, /* the server has closed or reset the connection */
   PEEK_DATA,
   PEEK_NOTHING
 } Peek;
 
-/* What has come since the last turn. */
+/* Checks for input or a close that the loop has not reported yet. */
 static Peek
 peek (const Conn *conn)
 {
@@ -374,11 +371,11 @@
   while (pool && !cds_list_empty (&pool->idle))
     {
       Conn *conn = cds_list_first_entry (&pool->idle, Conn, idle_link);
-      if (now - conn->idle_since > target->idle_most)
-        return NULL; /* the others are older still */
+      if (now - conn->idle_since > target->max_idle_us)
+        return NULL; /* the others have been idle for longer */
       if (now < conn->idle_until && peek (conn) == PEEK_NOTHING)
         {
-          leave_pool (conn);
+          remove_from_pool (conn);
           return conn;
         }
       close_conn (conn, false);
@@ -409,13 +406,13 @@
 }
 
 bool
-hcli_probe (HCli *cli, const HCliTarget *target, HCliProbed probed, void *user)
+hcli_probe (HCli *cli, const HCliTarget *target, HCliProbeFunc probe_func, void *user)
 {
   Conn *conn = open_conn (cli, target);
 
   if (conn == NULL)
     return false;
-  conn->probed = probed;
+  conn->probe_func = probe_func;
   conn->probe_user = user;
   return true;
 }
@@ -438,7 +435,7 @@
            void *user)
 {
   Conn *conn = take_idle (cli, target);
-  bool kept = conn != NULL;
+  bool reused = conn != NULL;
 
   if (conn == NULL)
     conn = open_conn (cli, target);
@@ -450,28 +447,28 @@
                    .user = user,
                    .request = g_string_new_len (request->str, (gssize) request->len),
                    .no_body = target->no_body,
-                   .rested = kept ? MAX (1, loop_now (cli->loop) - conn->idle_since) : 0 };
+                   .idle_us = reused ? MAX (1, loop_now (cli->loop) - conn->idle_since) : 0 };
   conn->xfer = xfer;
-  conn->skipping = conn->spoilt = conn->ended_message = false;
-  if (kept)
+  conn->skipping = conn->not_reusable = conn->message_complete = false;
+  if (reused)
     start_sending (conn);
   return xfer;
 }
 
 void
-hxfer_hold (HXfer *xfer, bool held)
+hxfer_pause (HXfer *xfer, bool paused)
 {
-  sock_pause_all (xfer->conn->sock, held);
+  sock_pause_all (xfer->conn->sock, paused);
 }
 
 int64_t
-hxfer_rested (const HXfer *xfer)
+hxfer_conn_idle_us (const HXfer *xfer)
 {
-  return xfer->rested;
+  return xfer->idle_us;
 }
 
 unsigned
-hcli_idle_keys (HCli *cli, const char **keys, unsigned most)
+hcli_idle_keys (HCli *cli, const char **keys, unsigned max)
 {
   int64_t now = loop_now (cli->loop);
   GHashTableIter iter;
@@ -479,7 +476,7 @@
   unsigned count = 0;
 
   g_hash_table_iter_init (&iter, cli->pools);
-  while (count < most && g_hash_table_iter_next (&iter, NULL, &value))
+  while (count < max && g_hash_table_iter_next (&iter, NULL, &value))
     {
       Pool *pool = value;
       if (!cds_list_empty (&pool->idle)
@@ -498,7 +495,7 @@
 /* ---- The client ---- */
 
 static void
-drop_pool (Pool *pool)
+close_pool (Pool *pool)
 {
   Conn *conn, *next;
 
@@ -510,7 +507,7 @@
 {
   Pool *pool = data;
 
-  drop_pool (pool);
+  close_pool (pool);
   g_free (pool->key);
   g_free (pool);
 }
@@ -537,7 +534,7 @@
   HCli *cli = (HCli *) ((char *) timer - offsetof (HCli, sweep));
 
   g_hash_table_foreach_remove (cli->pools, sweep_pool, cli->loop);
-  loop_timer_set (cli->loop, timer, loop_now (cli->loop) + IDLE_SWEEP);
+  loop_timer_set (cli->loop, timer, loop_now (cli->loop) + SWEEP_INTERVAL_US);
 }
 
 HCli *
@@ -549,7 +546,7 @@
   cli->pools = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, pool_free);
   cli->sweep.fire = on_sweep;
   CDS_INIT_LIST_HEAD (&cli->conns);
-  loop_timer_set (loop, &cli->sweep, loop_now (loop) + IDLE_SWEEP);
+  loop_timer_set (loop, &cli->sweep, loop_now (loop) + SWEEP_INTERVAL_US);
   return cli;
 }
 
@@ -562,7 +559,7 @@
     return;
   cds_list_for_each_entry_safe (conn, next, &cli->conns, link)
   {
-    end_probe (conn, false, HXFER_UNREACHED);
+    end_probe (conn, false, HXFER_NOT_CONNECTED);
     close_conn (conn, true);
   }
   g_hash_table_unref (cli->pools);
@@ -577,7 +574,7 @@
 }
 
 uint64_t
-hcli_opened (const HCli *cli)
+hcli_opened_count (const HCli *cli)
 {
   return cli->opened;
 }
--- a/net/hcli.h
+++ b/net/hcli.h
@@ -1,7 +1,7 @@
-/* hcli.h - an HTTP/1.1 client on a loop, with kept connections.
+/* hcli.h - HTTP/1.1 client on an event loop, with a pool of persistent connections.
  *
- * A request is sent once: nothing here ever sends one again. Whoever asks learns whether a byte was
- * handed to a connection, and decides.
+ * The client never resends a request. It reports whether any byte of a failed request may have been
+ * sent, and its user decides on a retry.
  */
 #ifndef HCLI_H
 #define HCLI_H
@@ -10,63 +10,65 @@
 #include "sock.h"
 
 typedef struct HCli HCli;
-typedef struct HXfer HXfer; /* one request and its answer; ends with end, failed or a cancel */
+/* One request and its response; freed after end or failed, and by hxfer_cancel. */
+typedef struct HXfer HXfer;
 
 typedef enum
 {
-  HXFER_UNREACHED, /* no connection was established: no byte was sent */
-  HXFER_REFUSED,   /* the same, since the machine is there and nobody listens */
-  HXFER_BROKEN,    /* the connection ended before the answer did; the request may have run */
-  HXFER_LOST,      /* the same, since the other machine was not heard for too long */
-  HXFER_GARBLED    /* what came is no HTTP answer; the request may have run */
+  HXFER_NOT_CONNECTED, /* no connection was established, so no byte was sent */
+  HXFER_REFUSED,       /* the same: the machine is up, but nothing listens on the port */
+  HXFER_BROKEN,      /* the connection closed before the response ended; the request may have run */
+  HXFER_TIMED_OUT,   /* the same: the kernel's time-out for the connection expired */
+  HXFER_BAD_RESPONSE /* the response is not valid HTTP; the request may have run */
 } HXferFault;
 
-/* For logs. */
+/* The name of fault for logs. */
 const char *hxfer_fault_name (HXferFault fault);
 
 typedef struct
 {
-  /* False: the answer is somebody else's, late on this connection; the next one is awaited. */
+  /* Returns false if the response belongs to an earlier request on this connection: it is skipped,
+   * and the next response is read. */
   bool (*head) (void *user, const HMsg *msg);
   void (*body) (void *user, const char *data, size_t size);
-  void (*end) (void *user); /* the answer is complete */
+  void (*end) (void *user); /* the response is complete */
   void (*failed) (void *user, HXferFault fault);
 } HXferOps;
 
 typedef struct
 {
   SockAddr addr;
-  const char *key;    /* connections are reused only for the same key: the server's incarnation */
-  int64_t connect_us; /* longest wait for a connection */
-  int64_t idle_most;  /* an idle connection that is older is not used; microseconds */
-  bool no_body;       /* a HEAD request */
+  const char *key;     /* incarnation of the server; connections are reused only for the same key */
+  int64_t connect_us;  /* time limit of a connect */
+  int64_t max_idle_us; /* connections that were idle for longer are not reused */
+  bool no_body;        /* a HEAD request */
 } HCliTarget;
 
 HCli *hcli_new (Loop *loop);
 void hcli_free (HCli *cli);
-/* Sends request, a whole message. NULL: no descriptor or no path; nothing was sent and nothing
- * will be called. */
+/* Sends request, a complete message. Returns NULL if a connection cannot be started for lack of a
+ * descriptor or a route; nothing was sent then, and no callback runs. */
 HXfer *hcli_send (HCli *cli, const HCliTarget *target, const GString *request, const HXferOps *ops,
                   void *user);
-/* Opens a connection to target, which is kept idle when it is there. probed: once, unless the
- * client is freed before; fault counts when connected is false. False: no descriptor or no path,
- * errno says which, and it is not called. */
-typedef void (*HCliProbed) (void *user, bool connected, HXferFault fault);
-bool hcli_probe (HCli *cli, const HCliTarget *target, HCliProbed probed, void *user);
-/* Is there a connection for key, idle or not, that the other end has not closed? */
+/* Connects to target and, if that succeeds, keeps the connection idle for reuse. Calls probe_func
+ * once; fault is valid if connected is false. Returns false with errno set, and does not call it,
+ * if there is no descriptor or no route. */
+typedef void (*HCliProbeFunc) (void *user, bool connected, HXferFault fault);
+bool hcli_probe (HCli *cli, const HCliTarget *target, HCliProbeFunc probe_func, void *user);
+/* True if a connection for key, idle or in use, has not been closed by the server. */
 bool hcli_is_connected (HCli *cli, const char *key);
-/* While held the rest of the answer stays with the server. */
-void hxfer_hold (HXfer *xfer, bool held);
-/* How long the connection that the transfer was given had rested; 0: it was opened for it. */
-int64_t hxfer_rested (const HXfer *xfer);
-/* Keys to which there are idle connections that may still be used, up to most of them. Returns how
- * many; they are borrowed until the next turn of the loop. */
-unsigned hcli_idle_keys (HCli *cli, const char **keys, unsigned most);
-/* Gives the transfer up and closes its connection; nothing more is called. */
+/* While paused, nothing more of the response is read. */
+void hxfer_pause (HXfer *xfer, bool paused);
+/* How long the reused connection had been idle, in microseconds; 0: it was newly opened. */
+int64_t hxfer_conn_idle_us (const HXfer *xfer);
+/* Stores up to max keys that have usable idle connections, and returns their number. The strings
+ * are valid until the next iteration of the loop. */
+unsigned hcli_idle_keys (HCli *cli, const char **keys, unsigned max);
+/* Aborts the transfer and closes its connection. No callback runs any more. */
 void hxfer_cancel (HXfer *xfer);
-/* Bytes of requests that servers have not taken yet. */
+/* Bytes of requests not yet passed to the kernel, because servers read slowly. */
 size_t hcli_unsent (const HCli *cli);
-/* Connections opened and requests sent so far. */
-uint64_t hcli_opened (const HCli *cli);
+/* Number of connections opened so far. */
+uint64_t hcli_opened_count (const HCli *cli);
 
 #endif
--- a/net/hsrv.c
+++ b/net/hsrv.c
@@ -1,7 +1,7 @@
-/* hsrv.c - one record a connection, one request at a time.
+/* hsrv.c - HTTP/1.1 server; handles one request at a time on each connection.
  *
- * A caller that leaves is noticed while its request waits and while it is answered: the socket
- * reports the close even when nothing is read from it.
+ * A caller that closes its connection is noticed both while its request waits and while it is
+ * answered: a paused socket still reports the close.
  */
 #include "hsrv.h"
 
@@ -9,23 +9,22 @@
 #include <sys/socket.h>
 #include <urcu/list.h>
 
-/* Tuning; each row with its reason. */
-#define LINGER        (1 * FT_SECOND) /* a caller reads the last answer and closes within that */
-#define UNSENT_MOST   (4u << 20)      /* a caller that does not read its answer is given up */
-#define FULL          (64u << 10)     /* unsent bytes of an answer from which on it is full ... */
-#define FULL_PRESSED  (4u << 10)      /* ... and while the server is pressed */
-#define PRESSED       (8u << 20)      /* bytes held for all callers */
-#define SEND_BUFFER   (128 << 10)     /* of the kernel, for each connection, bytes */
-#define BODIES_MOST   (16u << 20)     /* bytes of requests held; each may be held twice */
-#define FIELDS_GUESS  512             /* bytes of a head, first allocation */
-#define RETRY_AFTER_S 1               /* advice with a refusal for want of memory */
+#define LINGER_US         (1 * FT_SECOND) /* for the caller to read the last response and close */
+#define UNSENT_MAX        (4u << 20)      /* a caller with more unsent bytes is disconnected */
+#define FULL_SIZE         (64u << 10)     /* a response with more unsent bytes is full ... */
+#define FULL_SIZE_SHORT   (4u << 10)      /* ... and the same while memory is short */
+#define MEMORY_SHORT      (8u << 20)      /* memory is short while more bytes are buffered in all */
+#define SEND_BUFFER_SIZE  (128 << 10)     /* the kernel's send buffer of a connection, bytes */
+#define BODIES_MAX        (16u << 20)     /* bytes of request bodies; each may be stored twice */
+#define HEAD_SIZE_INITIAL 512             /* initial allocation for a head, bytes */
+#define RETRY_AFTER_S     1               /* sent when a request is refused for lack of memory */
 
 typedef enum
 {
-  CONN_READING,   /* between requests or within one */
-  CONN_WAITING,   /* handed over, not yet answered */
-  CONN_ANSWERING, /* head of the answer is out */
-  CONN_LINGERING  /* the last answer is out; waits for the caller's close */
+  CONN_READING,   /* idle, or receiving a request */
+  CONN_WAITING,   /* request delivered, no response yet */
+  CONN_ANSWERING, /* head of the response sent */
+  CONN_LINGERING  /* last response written; waits until it is sent and the caller closes */
 } ConnState;
 
 typedef struct
@@ -36,18 +35,18 @@
   HReader *read;
   ConnState state;
   LoopTimer timer;
-  size_t unsent_before; /* when the timer was set */
+  size_t unsent_at_timer; /* unsent bytes when the timer was set */
   HCall *call;
 } Conn;
 
 struct HCall
 {
   Conn *conn;
-  HMsg *msg; /* the reader's */
+  HMsg *msg; /* owned by conn->read */
   GByteArray *body;
   int64_t arrived;
-  size_t held; /* by the owner, of the answer */
-  bool whole, keep, no_body, full;
+  size_t buffered; /* bytes of the response that the owner buffers */
+  bool complete, keep_alive, no_body, full;
   void *user;
 };
 
@@ -59,14 +58,14 @@
   void *owner;
   HSrvLimits limits;
   struct cds_list_head conns;
-  unsigned count, busy;
-  size_t unsent; /* of all connections' answers */
-  size_t owners; /* held by owners of calls */
-  HSrvHeld held; /* bodies, peaks and counts */
-  bool last_answers, closed;
+  unsigned conn_count, active_calls;
+  size_t unsent;         /* bytes of responses in the sockets' buffers */
+  size_t owner_buffered; /* bytes of responses that the owners of calls buffer */
+  HSrvMemory memory;     /* all but answers */
+  bool no_keep_alive, stopped;
 };
 
-static void take_requests (Conn *conn);
+static void read_requests (Conn *conn);
 
 /* ---- Connections ---- */
 
@@ -75,12 +74,12 @@
 {
   if (conn->call == NULL)
     return;
-  hcall_note_held (conn->call, 0);
-  conn->srv->held.bodies -= conn->call->body->len;
+  hcall_set_buffered (conn->call, 0);
+  conn->srv->memory.bodies -= conn->call->body->len;
   g_byte_array_unref (conn->call->body);
   g_free (conn->call);
   conn->call = NULL;
-  conn->srv->busy--;
+  conn->srv->active_calls--;
 }
 
 static void
@@ -93,59 +92,59 @@
   sock_close (conn->sock, reset);
   hread_free (conn->read);
   cds_list_del (&conn->link);
-  srv->count--;
+  srv->conn_count--;
   loop_free_later (srv->loop, conn);
 }
 
-/* Failure: closing a socket with unread bytes resets it. Symptom: the caller loses the last answer,
- * which lies in its buffer. So the sending side is closed first and what comes is thrown away. */
+/* Closes the sending side and discards what is received. Closing a socket with unread bytes would
+ * reset the connection, and the caller could lose the last response from its receive buffer. */
 static void
-linger (Conn *conn)
+start_linger (Conn *conn)
 {
   conn->state = CONN_LINGERING;
   sock_pause (conn->sock, false);
   shutdown (conn->sock->fd.fd, SHUT_WR);
-  loop_timer_set (conn->srv->loop, &conn->timer, loop_now (conn->srv->loop) + LINGER);
+  loop_timer_set (conn->srv->loop, &conn->timer, loop_now (conn->srv->loop) + LINGER_US);
 }
 
-/* Until the caller asks again, or has read the rest of its answer. */
+/* Starts the time-out for the next request, or for reading the rest of the response. */
 static void
-wait_idle (Conn *conn)
+start_idle_timer (Conn *conn)
 {
-  conn->unsent_before = sock_unsent (conn->sock);
+  conn->unsent_at_timer = sock_unsent (conn->sock);
   loop_timer_set (conn->srv->loop, &conn->timer,
                   loop_now (conn->srv->loop) + conn->srv->limits.idle_us);
 }
 
 static void
-finish (Conn *conn)
+end_call (Conn *conn)
 {
-  /* Failure: an answer began before the server was closed, and promised to keep the connection.
-   * Symptom: its caller sends another request, which is cut when the process ends. */
-  bool keep = conn->call->keep && !conn->srv->closed;
+  /* A response that began before hsrv_stop_accepting may have promised to keep the connection
+   * alive. If it stayed open, the caller's next request would be cut off when the process ends. */
+  bool keep_alive = conn->call->keep_alive && !conn->srv->stopped;
 
   free_call (conn);
   conn->state = CONN_READING;
-  if (!keep && sock_unsent (conn->sock) == 0)
+  if (!keep_alive && sock_unsent (conn->sock) == 0)
     {
-      linger (conn);
+      start_linger (conn);
       return;
     }
-  wait_idle (conn);
-  if (!keep)
+  start_idle_timer (conn);
+  if (!keep_alive)
     {
-      conn->state = CONN_LINGERING; /* goes on when all is sent */
+      conn->state = CONN_LINGERING; /* on_drained continues when all is sent */
       return;
     }
   sock_pause (conn->sock, false);
-  take_requests (conn);
+  read_requests (conn);
 }
 
-/* A request that is not handed over. */
+/* Answers a request that is not delivered to the owner, and closes the connection. */
 static void
 refuse (Conn *conn, unsigned status)
 {
-  GString *out = g_string_sized_new (FIELDS_GUESS);
+  GString *out = g_string_sized_new (HEAD_SIZE_INITIAL);
 
   hwrite_status_line (out, status);
   hwrite_field (out, "Connection", "close");
@@ -158,11 +157,11 @@
   free_call (conn);
   conn->state = CONN_LINGERING;
   if (sock_unsent (conn->sock) == 0)
-    linger (conn);
+    start_linger (conn);
 }
 
 static unsigned
-status_of (HReadFault fault)
+fault_status (HReadFault fault)
 {
   switch (fault)
     {
@@ -185,7 +184,7 @@
   static const char interim[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
   conn->call->msg = msg;
-  conn->call->keep = hmsg_keep_alive (msg);
+  conn->call->keep_alive = hmsg_keep_alive (msg);
   conn->call->no_body = strcmp (hmsg_method (msg), "HEAD") == 0;
   if (expect && g_ascii_strcasecmp (expect, "100-continue") == 0)
     sock_write (conn->sock, interim, sizeof interim - 1);
@@ -196,19 +195,19 @@
 {
   Conn *conn = user;
 
-  HSrvHeld *held = &conn->srv->held;
+  HSrvMemory *memory = &conn->srv->memory;
 
   g_byte_array_append (conn->call->body, (const guint8 *) data, (guint) size);
-  held->bodies += size;
-  held->bodies_peak = MAX (held->bodies_peak, held->bodies);
+  memory->bodies += size;
+  memory->bodies_peak = MAX (memory->bodies_peak, memory->bodies);
 }
 
-/* Failure: many callers send large requests slowly, or servers take them slowly. Symptom: their
- * bodies fill the memory, and the process ends with all that it holds. */
+/* Bounds the memory of all request bodies. Many large requests that callers send slowly, or that
+ * backend servers receive slowly, would otherwise exhaust memory and end the process. */
 static bool
-bodies_are_full (const Conn *conn)
+bodies_exceed_limit (const Conn *conn)
 {
-  return conn->srv->held.bodies > BODIES_MOST && conn->call->body->len > 0;
+  return conn->srv->memory.bodies > BODIES_MAX && conn->call->body->len > 0;
 }
 
 static void
@@ -216,7 +215,7 @@
 {
   Conn *conn = user;
 
-  conn->call->whole = true;
+  conn->call->complete = true;
 }
 
 static const HReadOps read_ops = { on_head, on_body, on_end };
@@ -230,12 +229,12 @@
   call->body = g_byte_array_new ();
   call->arrived = loop_now (conn->srv->loop);
   conn->call = call;
-  conn->srv->busy++;
+  conn->srv->active_calls++;
   loop_timer_set (conn->srv->loop, &conn->timer, call->arrived + conn->srv->limits.head_us);
 }
 
 static void
-take_requests (Conn *conn)
+read_requests (Conn *conn)
 {
   size_t size;
   HReadFault fault;
@@ -252,13 +251,13 @@
         }
       size_t used = hread_feed (conn->read, data, size, &fault);
       sock_consume (conn->sock, used);
-      if (fault || bodies_are_full (conn))
+      if (fault || bodies_exceed_limit (conn))
         {
-          conn->srv->held.refused += fault == 0;
-          refuse (conn, fault ? status_of (fault) : 503);
+          conn->srv->memory.refused += fault == 0;
+          refuse (conn, fault ? fault_status (fault) : 503);
           return;
         }
-      if (!conn->call->whole)
+      if (!conn->call->complete)
         return;
       conn->state = CONN_WAITING;
       loop_timer_stop (conn->srv->loop, &conn->timer);
@@ -274,7 +273,7 @@
   size_t size;
 
   if (conn->state == CONN_READING)
-    take_requests (conn);
+    read_requests (conn);
   else if (conn->state == CONN_LINGERING)
     {
       sock_peek (sock, &size);
@@ -288,11 +287,11 @@
   Conn *conn = sock->owner;
 
   if (conn->state == CONN_LINGERING)
-    linger (conn);
+    start_linger (conn);
   else if (conn->call && conn->call->full)
     {
       conn->call->full = false;
-      conn->srv->ops->room (conn->srv->owner, conn->call);
+      conn->srv->ops->drained (conn->srv->owner, conn->call);
     }
 }
 
@@ -303,7 +302,7 @@
 
   (void) how;
   if (conn->state == CONN_WAITING || conn->state == CONN_ANSWERING)
-    conn->srv->ops->gone (conn->srv->owner, conn->call);
+    conn->srv->ops->caller_left (conn->srv->owner, conn->call);
   close_conn (conn, false);
 }
 
@@ -313,20 +312,20 @@
 on_timer (LoopTimer *timer)
 {
   Conn *conn = (Conn *) ((char *) timer - offsetof (Conn, timer));
-  static const char late[]
+  static const char timed_out[]
       = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
   if (conn->state == CONN_READING && conn->call)
     {
-      sock_write (conn->sock, late, sizeof late - 1);
+      sock_write (conn->sock, timed_out, sizeof timed_out - 1);
       free_call (conn);
-      linger (conn);
+      start_linger (conn);
       return;
     }
-  /* A caller that reads slowly gets all of an answer that is ready, as long as it reads on. */
-  if (sock_unsent (conn->sock) > 0 && sock_unsent (conn->sock) < conn->unsent_before)
+  /* A slow caller may read the rest of a complete response as long as it makes progress. */
+  if (sock_unsent (conn->sock) > 0 && sock_unsent (conn->sock) < conn->unsent_at_timer)
     {
-      wait_idle (conn);
+      start_idle_timer (conn);
       return;
     }
   close_conn (conn, false);
@@ -339,7 +338,7 @@
 {
   HSrv *srv = owner;
   Conn *conn = g_new0 (Conn, 1);
-  int buffer = SEND_BUFFER;
+  int buffer = SEND_BUFFER_SIZE;
 
   setsockopt (fd, SOL_SOCKET, SO_SNDBUF, &buffer, sizeof buffer);
   conn->srv = srv;
@@ -353,7 +352,7 @@
   conn->read = hread_new (true, &read_ops, conn);
   conn->timer.fire = on_timer;
   cds_list_add_tail (&conn->link, &srv->conns);
-  srv->count++;
+  srv->conn_count++;
   loop_timer_set (srv->loop, &conn->timer, loop_now (srv->loop) + srv->limits.idle_us);
 }
 
@@ -389,23 +388,23 @@
 }
 
 void
-hsrv_limits (HSrv *srv, const HSrvLimits *limits)
+hsrv_set_limits (HSrv *srv, const HSrvLimits *limits)
 {
   srv->limits = *limits;
 }
 
 void
-hsrv_last_answers (HSrv *srv)
+hsrv_disable_keep_alive (HSrv *srv)
 {
-  srv->last_answers = true;
+  srv->no_keep_alive = true;
 }
 
 void
-hsrv_close_idle (HSrv *srv)
+hsrv_stop_accepting (HSrv *srv)
 {
   Conn *conn, *next;
 
-  srv->last_answers = srv->closed = true;
+  srv->no_keep_alive = srv->stopped = true;
   sock_listener_free (srv->listener);
   srv->listener = NULL;
   cds_list_for_each_entry_safe (conn, next, &srv->conns, link)
@@ -416,31 +415,31 @@
 }
 
 unsigned
-hsrv_busy (const HSrv *srv)
+hsrv_active_calls (const HSrv *srv)
 {
-  return srv->busy;
+  return srv->active_calls;
 }
 
 unsigned
-hsrv_connections (const HSrv *srv)
+hsrv_connection_count (const HSrv *srv)
 {
-  return srv->count;
+  return srv->conn_count;
 }
 
 static size_t
-answers_held (const HSrv *srv)
+buffered_total (const HSrv *srv)
 {
-  return srv->unsent + srv->owners;
+  return srv->unsent + srv->owner_buffered;
 }
 
 void
-hsrv_held (const HSrv *srv, HSrvHeld *held)
+hsrv_get_memory (const HSrv *srv, HSrvMemory *memory)
 {
-  *held = srv->held;
-  held->answers = answers_held (srv);
+  *memory = srv->memory;
+  memory->answers = buffered_total (srv);
 }
 
-/* ---- Answers ---- */
+/* ---- Responses ---- */
 
 const HMsg *
 hcall_msg (const HCall *call)
@@ -455,7 +454,7 @@
 }
 
 int64_t
-hcall_arrived (const HCall *call)
+hcall_arrival_time (const HCall *call)
 {
   return call->arrived;
 }
@@ -473,36 +472,36 @@
 }
 
 static void
-note_peak (HSrv *srv)
+update_peak (HSrv *srv)
 {
-  srv->held.answers_peak = MAX (srv->held.answers_peak, answers_held (srv));
+  srv->memory.answers_peak = MAX (srv->memory.answers_peak, buffered_total (srv));
 }
 
 void
-hcall_note_held (HCall *call, size_t size)
+hcall_set_buffered (HCall *call, size_t size)
 {
   HSrv *srv = call->conn->srv;
 
-  srv->owners += size - call->held;
-  call->held = size;
-  note_peak (srv);
+  srv->owner_buffered += size - call->buffered;
+  call->buffered = size;
+  update_peak (srv);
 }
 
 bool
-hcall_is_pressed (const HCall *call)
+hcall_is_memory_short (const HCall *call)
 {
-  return answers_held (call->conn->srv) > PRESSED;
+  return buffered_total (call->conn->srv) > MEMORY_SHORT;
 }
 
 bool
 hcall_is_full (HCall *call)
 {
   HSrv *srv = call->conn->srv;
-  size_t most = hcall_is_pressed (call) ? FULL_PRESSED : FULL;
+  size_t limit = hcall_is_memory_short (call) ? FULL_SIZE_SHORT : FULL_SIZE;
 
-  if (srv->ops->room == NULL || call->full || sock_unsent (call->conn->sock) <= most)
+  if (srv->ops->drained == NULL || call->full || sock_unsent (call->conn->sock) <= limit)
     return call->full;
-  srv->held.full++;
+  srv->memory.full++;
   call->full = true;
   return true;
 }
@@ -511,14 +510,14 @@
 start_head (HCall *call, unsigned status, const GString *fields)
 {
   Conn *conn = call->conn;
-  GString *out = g_string_sized_new (FIELDS_GUESS);
+  GString *out = g_string_sized_new (HEAD_SIZE_INITIAL);
 
-  if (conn->srv->last_answers)
-    call->keep = false;
+  if (conn->srv->no_keep_alive)
+    call->keep_alive = false;
   hwrite_status_line (out, status);
   if (fields)
     g_string_append_len (out, fields->str, (gssize) fields->len);
-  if (!call->keep)
+  if (!call->keep_alive)
     hwrite_field (out, "Connection", "close");
   else if (conn->srv->limits.idle_us >= FT_SECOND)
     g_string_append_printf (out, "Keep-Alive: timeout=%d\r\n",
@@ -539,7 +538,7 @@
     g_string_append_len (out, body, (gssize) size);
   sock_write (conn->sock, out->str, out->len);
   g_string_free (out, TRUE);
-  finish (conn);
+  end_call (conn);
 }
 
 void
@@ -556,23 +555,23 @@
 }
 
 void
-hcall_data (HCall *call, const void *data, size_t size)
+hcall_write (HCall *call, const void *data, size_t size)
 {
   Conn *conn = call->conn;
   GString *out;
 
   if (size == 0 || call->no_body)
     return;
-  if (sock_unsent (conn->sock) > UNSENT_MOST)
+  if (sock_unsent (conn->sock) > UNSENT_MAX)
     {
-      shutdown (conn->sock->fd.fd, SHUT_RDWR); /* reported as the caller's leaving */
+      shutdown (conn->sock->fd.fd, SHUT_RDWR); /* on_ended then reports that the caller left */
       return;
     }
   out = g_string_sized_new (size + 16);
   hwrite_chunk (out, data, size);
   sock_write (conn->sock, out->str, out->len);
   g_string_free (out, TRUE);
-  note_peak (conn->srv);
+  update_peak (conn->srv);
 }
 
 void
@@ -583,7 +582,7 @@
 
   if (!call->no_body)
     sock_write (conn->sock, last, sizeof last - 1);
-  finish (conn);
+  end_call (conn);
 }
 
 void
--- a/net/hsrv.h
+++ b/net/hsrv.h
@@ -1,9 +1,9 @@
-/* hsrv.h - an HTTP/1.1 server on a loop. Requests are handed over whole; answers go out at once,
- * whole or piece by piece.
+/* hsrv.h - HTTP/1.1 server on an event loop. A request is delivered once it is complete; a response
+ * is sent at once, whole or in chunks.
  *
- * Callers may send and read slowly. What is held for them is bounded: a new request is refused
- * while the bodies held are too many bytes, and an answer that comes faster than its caller reads
- * it is full (hcall_is_full), upon which its owner holds up whoever it comes from. */
+ * Callers may send and read slowly, so the memory used for them is bounded: requests with a body
+ * are refused while the bodies in memory are too large in sum, and hcall_is_full tells the owner of
+ * a response that its caller reads too slowly, so that it stops the source of the response. */
 #ifndef HSRV_H
 #define HSRV_H
 
@@ -11,67 +11,73 @@
 #include "sock.h"
 
 typedef struct HSrv HSrv;
-typedef struct HCall HCall; /* one request and its answer; ends with hcall_reply, _end or _abort */
+/* One request and its response; freed by hcall_reply, hcall_end and hcall_abort. */
+typedef struct HCall HCall;
 
 typedef struct
 {
-  /* A whole request. It is answered from within or later. */
+  /* A complete request. The owner may reply at once or later. */
   void (*request) (void *owner, HCall *call);
-  /* The caller has closed its connection before the answer's end. The call ends when this
+  /* The caller closed its connection before the response was complete. call is freed when this
    * returns. */
-  void (*gone) (void *owner, HCall *call);
-  /* The caller of a call that was full has read on. May be NULL. */
-  void (*room) (void *owner, HCall *call);
+  void (*caller_left) (void *owner, HCall *call);
+  /* All output of a call that was full has been passed to the kernel. May be NULL. */
+  void (*drained) (void *owner, HCall *call);
 } HSrvOps;
 
 typedef struct
 {
-  size_t head_bytes, body_bytes; /* larger requests get 431 and 413; 0: no bound */
-  int64_t head_us;               /* a request's head and body must come within; else 408 */
-  int64_t idle_us;               /* an unused connection is closed after */
+  size_t head_bytes, body_bytes; /* larger requests get status 431 or 413; 0: no limit */
+  int64_t head_us;               /* time to receive a request with its body, else status 408 */
+  int64_t idle_us;               /* an idle connection is closed after this time */
 } HSrvLimits;
 
-/* NULL: the address cannot be bound; errno says why. */
+/* Returns NULL with errno set if the address cannot be bound. */
 HSrv *hsrv_new (Loop *loop, SockAddr addr, const HSrvOps *ops, void *owner);
-/* Connections that are open are closed. */
+/* Closes all connections and frees srv. */
 void hsrv_free (HSrv *srv);
-void hsrv_limits (HSrv *srv, const HSrvLimits *limits);
-/* From now on each answer is the last on its connection. */
-void hsrv_last_answers (HSrv *srv);
-/* Takes no more connections and closes those without a request; the others end with their answer.
- */
-void hsrv_close_idle (HSrv *srv);
-unsigned hsrv_busy (const HSrv *srv); /* requests being read or answered */
-unsigned hsrv_connections (const HSrv *srv);
-/* Bytes held now: of answers that callers have not read or that their owners hold for them, and of
- * requests' bodies; the most so far of both; and how often a call was full and a body refused. */
+void hsrv_set_limits (HSrv *srv, const HSrvLimits *limits);
+/* From now on every response closes its connection. */
+void hsrv_disable_keep_alive (HSrv *srv);
+/* Stops listening and closes the idle connections; the others close after their response. */
+void hsrv_stop_accepting (HSrv *srv);
+unsigned hsrv_active_calls (const HSrv *srv); /* requests being received or answered */
+unsigned hsrv_connection_count (const HSrv *srv);
+/* Memory used for callers now and at its peak. */
 typedef struct
 {
-  size_t answers, bodies, answers_peak, bodies_peak;
-  uint64_t full, refused;
-} HSrvHeld;
-void hsrv_held (const HSrv *srv, HSrvHeld *held);
+  size_t answers; /* bytes of responses that callers have not read or that owners buffer */
+  size_t bodies;  /* bytes of request bodies */
+  size_t answers_peak, bodies_peak;
+  uint64_t full;    /* how often a call became full */
+  uint64_t refused; /* requests refused because of the size of all bodies */
+} HSrvMemory;
+void hsrv_get_memory (const HSrv *srv, HSrvMemory *memory);
 
 const HMsg *hcall_msg (const HCall *call);
 const GByteArray *hcall_body (const HCall *call);
-int64_t hcall_arrived (const HCall *call); /* loop's time of the first byte */
+int64_t hcall_arrival_time (const HCall *call); /* loop's time of the first byte */
 void hcall_set_user (HCall *call, void *user);
 void *hcall_user (const HCall *call);
 
-/* fields: complete lines, each ended by CR LF, without length or connection; may be NULL. */
+/* Sends a complete response. fields: complete lines, each ended by CR LF, without Content-Length
+ * and Connection; may be NULL. */
 void hcall_reply (HCall *call, unsigned status, const GString *fields, const void *body,
                   size_t size);
-void hcall_begin (HCall *call, unsigned status, const GString *fields); /* length unknown yet */
-void hcall_data (HCall *call, const void *data, size_t size);
-/* The caller reads more slowly than the answer comes: nothing more should be written before room.
- */
+/* Sends the head of a chunked response, whose length is not yet known. */
+void hcall_begin (HCall *call, unsigned status, const GString *fields);
+void hcall_write (HCall *call, const void *data, size_t size);
+/* True if the caller reads more slowly than the response is written: nothing more should be written
+ * until the callback drained. */
 bool hcall_is_full (HCall *call);
-/* Is so much held for all callers that no more than needed should be? */
-bool hcall_is_pressed (const HCall *call);
-/* The owner holds so many bytes of the answer, which count as held for the caller. */
-void hcall_note_held (HCall *call, size_t size);
+/* True if the responses buffered for all callers are so large that buffers should stay small. */
+bool hcall_is_memory_short (const HCall *call);
+/* Sets how many bytes of the response the owner buffers itself; they count as buffered for the
+ * caller. */
+void hcall_set_buffered (HCall *call, size_t size);
+/* Completes a chunked response. */
 void hcall_end (HCall *call);
-/* Breaks the connection off, so that the caller cannot take the answer for complete. */
+/* Resets the connection, so that the caller does not take the response for complete. */
 void hcall_abort (HCall *call);
 
 #endif
--- a/node/entry.c
+++ b/node/entry.c
@@ -58,7 +58,7 @@
   const RtLimits *from = rt_cat_limits (cat);
   HSrvLimits limits = { from->head_bytes, from->body_bytes, from->head_us, from->idle_us };
 
-  hsrv_limits (entry->callers, &limits);
+  hsrv_set_limits (entry->callers, &limits);
 }
 
 /* The voter in charge has said what is newest, and this entry has it. */
@@ -409,8 +409,8 @@
     return;
   entry->closed = true;
   jlog (JLOG_INFO, "close", NULL, JL_INT ("open", requests_open (entry->requests)),
-        JL_INT ("connections", hsrv_connections (entry->callers)));
-  hsrv_close_idle (entry->callers);
+        JL_INT ("connections", hsrv_connection_count (entry->callers)));
+  hsrv_stop_accepting (entry->callers);
 }
 
 /* The balancer has noticed and everything open is done, or the process would be killed. */
@@ -419,12 +419,12 @@
 {
   int64_t since = now - entry->leaving_since;
   int64_t most = entry->settings->grace_s * FT_SECOND - LEAVE_MARGIN;
-  HSrvHeld held;
+  HSrvMemory held;
 
-  hsrv_held (entry->callers, &held);
+  hsrv_get_memory (entry->callers, &held);
   return since > most
          || (since > LEAVE_LEAST && requests_open (entry->requests) == 0
-             && hsrv_busy (entry->callers) == 0 && held.answers == 0);
+             && hsrv_active_calls (entry->callers) == 0 && held.answers == 0);
 }
 
 /* A deputy speaks to the entries that have dialled it, often to those that wait for a verdict.
@@ -477,10 +477,10 @@
   if (entry->leaving_since)
     return;
   entry->leaving_since = loop_now (entry->loop);
-  hsrv_last_answers (entry->callers);
+  hsrv_disable_keep_alive (entry->callers);
   mesh_say (entry->mesh, true, entry->cat ? rt_cat_version (entry->cat) : 0);
   jlog (JLOG_INFO, "leave", NULL, JL_INT ("open", requests_open (entry->requests)),
-        JL_INT ("connections", hsrv_connections (entry->callers)));
+        JL_INT ("connections", hsrv_connection_count (entry->callers)));
 }
 
 static void
@@ -499,9 +499,9 @@
 static void
 describe_held (const Entry *entry, GString *out)
 {
-  HSrvHeld held;
+  HSrvMemory held;
 
-  hsrv_held (entry->callers, &held);
+  hsrv_get_memory (entry->callers, &held);
   g_string_append_printf (
       out,
       "foxtail_held_bytes{for=\"callers\"} %zu\nfoxtail_held_bytes{for=\"servers\"} %zu\n"
@@ -528,7 +528,8 @@
       "\nfoxtail_scheduler{by=\"%s\"} 1\nfoxtail_list_age_seconds %g\n",
       is_ready (entry), entry->cat ? rt_cat_version (entry->cat) : 0,
       requests_open (entry->requests), place_waiting (entry->place),
-      hsrv_connections (entry->callers), hcli_opened (entry->cli), place_by (entry->place),
+      hsrv_connection_count (entry->callers), hcli_opened_count (entry->cli),
+      place_by (entry->place),
       (double) (loop_now (entry->loop) - servers_asked_at (entry->servers)) / 1e6);
   describe_held (entry, out);
   witness_describe (entry->witness, out);
--- a/node/operators.c
+++ b/node/operators.c
@@ -360,7 +360,7 @@
       g_free (operators);
       return NULL;
     }
-  hsrv_limits (operators->srv, &limits);
+  hsrv_set_limits (operators->srv, &limits);
   return operators;
 }
 
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -58,7 +58,7 @@
   req->rested = 0;
   req->broke = false;
   g_string_truncate (req->held, 0);
-  hcall_note_held (req->call, 0);
+  hcall_set_buffered (req->call, 0);
   out.request = req->number;
   out.service = req->service;
   out.org = req->org ? req->org->name : "";
--- a/node/requests.c
+++ b/node/requests.c
@@ -144,7 +144,7 @@
   req->limit.fire = on_limit;
   req->silence.fire = try_on_silence;
   req->settle.fire = req_on_settled;
-  req->arrived = req->end_at = hcall_arrived (call);
+  req->arrived = req->end_at = hcall_arrival_time (call);
   all->conf.seam->read_request (hcall_msg (call), &req->facts);
   if (req->facts.id)
     g_strlcpy (req->id, req->facts.id, sizeof req->id);
--- a/node/try.c
+++ b/node/try.c
@@ -155,7 +155,7 @@
   if (req->xfer == NULL || req->slowed || !hcall_is_full (req->call))
     return;
   req->slowed = true;
-  hxfer_hold (req->xfer, true);
+  hxfer_pause (req->xfer, true);
   loop_timer_stop (req->all->conf.loop, &req->silence);
 }
 
@@ -165,7 +165,7 @@
   req->slowed = false;
   if (req->xfer == NULL)
     return;
-  hxfer_hold (req->xfer, false);
+  hxfer_pause (req->xfer, false);
   if (req->event_at)
     req->event_at = req_now (req);
   if (req->is_stream)
@@ -192,7 +192,7 @@
       if (!req->begun)
         begin (req);
       arm_silence (req, MAX (SILENT_EVENT, 4 * req->route->gap_us));
-      hcall_data (req->call, out->str, out->len);
+      hcall_write (req->call, out->str, out->len);
       hold_if_full (req);
     }
   g_string_free (out, TRUE);
@@ -202,20 +202,20 @@
 static void
 take_plain (Req *req, const char *data, size_t size)
 {
-  size_t most = hcall_is_pressed (req->call) ? HELD_PRESSED : HELD_MOST;
+  size_t most = hcall_is_memory_short (req->call) ? HELD_PRESSED : HELD_MOST;
 
   if (!req->begun)
     g_string_append_len (req->held, data, (gssize) size);
   else
-    hcall_data (req->call, data, size);
+    hcall_write (req->call, data, size);
   if (!req->begun && req->held->len > most)
     {
       begin (req);
-      hcall_data (req->call, req->held->str, req->held->len);
+      hcall_write (req->call, req->held->str, req->held->len);
       g_string_free (req->held, TRUE); /* truncated it would keep its memory */
       req->held = g_string_new (NULL);
     }
-  hcall_note_held (req->call, req->held->len);
+  hcall_set_buffered (req->call, req->held->len);
   if (req->begun)
     hold_if_full (req);
 }
@@ -289,7 +289,7 @@
   req->faulty = true;
   if (fault == HXFER_BROKEN)
     note_break (req);
-  if (fault == HXFER_UNREACHED || fault == HXFER_REFUSED)
+  if (fault == HXFER_NOT_CONNECTED || fault == HXFER_REFUSED)
     {
       req->unreached++;
       req->sends--;
@@ -350,9 +350,9 @@
   req->xfer = hcli_send (all->conf.cli, &target, message, &xfer_ops, req);
   g_string_free (message, TRUE);
   if (req->xfer)
-    req->rested = hxfer_rested (req->xfer);
+    req->rested = hxfer_conn_idle_us (req->xfer);
   else
-    on_failed (req, HXFER_UNREACHED);
+    on_failed (req, HXFER_NOT_CONNECTED);
 }
 
 void
--- a/test/backend.c
+++ b/test/backend.c
@@ -106,12 +106,12 @@
   g_snprintf (event, sizeof event, "id: %u\ndata: event %u\n\n", stream->next, stream->next);
   if (stream->server->mode == SERVER_CUT && stream->next == 3)
     {
-      hcall_data (stream->call, event, 9);
+      hcall_write (stream->call, event, 9);
       hcall_abort (stream->call);
       drop_stream (stream);
       return;
     }
-  hcall_data (stream->call, event, strlen (event));
+  hcall_write (stream->call, event, strlen (event));
   stream->next++;
   loop_timer_set (fleet->loop, timer, loop_now (fleet->loop) + fleet->event_ms * FT_MS);
 }
@@ -353,7 +353,7 @@
 
   if (server->mode == SERVER_SLOW_END && server->marked)
     {
-      hsrv_close_idle (server->srv);
+      hsrv_stop_accepting (server->srv);
       hcall_abort (server->marked);
       server->marked = NULL;
       loop_timer_set (fleet->loop, timer, loop_now (fleet->loop) + SLOW_END);
--- a/test/slow.c
+++ b/test/slow.c
@@ -166,7 +166,7 @@
   HSrvLimits limits = { 16384, 1 << 20, 5 * FT_SECOND, us };
 
   for (unsigned i = 0; i < FLEET_SERVERS; i++)
-    hsrv_limits (fleet->servers[i].srv, &limits);
+    hsrv_set_limits (fleet->servers[i].srv, &limits);
 }
 
 static void
--- a/test/wire.c
+++ b/test/wire.c
@@ -268,7 +268,7 @@
   begin ();
   raw_listen (&server);
   Caller caller = call (1);
-  g_assert_cmpint (caller.fault, ==, HXFER_GARBLED);
+  g_assert_cmpint (caller.fault, ==, HXFER_BAD_RESPONSE);
   call_end (&caller);
   end ();
 }
@@ -298,7 +298,7 @@
   raw_listen (&server);
   Caller caller = call (20);
   g_assert_cmpuint (server.connections, ==, 1);
-  g_assert_cmpuint (hcli_opened (caller.cli), ==, 1);
+  g_assert_cmpuint (hcli_opened_count (caller.cli), ==, 1);
   g_assert_cmpuint (caller.ends, ==, 20);
   call_end (&caller);
   end ();
@@ -365,7 +365,7 @@
     {
       front->begun = call;
       hcall_begin (call, 200, NULL);
-      hcall_data (call, "part", 4);
+      hcall_write (call, "part", 4);
     }
   else if (!front->hold)
     hcall_reply (call, 200, NULL, "fine", 4);
@@ -419,7 +419,7 @@
       front->srv = hsrv_new (loop, front->addr, &front_ops, front);
     }
   g_assert_nonnull (front->srv);
-  hsrv_limits (front->srv, &limits);
+  hsrv_set_limits (front->srv, &limits);
   front->got = g_string_new (NULL);
   front->bodies = g_string_new (NULL);
   Sock *sock = sock_connect (loop, front->addr, &caller_ops, front);
@@ -533,7 +533,7 @@
   if (call == NULL || strstr (front->got->str, "part") == NULL)
     return;
   front->begun = NULL;
-  hsrv_close_idle (front->srv);
+  hsrv_stop_accepting (front->srv);
   hcall_end (call);
 }
 
