--- a/net/mesh.c
+++ b/net/mesh.c
@@ -1,9 +1,10 @@
-/* mesh.c - links between instances.
+/* mesh.c - connections (links) between instances.
  *
- * An instance dials those that it needs and accepts whoever dials it; a link carries messages both
- * ways in order while it lasts, and nothing is repeated on the next one: whoever needs it says
- * again what matters when a link comes up. Both ends speak at least every SPEAK_EVERY, so an end
- * that is silent for SILENT is taken for lost and dialled again, also when nothing was reset.
+ * An instance dials those that it needs and accepts connections from all others. A link delivers
+ * messages in both directions in order until it is closed. Nothing is resent on a new link: its
+ * users send the state that matters again when a link comes up. Both ends send at least once in
+ * KEEPALIVE_INTERVAL, so a peer that is silent for longer than SILENCE_MAX is taken for lost and
+ * dialled again, even without a reset.
  */
 #include "mesh.h"
 #include "codec.h"
@@ -12,19 +13,18 @@
 #include <string.h>
 #include <urcu/list.h>
 
-/* Tuning; each row with its reason. */
-#define TICK        (50 * FT_MS)
-#define SPEAK_EVERY (400 * FT_MS)  /* three in SILENT: two may be late */
-#define SILENT      (1300 * FT_MS) /* below the 2 s in which a dead link shall be noticed */
-#define REDIAL      (250 * FT_MS)
-#define NEW_FOR     (3 * FT_SECOND) /* all instances may be starting together for so long: */
-#define TICK_NEW    (20 * FT_MS)    /* the same in that time */
-#define REDIAL_NEW  (20 * FT_MS)    /* likewise */
-#define CONNECT_NEW (50 * FT_MS)    /* likewise, and of DIAL_MOST; between domains it takes 2 ms */
-#define DIAL_MOST   (200 * FT_MS) /* the kernel sends a lost opening packet again after 1 s only */
-#define FRAME_MOST  (16u << 20)
-#define UNSENT_MOST (32u << 20) /* a peer that reads nothing does not fill the memory */
-#define LAST_MARK   0x80000000u
+#define TICK                (50 * FT_MS)
+#define KEEPALIVE_INTERVAL  (400 * FT_MS)  /* three within SILENCE_MAX, of which two may be late */
+#define SILENCE_MAX         (1300 * FT_MS) /* a dead link must be detected within 2 s */
+#define REDIAL_DELAY        (250 * FT_MS)
+#define STARTUP_TIME        (3 * FT_SECOND) /* other instances may be starting at the same time */
+#define STARTUP_TICK        (20 * FT_MS)    /* TICK within STARTUP_TIME */
+#define STARTUP_REDIAL      (20 * FT_MS)    /* REDIAL_DELAY within STARTUP_TIME */
+#define STARTUP_CONNECT_MAX (50 * FT_MS)    /* at startup; connecting between domains takes 2 ms */
+#define CONNECT_MAX         (200 * FT_MS)   /* the kernel retransmits a lost SYN only after 1 s */
+#define FRAME_MAX           (16u << 20)
+#define UNSENT_MAX          (32u << 20) /* bounds the memory for a peer that reads nothing */
+#define LAST_FRAGMENT       0x80000000u /* bit of a record mark (RFC 5531, section 11) */
 
 typedef struct
 {
@@ -32,7 +32,7 @@
   struct cds_list_head link;
   bool up;
   int64_t dialled_at;
-  unsigned told; /* number of the hello that it was sent last */
+  unsigned hello_sent; /* hello_number of the hello that it was sent last */
 } Peer;
 
 typedef struct
@@ -40,10 +40,10 @@
   uint32_t ip;
   Peer *peer; /* NULL: not connected */
   int64_t next_try;
-  bool once; /* not dialled again when it is lost */
+  bool once; /* not dialled again when the connection is lost */
 } Dial;
 
-#define KINDS (MESH_NOTICE + 1)
+#define KIND_COUNT (MESH_NOTICE + 1)
 
 typedef struct
 {
@@ -62,33 +62,35 @@
   GHashTable *dials; /* ip: Dial */
   struct cds_list_head peers;
   LoopTimer tick;
-  unsigned hello_number; /* of what this instance says of itself; grows with each change */
+  unsigned hello_number; /* incremented with each change of hello */
   int64_t started;
-  Traffic sent[KINDS], received[KINDS];
+  Traffic sent[KIND_COUNT], received[KIND_COUNT];
 };
 
-/* Failure: power comes back, and instances start within half a second of each other. Symptom: an
- * entry's first connection attempts are lost at machines that are still dark, and it waits for them
- * while the voters are up: 0.35 s of a time in which each caller waits. */
+/* True within STARTUP_TIME of the start, when dialling is faster. After a power failure all
+ * instances start within half a second of each other, and an entry's first connects are lost at
+ * machines that are not up yet. Waiting for these attempts cost 0.35 s, in which every caller
+ * waited, although the voters were already up. */
 static bool
-is_new (const Mesh *mesh)
+is_starting (const Mesh *mesh)
 {
-  return loop_now (mesh->loop) - mesh->started < NEW_FOR;
+  return loop_now (mesh->loop) - mesh->started < STARTUP_TIME;
 }
 
 static int64_t
-redial_after (const Mesh *mesh)
+redial_delay (const Mesh *mesh)
 {
-  return is_new (mesh) ? REDIAL_NEW : REDIAL;
+  return is_starting (mesh) ? STARTUP_REDIAL : REDIAL_DELAY;
 }
 
-/* The longest silence of a peer. */
+/* How long a peer may be silent: until its connection is established, until its hello or later. */
 static int64_t
-silence_most (const Peer *peer)
+silence_max (const Peer *peer)
 {
   if (peer->up)
-    return SILENT;
-  return peer->base.sock->connecting && is_new (peer->base.mesh) ? CONNECT_NEW : DIAL_MOST;
+    return SILENCE_MAX;
+  return peer->base.sock->connecting && is_starting (peer->base.mesh) ? STARTUP_CONNECT_MAX
+                                                                      : CONNECT_MAX;
 }
 
 static void
@@ -100,7 +102,7 @@
   if (peer->base.dialled && dial && dial->peer == peer)
     {
       dial->peer = NULL;
-      dial->next_try = loop_now (mesh->loop) + redial_after (mesh);
+      dial->next_try = loop_now (mesh->loop) + redial_delay (mesh);
     }
   cds_list_del (&peer->link);
   sock_close (peer->base.sock, true);
@@ -113,13 +115,13 @@
 static void
 count_message (Traffic *traffic, MeshKind kind, size_t size)
 {
-  if ((unsigned) kind >= KINDS)
+  if ((unsigned) kind >= KIND_COUNT)
     return;
   traffic[kind].messages++;
   traffic[kind].bytes += size;
 }
 
-/* The kind of a packed message, which stands behind its record mark. */
+/* The kind of a packed message, which follows the record mark. */
 static MeshKind
 packed_kind (const void *data)
 {
@@ -136,7 +138,7 @@
 
   if (bytes == NULL)
     return NULL;
-  uint32_t mark = htonl (LAST_MARK | bytes->len);
+  uint32_t mark = htonl (LAST_FRAGMENT | bytes->len);
   g_byte_array_prepend (bytes, (const guint8 *) &mark, sizeof mark);
   return g_byte_array_free_to_bytes (bytes);
 }
@@ -146,11 +148,11 @@
 {
   gsize size;
 
-  if (base->sock == NULL || sock_unsent (base->sock) > UNSENT_MOST)
+  if (base->sock == NULL || sock_unsent (base->sock) > UNSENT_MAX)
     return false;
   const void *data = g_bytes_get_data (packed, &size);
   count_message (base->mesh->sent, packed_kind (data), size);
-  base->spoke = loop_now (base->mesh->loop);
+  base->sent_at = loop_now (base->mesh->loop);
   sock_write (base->sock, data, size);
   return true;
 }
@@ -173,15 +175,15 @@
   return base->sock ? sock_unsent (base->sock) : 0;
 }
 
-/* Failure: hundreds of instances say every 0.4 s to each voter who they are, and voters answer with
- * all they know. Symptom: most of the bytes between failure domains repeat what has not changed.
- * Eight bytes say as much where nothing else is sent. */
+/* Sends eight bytes instead of a whole hello. If hundreds of instances sent a hello to each voter
+ * every 0.4 s and voters replied with their whole state, most of the traffic between failure
+ * domains would repeat unchanged data. */
 void
-mesh_keep_alive (MeshPeer *peer, int64_t every)
+mesh_keep_alive (MeshPeer *peer, int64_t interval)
 {
   MeshMsg msg = { .kind = MESH_ALIVE };
 
-  if (loop_now (peer->mesh->loop) - peer->spoke >= every)
+  if (loop_now (peer->mesh->loop) - peer->sent_at >= interval)
     mesh_send (peer, &msg);
 }
 
@@ -190,21 +192,22 @@
 {
   MeshMsg msg = { .kind = MESH_HELLO, .MeshMsg_u.hello = peer->base.mesh->hello };
 
-  peer->told = peer->base.mesh->hello_number;
+  peer->hello_sent = peer->base.mesh->hello_number;
   mesh_send (&peer->base, &msg);
 }
 
-/* An instance that was started anew dials again before its old connection is known to be dead. */
+/* Closes older connections that the same instance opened. An instance that restarts dials again
+ * before its old connection is known to be dead. */
 static void
-replace_older (Peer *fresh)
+close_older_peers (Peer *new_peer)
 {
-  Mesh *mesh = fresh->base.mesh;
+  Mesh *mesh = new_peer->base.mesh;
   Peer *peer, *next;
 
   cds_list_for_each_entry_safe (peer, next, &mesh->peers, link)
   {
-    if (peer != fresh && !peer->base.dialled && !fresh->base.dialled
-        && peer->base.ip == fresh->base.ip)
+    if (peer != new_peer && !peer->base.dialled && !new_peer->base.dialled
+        && peer->base.ip == new_peer->base.ip)
       close_peer (peer);
   }
 }
@@ -229,7 +232,7 @@
     return;
   if (!peer->base.dialled)
     {
-      replace_older (peer);
+      close_older_peers (peer);
       send_hello (peer);
     }
   peer->up = true;
@@ -237,14 +240,14 @@
 }
 
 static void
-take_message (Peer *peer, const void *data, size_t size)
+handle_message (Peer *peer, const void *data, size_t size)
 {
   MeshMsg msg = { 0 };
 
-  bool sound = codec_unpack (CODEC (MeshMsg), data, size, &msg, NULL) == FT_OK;
-  if (sound)
+  bool valid = codec_unpack (CODEC (MeshMsg), data, size, &msg, NULL) == FT_OK;
+  if (valid)
     count_message (peer->base.mesh->received, msg.kind, size + sizeof (uint32_t));
-  if (!sound)
+  if (!valid)
     close_peer (peer);
   else if (msg.kind == MESH_HELLO)
     on_hello (peer, &msg.MeshMsg_u.hello);
@@ -268,15 +271,15 @@
         return;
       memcpy (&mark, data, sizeof mark);
       mark = ntohl (mark);
-      uint32_t length = mark & ~LAST_MARK;
-      if (!(mark & LAST_MARK) || length > FRAME_MOST)
+      uint32_t length = mark & ~LAST_FRAGMENT;
+      if (!(mark & LAST_FRAGMENT) || length > FRAME_MAX)
         {
           close_peer (peer);
           return;
         }
       if (size < sizeof mark + length)
         return;
-      take_message (peer, data + sizeof mark, length);
+      handle_message (peer, data + sizeof mark, length);
       if (!sock->ended)
         sock_consume (sock, sizeof mark + length);
     }
@@ -332,7 +335,7 @@
   SockAddr addr = { dial->ip, mesh->self.port };
   Peer *peer = peer_new (mesh, true);
 
-  dial->next_try = loop_now (mesh->loop) + redial_after (mesh);
+  dial->next_try = loop_now (mesh->loop) + redial_delay (mesh);
   peer->base.ip = dial->ip;
   peer->base.sock = sock_connect (mesh->loop, addr, &sock_ops, peer);
   if (peer->base.sock == NULL)
@@ -362,12 +365,12 @@
 }
 
 static void
-speak (Peer *peer)
+send_hello_or_alive (Peer *peer)
 {
-  if (peer->told != peer->base.mesh->hello_number)
+  if (peer->hello_sent != peer->base.mesh->hello_number)
     send_hello (peer);
   else
-    mesh_keep_alive (&peer->base, SPEAK_EVERY);
+    mesh_keep_alive (&peer->base, KEEPALIVE_INTERVAL);
 }
 
 static void
@@ -379,13 +382,13 @@
 
   cds_list_for_each_entry_safe (peer, next, &mesh->peers, link)
   {
-    if (now - peer->base.heard > silence_most (peer))
+    if (now - peer->base.heard > silence_max (peer))
       close_peer (peer);
     else if (peer->up && peer->base.dialled)
-      speak (peer);
+      send_hello_or_alive (peer);
   }
   tick_dials (mesh, now);
-  loop_timer_set (mesh->loop, timer, now + (is_new (mesh) ? TICK_NEW : TICK));
+  loop_timer_set (mesh->loop, timer, now + (is_starting (mesh) ? STARTUP_TICK : TICK));
 }
 
 Mesh *
@@ -431,17 +434,17 @@
 }
 
 void
-mesh_say (Mesh *mesh, bool leaving, uint64_t document)
+mesh_update_hello (Mesh *mesh, bool leaving, uint64_t document)
 {
   bool changed = mesh->hello.leaving != leaving || mesh->hello.document != document;
 
   mesh->hello.leaving = leaving;
   mesh->hello.document = document;
   if (changed)
-    mesh->hello_number++; /* said with the next tick */
+    mesh->hello_number++; /* sent on the next tick */
 }
 
-/* NULL: there is one, or none may be. */
+/* Returns NULL if ip is already dialled, is this instance's own or is 0. */
 static Dial *
 new_dial (Mesh *mesh, uint32_t ip)
 {
@@ -456,11 +459,11 @@
 void
 mesh_dial (Mesh *mesh, uint32_t ip)
 {
-  Dial *fresh = new_dial (mesh, ip);
+  Dial *created = new_dial (mesh, ip);
   Dial *dial = g_hash_table_lookup (mesh->dials, GUINT_TO_POINTER (ip));
 
-  if (fresh)
-    try_dial (mesh, fresh);
+  if (created)
+    try_dial (mesh, created);
   else if (dial)
     dial->once = false;
 }
@@ -478,7 +481,7 @@
 }
 
 void
-mesh_hang_up (Mesh *mesh, uint32_t ip)
+mesh_undial_once (Mesh *mesh, uint32_t ip)
 {
   const Dial *dial = g_hash_table_lookup (mesh->dials, GUINT_TO_POINTER (ip));
 
@@ -500,47 +503,47 @@
 }
 
 static void
-describe_way (const Traffic *traffic, const char *way, GString *out)
-{
-  static const char *const names[KINDS] = { [MESH_HELLO] = "hello",
-                                            [MESH_VIEW] = "view",
-                                            [MESH_DOCUMENT] = "document",
-                                            [MESH_LIST] = "list",
-                                            [MESH_ASK] = "ask",
-                                            [MESH_GRANT] = "grant",
-                                            [MESH_REFUSE] = "refuse",
-                                            [MESH_FIRST] = "first",
-                                            [MESH_SILENT] = "silent",
-                                            [MESH_DONE] = "done",
-                                            [MESH_RAFT] = "log",
-                                            [MESH_WANT_LIST] = "want-list",
-                                            [MESH_PACKED_LIST] = "packed-list",
-                                            [MESH_ALIVE] = "alive",
-                                            [MESH_ENDED] = "ended",
-                                            [MESH_ENDED_KNOWN] = "ended-known",
-                                            [MESH_ANSWERED] = "answered",
-                                            [MESH_SURVIVED] = "survived",
-                                            [MESH_BLAMED] = "blamed",
-                                            [MESH_ROLLOUTS] = "rollouts",
-                                            [MESH_NOTICE] = "notice" };
-
-  for (unsigned i = MESH_HELLO; i < KINDS; i++)
-    g_string_append_printf (out,
-                            "foxtail_link_messages_total{kind=\"%s\",way=\"%s\"} %" G_GUINT64_FORMAT
-                            "\nfoxtail_link_bytes_total{kind=\"%s\",way=\"%s\"} %" G_GUINT64_FORMAT
-                            "\n",
-                            names[i], way, traffic[i].messages, names[i], way, traffic[i].bytes);
+append_direction (const Traffic *traffic, const char *direction, GString *out)
+{
+  static const char *const names[KIND_COUNT] = { [MESH_HELLO] = "hello",
+                                                 [MESH_VIEW] = "view",
+                                                 [MESH_DOCUMENT] = "document",
+                                                 [MESH_LIST] = "list",
+                                                 [MESH_ASK] = "ask",
+                                                 [MESH_GRANT] = "grant",
+                                                 [MESH_REFUSE] = "refuse",
+                                                 [MESH_FIRST] = "first",
+                                                 [MESH_SILENT] = "silent",
+                                                 [MESH_DONE] = "done",
+                                                 [MESH_RAFT] = "log",
+                                                 [MESH_WANT_LIST] = "want-list",
+                                                 [MESH_PACKED_LIST] = "packed-list",
+                                                 [MESH_ALIVE] = "alive",
+                                                 [MESH_ENDED] = "ended",
+                                                 [MESH_ENDED_KNOWN] = "ended-known",
+                                                 [MESH_ANSWERED] = "answered",
+                                                 [MESH_SURVIVED] = "survived",
+                                                 [MESH_BLAMED] = "blamed",
+                                                 [MESH_ROLLOUTS] = "rollouts",
+                                                 [MESH_NOTICE] = "notice" };
+
+  for (unsigned i = MESH_HELLO; i < KIND_COUNT; i++)
+    g_string_append_printf (
+        out,
+        "foxtail_link_messages_total{kind=\"%s\",way=\"%s\"} %" G_GUINT64_FORMAT
+        "\nfoxtail_link_bytes_total{kind=\"%s\",way=\"%s\"} %" G_GUINT64_FORMAT "\n",
+        names[i], direction, traffic[i].messages, names[i], direction, traffic[i].bytes);
 }
 
 void
-mesh_describe (const Mesh *mesh, GString *out)
+mesh_append_metrics (const Mesh *mesh, GString *out)
 {
-  describe_way (mesh->sent, "sent", out);
-  describe_way (mesh->received, "received", out);
+  append_direction (mesh->sent, "sent", out);
+  append_direction (mesh->received, "received", out);
 }
 
 void
-mesh_each (Mesh *mesh, void (*fn) (MeshPeer *peer, void *data), void *data)
+mesh_for_each_peer (Mesh *mesh, void (*fn) (MeshPeer *peer, void *data), void *data)
 {
   Peer *peer, *next;
 
@@ -552,7 +555,7 @@
 }
 
 MeshPeer *
-mesh_dialled (Mesh *mesh, uint32_t ip)
+mesh_find_dialled (Mesh *mesh, uint32_t ip)
 {
   Dial *dial = g_hash_table_lookup (mesh->dials, GUINT_TO_POINTER (ip));
 
--- a/net/mesh.h
+++ b/net/mesh.h
@@ -1,4 +1,4 @@
-/* mesh.h - connections between the instances of a deployment: typed messages over TCP. */
+/* mesh.h - connections between the instances of a deployment, with typed messages over TCP. */
 #ifndef MESH_H
 #define MESH_H
 
@@ -7,62 +7,64 @@
 
 typedef struct Mesh Mesh;
 
-/* One connection to another instance. Owned by the mesh; valid until down returns. */
+/* A connection to another instance. Owned by the mesh; valid until the callback down returns. */
 typedef struct
 {
   Mesh *mesh;
   Sock *sock;
-  uint32_t ip;       /* the instance's identity */
-  uint64_t lifetime; /* of its process; 0: it has not said hello yet */
+  uint32_t ip;       /* the instance's address, which identifies it */
+  uint64_t lifetime; /* random number of its process; 0: no hello received yet */
   MeshRole role;
   char domain[64];
-  bool leaving, dialled;
-  uint64_t document; /* version of the catalogue in force there */
-  int64_t heard;     /* when the last message came */
-  int64_t spoke;     /* when the last one was sent */
+  bool leaving;      /* the peer shuts down */
+  bool dialled;      /* this instance opened the connection */
+  uint64_t document; /* version of the catalogue in force at the peer */
+  int64_t heard;     /* when data was last received */
+  int64_t sent_at;   /* when a message was last sent */
   void *user;
 } MeshPeer;
 
 typedef struct
 {
-  void (*up) (void *host, MeshPeer *peer); /* it has said hello */
-  /* msg is the caller's; kinds other than hello and alive. */
+  void (*up) (void *host, MeshPeer *peer); /* the first hello was received */
+  /* A message other than hello and alive. msg is freed after the call. */
   void (*message) (void *host, MeshPeer *peer, const MeshMsg *msg);
-  void (*down) (void *host, MeshPeer *peer); /* after up only */
+  void (*down) (void *host, MeshPeer *peer); /* only after up */
 } MeshOps;
 
-/* listen: address of this instance; port: where the others are dialled. The hello is copied and
- * sent to each peer. NULL: the address cannot be bound, errno says why. */
+/* listen: address of this instance; port: the port on which other instances are dialled. The hello
+ * is copied and sent to each peer. Returns NULL with errno set if the address cannot be bound. */
 Mesh *mesh_new (Loop *loop, SockAddr listen, uint16_t port, const MeshHello *hello,
                 const MeshOps *ops, void *host);
 void mesh_free (Mesh *mesh);
-/* What this instance says of itself from now on. */
-void mesh_say (Mesh *mesh, bool leaving, uint64_t document);
-/* Keeps a connection to the instance, dialling it again when it is lost. */
+/* Changes what this instance announces in its hello, and sends that to the dialled peers on the
+ * next tick. */
+void mesh_update_hello (Mesh *mesh, bool leaving, uint64_t document);
+/* Opens a connection to the instance and dials again whenever it is lost. */
 void mesh_dial (Mesh *mesh, uint32_t ip);
 void mesh_undial (Mesh *mesh, uint32_t ip);
-/* Makes a connection that is not made again when it is lost; mesh_dial keeps it from then on.
- * False: there is one to that instance already, or is being made. */
+/* Opens a connection that is not dialled again when it is lost, unless mesh_dial is called for it
+ * later. Returns false if that instance is being dialled or connected already. */
 bool mesh_dial_once (Mesh *mesh, uint32_t ip);
-/* Ends a connection that only mesh_dial_once was called for. */
-void mesh_hang_up (Mesh *mesh, uint32_t ip);
-/* Sends at once or as soon as the connection takes it. False: a bound of the message is exceeded
- * or the connection is gone. */
+/* Closes a connection opened by mesh_dial_once, unless mesh_dial was called for it since. */
+void mesh_undial_once (Mesh *mesh, uint32_t ip);
+/* Sends msg, or buffers it until the connection accepts it. Returns false if a field of msg exceeds
+ * its limit, if the peer has too many unsent bytes or if the connection is closed. */
 bool mesh_send (MeshPeer *peer, const MeshMsg *msg);
-/* Says that this instance lives, in the fewest bytes, unless the peer was sent anything within the
- * last every. */
-void mesh_keep_alive (MeshPeer *peer, int64_t every);
-/* A message packed once for several peers; NULL: a bound of it is exceeded. */
+/* Sends an alive message, the smallest one, unless another message was sent within the last
+ * interval microseconds. */
+void mesh_keep_alive (MeshPeer *peer, int64_t interval);
+/* Packs a message to send to several peers. Returns NULL if a field exceeds its limit. */
 GBytes *mesh_pack (const MeshMsg *msg);
 bool mesh_send_packed (MeshPeer *peer, GBytes *packed);
-/* Bytes that the peer has not taken yet. */
+/* Bytes not yet passed to the kernel, because the peer reads slowly. */
 size_t mesh_unsent (const MeshPeer *peer);
-/* Calls fn for each peer that has said hello. */
-void mesh_each (Mesh *mesh, void (*fn) (MeshPeer *peer, void *data), void *data);
-/* Messages and bytes, record marks included, by kind and way since the start, in the text format of
- * metrics. */
-void mesh_describe (const Mesh *mesh, GString *out);
-/* The dialled connection to ip when it is up; NULL: none. */
-MeshPeer *mesh_dialled (Mesh *mesh, uint32_t ip);
+/* Calls fn for each peer whose hello was received. */
+void mesh_for_each_peer (Mesh *mesh, void (*fn) (MeshPeer *peer, void *data), void *data);
+/* Appends the number of messages and of bytes, record marks included, by kind and direction since
+ * the start, in the metrics' text format. */
+void mesh_append_metrics (const Mesh *mesh, GString *out);
+/* Returns the dialled connection to ip if it is up, else NULL. */
+MeshPeer *mesh_find_dialled (Mesh *mesh, uint32_t ip);
 
 #endif
--- a/node/control.c
+++ b/node/control.c
@@ -213,7 +213,7 @@
 on_send (void *host, uint32_t to, GByteArray *bytes)
 {
   Control *control = host;
-  MeshPeer *peer = mesh_dialled (control->mesh, to);
+  MeshPeer *peer = mesh_find_dialled (control->mesh, to);
   MeshMsg msg = { .kind = MESH_RAFT };
 
   if (peer)
@@ -473,7 +473,7 @@
       (double) (loop_now (control->loop) - servers_asked_at (control->servers)) / 1e6);
   suspects_describe (control->suspects, out);
   rollouts_describe (control->rollouts, out);
-  mesh_describe (control->mesh, out);
+  mesh_append_metrics (control->mesh, out);
   g_string_append (out, "# servers as this voter sees them\n");
   g_string_append (out, servers);
   g_free (servers);
--- a/node/entry.c
+++ b/node/entry.c
@@ -128,7 +128,7 @@
   apply_limits (entry, cat);
   requests_catalogue (entry->requests, cat);
   broker_catalogue (place_broker (entry->place), cat);
-  mesh_say (entry->mesh, entry->leaving_since != 0, rt_cat_version (cat));
+  mesh_update_hello (entry->mesh, entry->leaving_since != 0, rt_cat_version (cat));
   confirm (entry);
 }
 
@@ -156,7 +156,7 @@
 {
   count_up (COUNT_LISTS);
   if (pass_on && broker_askers (place_broker (entry->place)) > 0)
-    mesh_each (entry->mesh, push_list, entry);
+    mesh_for_each_peer (entry->mesh, push_list, entry);
   if (!servers_changed (entry->servers))
     return;
   broker_servers (place_broker (entry->place), entry->servers);
@@ -458,7 +458,7 @@
   entry->was_ready = ready;
   read_list_if_old (entry, now);
   witness_tick (entry->witness);
-  mesh_each (entry->mesh, speak, entry);
+  mesh_for_each_peer (entry->mesh, speak, entry);
   close_when_noticed (entry, now);
   if (entry->leaving_since && may_end (entry, now))
     {
@@ -478,7 +478,7 @@
     return;
   entry->leaving_since = loop_now (entry->loop);
   hsrv_disable_keep_alive (entry->callers);
-  mesh_say (entry->mesh, true, entry->cat ? rt_cat_version (entry->cat) : 0);
+  mesh_update_hello (entry->mesh, true, entry->cat ? rt_cat_version (entry->cat) : 0);
   jlog (JLOG_INFO, "leave", NULL, JL_INT ("open", requests_open (entry->requests)),
         JL_INT ("connections", hsrv_connection_count (entry->callers)));
 }
@@ -533,7 +533,7 @@
       (double) (loop_now (entry->loop) - servers_asked_at (entry->servers)) / 1e6);
   describe_held (entry, out);
   witness_describe (entry->witness, out);
-  mesh_describe (entry->mesh, out);
+  mesh_append_metrics (entry->mesh, out);
   g_string_append (out, "# servers as this entry sees them\n");
   g_string_append (out, servers);
   g_free (servers);
--- a/node/greet.c
+++ b/node/greet.c
@@ -209,7 +209,7 @@
     {
       const Known *known = &g_array_index (greet->known, Known, i);
       linked += known->linked;
-      mesh_hang_up (greet->mesh, known->ip);
+      mesh_undial_once (greet->mesh, known->ip);
       if (!known->met)
         {
           g_array_remove_index (greet->known, i);
@@ -234,7 +234,7 @@
   g_array_append_val (greet->known, moved);
   if (greet->known->len > GREET_MOST)
     g_array_remove_index (greet->known, 0);
-  mesh_hang_up (greet->mesh, ip);
+  mesh_undial_once (greet->mesh, ip);
 }
 
 /* ---- Interface ---- */
--- a/node/place.c
+++ b/node/place.c
@@ -246,11 +246,11 @@
     {
       if (place->deputies[i] == place->self)
         return NULL;
-      MeshPeer *peer = mesh_dialled (place->mesh, place->deputies[i]);
+      MeshPeer *peer = mesh_find_dialled (place->mesh, place->deputies[i]);
       if (peer && is_usable (place, peer))
         return peer;
     }
-  mesh_each (place->mesh, lowest_voter, &search);
+  mesh_for_each_peer (place->mesh, lowest_voter, &search);
   return search.found;
 }
 
--- a/node/witness.c
+++ b/node/witness.c
@@ -68,7 +68,7 @@
   if (witness->voter)
     mesh_send (witness->voter, &msg);
   else if (report->told_at == 0)
-    mesh_each (witness->mesh, tell_deputy, &msg);
+    mesh_for_each_peer (witness->mesh, tell_deputy, &msg);
   report->told_at = now;
 }
 
@@ -196,7 +196,7 @@
   for (unsigned i = 0; i < ended->contents.contents_len; i++)
     quar_ended (witness->quar, ended->contents.contents_val[i], ended->server, false);
   if (!peer->dialled && witness->voter == NULL)
-    mesh_each (witness->mesh, pass_on, &relay);
+    mesh_for_each_peer (witness->mesh, pass_on, &relay);
   witness->changed (witness->host);
 }
 
--- a/test/greet.c
+++ b/test/greet.c
@@ -251,7 +251,7 @@
       greet_tick (greet, voters, G_N_ELEMENTS (voters));
       for (unsigned end_of = 0; end_of < G_N_ELEMENTS (ends); end_of++)
         if (ends[end_of])
-          mesh_each (ends[end_of], keep_alive, NULL);
+          mesh_for_each_peer (ends[end_of], keep_alive, NULL);
       turn ();
     }
 }
@@ -278,7 +278,7 @@
   g_assert_cmpuint (links, ==, 1);
   mesh_dial (entry, 0x7f000001);
   tick_until (&links, 0, SOON);
-  g_assert_nonnull (mesh_dialled (entry, 0x7f000001));
+  g_assert_nonnull (mesh_find_dialled (entry, 0x7f000001));
   tick (20);
   g_assert_cmpuint (views, ==, 1);
   g_assert_cmpuint (links, ==, 0);
@@ -302,7 +302,7 @@
   greet = greet_new (loop, mesh, 0x7f000001, folder);
   tick_until (&links, 2, SOON);
   tick_until (&links, 1, ENDED);
-  g_assert_nonnull (mesh_dialled (mesh, 0x7f000003));
+  g_assert_nonnull (mesh_find_dialled (mesh, 0x7f000003));
   g_assert_cmpuint (greet_known (greet), ==, 1);
   tick (20);
   g_assert_cmpuint (links, ==, 1); /* nobody is greeted later */
--- a/test/handover.c
+++ b/test/handover.c
@@ -193,7 +193,7 @@
 }
 
 MeshPeer *
-mesh_dialled (Mesh *mesh, uint32_t ip)
+mesh_find_dialled (Mesh *mesh, uint32_t ip)
 {
   const GPtrArray *links = insts[mesh->instance].links;
 
@@ -207,7 +207,7 @@
 }
 
 void
-mesh_each (Mesh *mesh, void (*fn) (MeshPeer *peer, void *data), void *data)
+mesh_for_each_peer (Mesh *mesh, void (*fn) (MeshPeer *peer, void *data), void *data)
 {
   const GPtrArray *links = insts[mesh->instance].links;
 
