--- a/node/crashrep.c
+++ b/node/crashrep.c
@@ -69,7 +69,7 @@
   if (reporter->voter)
     mesh_send (reporter->voter, &msg);
   else if (report->sent_at == 0)
-    mesh_each (reporter->mesh, send_to_deputy, &msg);
+    mesh_for_each_peer (reporter->mesh, send_to_deputy, &msg);
   report->sent_at = now;
 }
 
@@ -197,7 +197,7 @@
   for (unsigned i = 0; i < ended->contents.contents_len; i++)
     quar_add_crash (reporter->quar, ended->contents.contents_val[i], ended->server, false);
   if (!peer->dialled && reporter->voter == NULL)
-    mesh_each (reporter->mesh, forward, &context);
+    mesh_for_each_peer (reporter->mesh, forward, &context);
   reporter->changed (reporter->host);
 }
 
--- a/node/entry.c
+++ b/node/entry.c
@@ -59,7 +59,7 @@
   const RtLimits *from = rt_cat_limits (cat);
   HSrvLimits limits = { from->head_bytes, from->body_bytes, from->head_us, from->idle_us };
 
-  hsrv_limits (entry->callers, &limits);
+  hsrv_set_limits (entry->callers, &limits);
 }
 
 /* Marks the catalogue as confirmed once it is as new as the one that the voter in charge
@@ -131,7 +131,7 @@
   apply_limits (entry, cat);
   requests_set_catalogue (entry->requests, cat);
   broker_set_catalogue (place_own_broker (entry->place), cat);
-  mesh_say (entry->mesh, entry->leaving_since != 0, rt_cat_version (cat));
+  mesh_update_hello (entry->mesh, entry->leaving_since != 0, rt_cat_version (cat));
   confirm_catalogue (entry);
 }
 
@@ -159,7 +159,7 @@
 {
   count_inc (COUNT_LISTS);
   if (relay && broker_asker_count (place_own_broker (entry->place)) > 0)
-    mesh_each (entry->mesh, push_list, entry);
+    mesh_for_each_peer (entry->mesh, push_list, entry);
   if (!servers_poll_changed (entry->servers))
     return;
   broker_set_servers (place_own_broker (entry->place), entry->servers);
@@ -415,8 +415,8 @@
     return;
   entry->closed = true;
   jlog (JLOG_INFO, "close", NULL, JL_INT ("open", requests_open_count (entry->requests)),
-        JL_INT ("connections", hsrv_connections (entry->callers)));
-  hsrv_close_idle (entry->callers);
+        JL_INT ("connections", hsrv_connection_count (entry->callers)));
+  hsrv_stop_accepting (entry->callers);
 }
 
 /* True if the balancer has noticed and all requests have ended, or the process is about to be
@@ -426,12 +426,12 @@
 {
   int64_t since = now - entry->leaving_since;
   int64_t limit = entry->settings->grace_s * FT_SECOND - LEAVE_MARGIN;
-  HSrvHeld held;
+  HSrvMemory held;
 
-  hsrv_held (entry->callers, &held);
+  hsrv_get_memory (entry->callers, &held);
   return since > limit
          || (since > LEAVE_MIN && requests_open_count (entry->requests) == 0
-             && hsrv_busy (entry->callers) == 0 && held.answers == 0);
+             && hsrv_active_calls (entry->callers) == 0 && held.answers == 0);
 }
 
 /* Sends keep-alives to the entries that have dialled this one, more often to those that wait for
@@ -464,7 +464,7 @@
   entry->was_ready = ready;
   read_list_if_old (entry, now);
   crashrep_tick (entry->witness);
-  mesh_each (entry->mesh, send_keep_alive, entry);
+  mesh_for_each_peer (entry->mesh, send_keep_alive, entry);
   close_idle_when_leaving (entry, now);
   if (entry->leaving_since && may_stop (entry, now))
     {
@@ -483,10 +483,10 @@
   if (entry->leaving_since)
     return;
   entry->leaving_since = loop_now (entry->loop);
-  hsrv_last_answers (entry->callers);
-  mesh_say (entry->mesh, true, entry->cat ? rt_cat_version (entry->cat) : 0);
+  hsrv_disable_keep_alive (entry->callers);
+  mesh_update_hello (entry->mesh, true, entry->cat ? rt_cat_version (entry->cat) : 0);
   jlog (JLOG_INFO, "leave", NULL, JL_INT ("open", requests_open_count (entry->requests)),
-        JL_INT ("connections", hsrv_connections (entry->callers)));
+        JL_INT ("connections", hsrv_connection_count (entry->callers)));
 }
 
 static void
@@ -505,9 +505,9 @@
 static void
 describe_memory (const Entry *entry, GString *out)
 {
-  HSrvHeld held;
+  HSrvMemory held;
 
-  hsrv_held (entry->callers, &held);
+  hsrv_get_memory (entry->callers, &held);
   g_string_append_printf (
       out,
       "foxtail_held_bytes{for=\"callers\"} %zu\nfoxtail_held_bytes{for=\"servers\"} %zu\n"
@@ -534,12 +534,12 @@
       "\nfoxtail_scheduler{by=\"%s\"} 1\nfoxtail_list_age_seconds %g\n",
       is_ready (entry), entry->cat ? rt_cat_version (entry->cat) : 0,
       requests_open_count (entry->requests), place_waiting_count (entry->place),
-      hsrv_connections (entry->callers), hcli_opened (entry->cli),
+      hsrv_connection_count (entry->callers), hcli_opened_count (entry->cli),
       place_scheduler_name (entry->place),
       (double) (loop_now (entry->loop) - servers_asked_at (entry->servers)) / 1e6);
   describe_memory (entry, out);
   crashrep_describe (entry->witness, out);
-  mesh_describe (entry->mesh, out);
+  mesh_append_metrics (entry->mesh, out);
   g_string_append (out, "# servers as this entry sees them\n");
   g_string_append (out, servers);
   g_free (servers);
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -60,7 +60,7 @@
   req->conn_idle = 0;
   req->broke_on_send = false;
   g_string_truncate (req->buffered, 0);
-  hcall_note_held (req->call, 0);
+  hcall_set_buffered (req->call, 0);
   out.request = req->number;
   out.service = req->service;
   out.org = req->org ? req->org->name : "";
--- a/node/requests.c
+++ b/node/requests.c
@@ -146,7 +146,7 @@
   req->deadline_timer.fire = on_deadline;
   req->silence.fire = try_on_silence;
   req->verdict_wait.fire = req_on_verdict_wait_over;
-  req->arrived = req->deadline = hcall_arrived (call);
+  req->arrived = req->deadline = hcall_arrival_time (call);
   requests->conf.seam->read_request (hcall_msg (call), &req->facts);
   if (req->facts.id)
     g_strlcpy (req->id, req->facts.id, sizeof req->id);
--- a/node/try.c
+++ b/node/try.c
@@ -94,7 +94,7 @@
   SeamAnswer answer;
 
   req->requests->conf.seam->read_answer (msg, &answer);
-  req->close_delimited = hmsg_ends_with_connection (msg);
+  req->close_delimited = hmsg_body_until_close (msg);
   if (!matches_request (req, &answer))
     {
       jlog (JLOG_WARN, "foreign-answer", req->id, JL_TEXT ("server", req->server),
@@ -161,7 +161,7 @@
   if (req->xfer == NULL || req->read_paused || !hcall_is_full (req->call))
     return;
   req->read_paused = true;
-  hxfer_hold (req->xfer, true);
+  hxfer_pause (req->xfer, true);
   loop_timer_stop (req->requests->conf.loop, &req->silence);
 }
 
@@ -171,7 +171,7 @@
   req->read_paused = false;
   if (req->xfer == NULL)
     return;
-  hxfer_hold (req->xfer, false);
+  hxfer_pause (req->xfer, false);
   if (req->event_at)
     req->event_at = req_now (req);
   if (req->is_stream)
@@ -198,7 +198,7 @@
       if (!req->begun)
         begin_answer (req);
       arm_silence_timer (req, MAX (EVENT_TIMEOUT, 4 * req->route->gap_us));
-      hcall_data (req->call, out->str, out->len);
+      hcall_write (req->call, out->str, out->len);
       pause_if_full (req);
     }
   g_string_free (out, TRUE);
@@ -208,20 +208,20 @@
 static void
 buffer_plain (Req *req, const char *data, size_t size)
 {
-  size_t limit = hcall_is_pressed (req->call) ? BUFFER_MAX_PRESSED : BUFFER_MAX;
+  size_t limit = hcall_is_memory_short (req->call) ? BUFFER_MAX_PRESSED : BUFFER_MAX;
 
   if (!req->begun)
     g_string_append_len (req->buffered, data, (gssize) size);
   else
-    hcall_data (req->call, data, size);
+    hcall_write (req->call, data, size);
   if (!req->begun && req->buffered->len > limit)
     {
       begin_answer (req);
-      hcall_data (req->call, req->buffered->str, req->buffered->len);
+      hcall_write (req->call, req->buffered->str, req->buffered->len);
       g_string_free (req->buffered, TRUE); /* truncating would keep its memory */
       req->buffered = g_string_new (NULL);
     }
-  hcall_note_held (req->call, req->buffered->len);
+  hcall_set_buffered (req->call, req->buffered->len);
   if (req->begun)
     pause_if_full (req);
 }
@@ -296,7 +296,7 @@
   req->has_fault = true;
   if (fault == HXFER_BROKEN)
     report_break (req);
-  if (fault == HXFER_UNREACHED || fault == HXFER_REFUSED)
+  if (fault == HXFER_NOT_CONNECTED || fault == HXFER_REFUSED)
     {
       req->unreached++;
       req->sends--;
@@ -358,9 +358,9 @@
   req->xfer = hcli_send (requests->conf.cli, &target, message, &xfer_ops, req);
   g_string_free (message, TRUE);
   if (req->xfer)
-    req->conn_idle = hxfer_rested (req->xfer);
+    req->conn_idle = hxfer_conn_idle_us (req->xfer);
   else
-    on_failed (req, HXFER_UNREACHED);
+    on_failed (req, HXFER_NOT_CONNECTED);
 }
 
 void
