--- a/node/seam.c
+++ b/node/adapter.c
@@ -1,10 +1,10 @@
-/* seam.c - the seam's own records. */
-#include "seam.h"
+/* adapter_ops.c - frees the records of adapter_ops.h. */
+#include "adapter.h"
 
 void
-seam_server_clear (void *data)
+adapter_server_clear (void *data)
 {
-  SeamServer *server = data;
+  AdapterServer *server = data;
 
   g_free (server->id);
   g_free (server->name);
@@ -14,7 +14,7 @@
 }
 
 void
-seam_rollout_clear (SeamRollout *rollout)
+adapter_rollout_clear (AdapterRollout *rollout)
 {
   g_free (rollout->service);
   g_free (rollout->target);
--- a/node/tell.c
+++ b/node/bcast.c
@@ -1,5 +1,5 @@
-/* tell.c - who was sent which form of a message. */
-#include "tell.h"
+/* bcast.c - who was sent which form of a message. */
+#include "bcast.h"
 
 /* Tuning; each row with its reason. */
 #define UNSENT_SMALL 16384 /* bytes under way to an entry beyond which nothing is added */
@@ -10,7 +10,7 @@
   unsigned told; /* number of the form that it was sent last */
 } Contact;
 
-struct Tell
+struct Broadcast
 {
   GBytes *(*pack) (void *host);
   void *host;
@@ -18,10 +18,10 @@
   unsigned number;     /* of the newest form */
 };
 
-Tell *
-tell_new (GBytes *(*pack) (void *host), void *host)
+Broadcast *
+bcast_new (GBytes *(*pack) (void *host), void *host)
 {
-  Tell *tell = g_new0 (Tell, 1);
+  Broadcast *tell = g_new0 (Broadcast, 1);
 
   tell->pack = pack;
   tell->host = host;
@@ -30,7 +30,7 @@
 }
 
 void
-tell_free (Tell *tell)
+bcast_free (Broadcast *tell)
 {
   if (tell == NULL)
     return;
@@ -39,20 +39,20 @@
 }
 
 void
-tell_changed (Tell *tell)
+bcast_changed (Broadcast *tell)
 {
   tell->number++;
 }
 
 static void
-send_to (const Tell *tell, Contact *contact, GBytes *packed)
+send_to (const Broadcast *tell, Contact *contact, GBytes *packed)
 {
   mesh_send_packed (contact->peer, packed);
   contact->told = tell->number;
 }
 
 void
-tell_up (Tell *tell, MeshPeer *peer, bool at_once)
+bcast_link_up (Broadcast *tell, MeshPeer *peer, bool at_once)
 {
   if (peer->dialled || peer->role != MESH_ENTRY)
     return;
@@ -68,7 +68,7 @@
 }
 
 void
-tell_down (Tell *tell, const MeshPeer *peer)
+bcast_link_down (Broadcast *tell, const MeshPeer *peer)
 {
   for (unsigned i = 0; i < tell->contacts->len; i++)
     if (((Contact *) tell->contacts->pdata[i])->peer == peer)
@@ -82,7 +82,7 @@
  * loop of the voter in charge does nothing else for 30 ms of processor time. It is packed once for
  * all. */
 void
-tell_all (Tell *tell)
+bcast_send_all (Broadcast *tell)
 {
   GBytes *packed = NULL;
 
@@ -100,7 +100,7 @@
 }
 
 MeshPeer *
-tell_find (const Tell *tell, uint64_t lifetime)
+bcast_find (const Broadcast *tell, uint64_t lifetime)
 {
   for (unsigned i = 0; i < tell->contacts->len; i++)
     {
--- a/node/broker.c
+++ b/node/broker.c
@@ -27,7 +27,7 @@
   loop_timer_set (broker->loop, &broker->deliver_timer, loop_now (broker->loop));
 }
 
-static const SeamServer *
+static const AdapterServer *
 find_server (const Broker *broker, const char *id)
 {
   return broker->servers ? servers_find (broker->servers, id) : NULL;
@@ -39,7 +39,7 @@
   Grant grant = { .server = { .id = decision->server, .name = decision->server, .leaving = true },
                   .listed_at = loop_now (broker->loop),
                   .max_idle_us = decision->max_idle_us };
-  const SeamServer *server = find_server (broker, decision->server);
+  const AdapterServer *server = find_server (broker, decision->server);
 
   if (server)
     grant.server = *server;
@@ -78,7 +78,7 @@
 fill_grant (const Broker *broker, uint64_t request, const char *id, MeshGrant *grant)
 {
   static char none[] = "";
-  const SeamServer *server = find_server (broker, id);
+  const AdapterServer *server = find_server (broker, id);
 
   *grant = (MeshGrant){ .request = request, .server = (char *) id, .name = none };
   if (server == NULL)
--- a/node/squeeze.c
+++ b/node/compress.c
@@ -1,9 +1,9 @@
-/* squeeze.c - a length and a zlib stream.
+/* compress.c - a length and a zlib stream.
  *
  * A catalogue of several hundred routes is 100 to 200 KB of JSON that says the same names over and
  * over; it shrinks to a tenth. One goes to every entry at each change, and the log keeps many.
  */
-#include "squeeze.h"
+#include "compress.h"
 
 #include <string.h>
 #include <zlib.h>
@@ -11,7 +11,7 @@
 #define LEVEL 3 /* a third of the time of the default for a few per cent more bytes */
 
 GBytes *
-squeeze_pack (const void *text, size_t size)
+compress_pack (const void *text, size_t size)
 {
   uLongf bound = compressBound ((uLong) size);
   guint8 *out = g_malloc (sizeof (uint32_t) + bound);
@@ -27,7 +27,7 @@
 }
 
 GBytes *
-squeeze_unpack (const void *packed, size_t size)
+compress_unpack (const void *packed, size_t size)
 {
   uint32_t length;
 
@@ -35,7 +35,7 @@
     return NULL;
   memcpy (&length, packed, sizeof length);
   length = GUINT32_FROM_LE (length);
-  if (length > FT_DOCUMENT_MOST)
+  if (length > FT_DOCUMENT_MAX)
     return NULL;
   guint8 *out = g_malloc (length + 1);
   uLongf got = length;
--- a/node/control.c
+++ b/node/control.c
@@ -16,7 +16,7 @@
 #include "reader.h"
 #include "rollouts.h"
 #include "servers.h"
-#include "squeeze.h"
+#include "compress.h"
 #include "suspects.h"
 #include "voter.h"
 
@@ -33,7 +33,7 @@
 {
   Instance base;
   const Settings *settings;
-  const Seam *seam;
+  const AdapterOps *adapter_ops;
   Loop *loop;
   Mesh *mesh;
   HCli *cli;
@@ -64,7 +64,7 @@
 static void
 share_limits (Control *control)
 {
-  unsigned lost, heard = publish_entries (control->publish, &lost);
+  unsigned lost, heard = publish_count_entries (control->publish, &lost);
 
   broker_set_shares_by_heard (control->broker, heard, lost);
 }
@@ -94,7 +94,7 @@
   if (now < control->entries_logged_at + FT_SECOND
       || control->entries_up + control->entries_down == 0)
     return;
-  linked = publish_entries (control->publish, &lost);
+  linked = publish_count_entries (control->publish, &lost);
   jlog (JLOG_INFO, "entries", NULL, JL_INT ("up", control->entries_up),
         JL_INT ("down", control->entries_down), JL_INT ("linked", linked),
         JL_INT ("lost_lately", lost));
@@ -107,16 +107,16 @@
 {
   Control *control = host;
 
-  if (greet_up (control->greet, peer))
+  if (greet_link_up (control->greet, peer))
     return;
   log_link (control, peer, true);
   if (peer->role == MESH_VOTER)
-    voter_meet (control->voter, peer->ip);
+    voter_add_peer (control->voter, peer->ip);
   if (!peer->dialled)
     broker_link_up (control->broker, peer);
   suspects_up (control->suspects, peer); /* before the catalogue, which lets an entry send */
   rollouts_up (control->rollouts, peer); /* likewise */
-  publish_up (control->publish, peer);
+  publish_link_up (control->publish, peer);
 }
 
 static void
@@ -124,7 +124,7 @@
 {
   Control *control = host;
 
-  if (greet_owns (peer))
+  if (greet_is_greeting_link (peer))
     return;
   log_link (control, peer, false);
   if (peer->dialled)
@@ -133,7 +133,7 @@
     broker_link_down (control->broker, peer);
   suspects_down (control->suspects, peer);
   rollouts_down (control->rollouts, peer);
-  publish_down (control->publish, peer);
+  publish_link_down (control->publish, peer);
 }
 
 static void
@@ -167,7 +167,7 @@
   const MeshView *view = &msg->MeshMsg_u.view;
   GByteArray *bytes;
 
-  if (greet_owns (peer))
+  if (greet_is_greeting_link (peer))
     return;
   switch (msg->kind)
     {
@@ -185,7 +185,7 @@
                  servers_apply_message (control->servers, &msg->MeshMsg_u.list, now));
       break;
     case MESH_WANT_LIST:
-      publish_wants_list (peer);
+      publish_request_list (peer);
       break;
     case MESH_PACKED_LIST:
       took_list (control, peer,
@@ -237,12 +237,12 @@
   gsize size;
   const void *packed = g_bytes_get_data (document, &size);
 
-  *text = squeeze_unpack (packed, size);
+  *text = compress_unpack (packed, size);
   if (*text == NULL)
     ft_error_set (error, FT_INVALID, 0, "", "it cannot be unpacked");
   else
-    control->seam->read_catalogue (g_bytes_get_data (*text, NULL), g_bytes_get_size (*text), &cat,
-                                   error);
+    control->adapter_ops->read_catalogue (g_bytes_get_data (*text, NULL), g_bytes_get_size (*text),
+                                          &cat, error);
   return cat;
 }
 
@@ -274,7 +274,7 @@
         JL_INT ("term", control->status.term));
   broker_set_catalogue (control->broker, cat);
   if (control->operators)
-    operators_catalogue (control->operators, cat);
+    operators_set_catalogue (control->operators, cat);
   publish_documents (control->publish);
 }
 
@@ -296,7 +296,7 @@
   Control *control = host;
 
   rollouts_verdict (control->rollouts, ticket, status);
-  operators_verdict (control->operators, ticket, status);
+  operators_on_verdict (control->operators, ticket, status);
   suspects_verdict (control->suspects, ticket, status);
 }
 
@@ -403,10 +403,10 @@
 
   note_charge (control);
   share_limits (control);
-  publish_state (control->publish, control->leaving_since != 0, reader_busy (control->reader));
+  publish_set_state (control->publish, control->leaving_since != 0, reader_busy (control->reader));
   publish_tick (control->publish);
   suspects_tick (control->suspects);
-  publish_entries (control->publish, &unheard);
+  publish_count_entries (control->publish, &unheard);
   rollouts_tick (control->rollouts, unheard);
   read_list (control, now);
   log_entries (control, now);
@@ -414,8 +414,8 @@
   operators_tick (control->operators);
   broker_tick (control->broker);
   if (control->leaving_since
-      && ((now - control->leaving_since > LEAVE_LEAST && operators_open (control->operators) == 0
-           && !control->status.proved)
+      && ((now - control->leaving_since > LEAVE_LEAST
+           && operators_open_count (control->operators) == 0 && !control->status.proved)
           || now - control->leaving_since > LEAVE_MOST))
     {
       jlog (JLOG_INFO, "stop", NULL, JL_MS ("after_ms", now - control->leaving_since));
@@ -435,10 +435,10 @@
     return;
   control->leaving_since = loop_now (control->loop);
   jlog (JLOG_INFO, "leave", NULL, JL_INT ("proved", control->status.proved),
-        JL_INT ("changes", operators_open (control->operators)));
-  operators_leave (control->operators);
-  voter_hand_over (control->voter);
-  publish_state (control->publish, true, reader_busy (control->reader));
+        JL_INT ("changes", operators_open_count (control->operators)));
+  operators_start_leaving (control->operators);
+  voter_transfer_leadership (control->voter);
+  publish_set_state (control->publish, true, reader_busy (control->reader));
   publish_views (control->publish);
 }
 
@@ -458,7 +458,7 @@
   SchedStats stats;
   char *servers = broker_describe (control->broker);
   GString *out = g_string_new (NULL);
-  unsigned lost, linked = publish_entries (control->publish, &lost);
+  unsigned lost, linked = publish_count_entries (control->publish, &lost);
 
   broker_stats (control->broker, &stats);
   voter_status (control->voter, &control->status);
@@ -469,8 +469,8 @@
       "\nfoxtail_entries %u\nfoxtail_waiting %u\nfoxtail_running %u\nfoxtail_servers %u\n"
       "foxtail_servers_out %u\nfoxtail_places %u\nfoxtail_list_age_seconds %g\n",
       control->status.term, control->status.proved, control->status.count,
-      voter_newest (control->voter), linked + lost, stats.waiting, stats.running, stats.servers,
-      stats.out, stats.slots,
+      voter_newest_number (control->voter), linked + lost, stats.waiting, stats.running,
+      stats.servers, stats.out, stats.slots,
       (double) (loop_now (control->loop) - servers_asked_at (control->servers)) / 1e6);
   suspects_describe (control->suspects, out);
   rollouts_describe (control->rollouts, out);
@@ -526,12 +526,12 @@
 {
   const Settings *s = control->settings;
 
-  control->mesh = instance_links (s, MESH_VOTER, control->loop, &mesh_ops, control, error);
+  control->mesh = instance_open_mesh (s, MESH_VOTER, control->loop, &mesh_ops, control, error);
   if (control->mesh == NULL)
     return FT_IO;
   control->greet = greet_new (control->loop, control->mesh, s->ip, s->data_folder);
-  OperatorsConf conf = { control->loop,     control->seam,     control->voter,
-                         control->suspects, control->rollouts, s->control };
+  OperatorsConf conf = { control->loop,     control->adapter_ops, control->voter,
+                         control->suspects, control->rollouts,    s->control };
   control->operators = operators_new (&conf);
   if (control->operators == NULL)
     return ft_error_set (error, FT_IO, 0, "control", "%s: %s", s->control_text, g_strerror (errno));
@@ -539,19 +539,21 @@
 }
 
 FtStatus
-control_new (const Settings *settings, const Seam *seam, Loop *loop, Instance **out, FtError *error)
+control_new (const Settings *settings, const AdapterOps *adapter_ops, Loop *loop, Instance **out,
+             FtError *error)
 {
   Control *control = g_new0 (Control, 1);
 
   control->base.ops = &ops;
   control->settings = settings;
-  control->seam = seam;
+  control->adapter_ops = adapter_ops;
   control->loop = loop;
   control->cli = hcli_new (loop);
   control->servers = servers_new ();
   control->broker = broker_new (loop, "voter", NULL, NULL);
-  instance_broker (settings, control->broker, true);
-  control->reader = reader_new (loop, control->cli, seam, settings->list, on_list_read, control);
+  instance_configure_broker (settings, control->broker, true);
+  control->reader
+      = reader_new (loop, control->cli, adapter_ops, settings->list, on_list_read, control);
   control->readers = g_hash_table_new (NULL, NULL);
   control->tick.fire = on_tick;
   control->led_at = loop_now (loop);
--- a/node/documents.c
+++ b/node/docver.c
@@ -1,6 +1,6 @@
-/* documents.c - what changed since one of the latest versions, worked out once for all who hold it.
+/* docver.c - what changed since one of the latest versions, worked out once for all who hold it.
  */
-#include "documents.h"
+#include "docver.h"
 #include "delta.h"
 
 #include <string.h>
@@ -14,7 +14,7 @@
   GBytes *message; /* from this version to the newest; NULL: not asked for yet */
 } Version;
 
-struct Documents
+struct DocumentVersions
 {
   Version versions[KEPT]; /* by number modulo KEPT */
   uint64_t newest;
@@ -23,21 +23,21 @@
 };
 
 static void
-clear_messages (Documents *documents)
+clear_messages (DocumentVersions *documents)
 {
   g_clear_pointer (&documents->message, g_bytes_unref);
   for (unsigned i = 0; i < KEPT; i++)
     g_clear_pointer (&documents->versions[i].message, g_bytes_unref);
 }
 
-Documents *
-documents_new (void)
+DocumentVersions *
+docver_new (void)
 {
-  return g_new0 (Documents, 1);
+  return g_new0 (DocumentVersions, 1);
 }
 
 void
-documents_free (Documents *documents)
+docver_free (DocumentVersions *documents)
 {
   if (documents == NULL)
     return;
@@ -49,7 +49,7 @@
 }
 
 void
-documents_take (Documents *documents, uint64_t number, GBytes *packed, GBytes *text)
+docver_set_newest (DocumentVersions *documents, uint64_t number, GBytes *packed, GBytes *text)
 {
   Version *version = &documents->versions[number % KEPT];
 
@@ -77,7 +77,7 @@
 }
 
 static GBytes *
-whole (Documents *documents)
+whole (DocumentVersions *documents)
 {
   if (documents->message == NULL && documents->packed)
     documents->message = pack (documents->newest, 0, documents->packed);
@@ -85,7 +85,7 @@
 }
 
 GBytes *
-documents_message (Documents *documents, uint64_t held)
+docver_message_for (DocumentVersions *documents, uint64_t held)
 {
   Version *base = &documents->versions[held % KEPT];
   const Version *newest = &documents->versions[documents->newest % KEPT];
--- a/node/ends.h
+++ b/node/ends.h
@@ -3,7 +3,7 @@
 #define ENDS_H
 
 #include "hcli.h"
-#include "seam.h"
+#include "adapter.h"
 
 typedef struct Ends Ends;
 
@@ -11,7 +11,7 @@
 typedef struct
 {
   uint64_t content;
-  char request[SEAM_ID_MOST];
+  char request[ADAPTER_ID_MAX];
 } EndsRun;
 
 /* The process of server has ended, as was seen at that time, while it ran these; once for each of
--- a/node/entry.c
+++ b/node/entry.c
@@ -11,7 +11,7 @@
 #include "jlog.h"
 #include "reader.h"
 #include "requests.h"
-#include "squeeze.h"
+#include "compress.h"
 
 #include <errno.h>
 #include <string.h>
@@ -29,7 +29,7 @@
 {
   Instance base;
   const Settings *settings;
-  const Seam *seam;
+  const AdapterOps *adapter_ops;
   Loop *loop;
   Mesh *mesh;
   HCli *cli;
@@ -85,10 +85,10 @@
   size_t size = document->text.text_len;
 
   if (document->base == 0)
-    return squeeze_unpack (data, size);
+    return compress_unpack (data, size);
   if (entry->cat == NULL || rt_cat_version (entry->cat) != document->base)
     return NULL;
-  return delta_apply (entry->text, data, size, FT_DOCUMENT_MOST);
+  return delta_apply (entry->text, data, size, FT_DOCUMENT_MAX);
 }
 
 static void
@@ -108,8 +108,8 @@
       return;
     }
   if (text == NULL
-      || entry->seam->read_catalogue (g_bytes_get_data (text, NULL), g_bytes_get_size (text), &cat,
-                                      &error)
+      || entry->adapter_ops->read_catalogue (g_bytes_get_data (text, NULL), g_bytes_get_size (text),
+                                             &cat, &error)
              != FT_OK)
     jlog (JLOG_ERROR, "catalogue-bad", NULL, JL_INT ("version", document->number),
           JL_TEXT ("field", error.field),
@@ -389,7 +389,7 @@
   const HMsg *msg = hcall_msg (call);
   unsigned status = 404;
 
-  if (entry->seam->call (hmsg_method (msg), hmsg_target (msg)) == SEAM_CALL_READY)
+  if (entry->adapter_ops->call (hmsg_method (msg), hmsg_target (msg)) == ADAPTER_CALL_READY)
     status = is_ready (entry) ? 200 : 503;
   hcall_reply (call, status, NULL, "", 0);
 }
@@ -575,15 +575,15 @@
 {
   const Settings *s = entry->settings;
 
-  entry->mesh = instance_links (s, MESH_ENTRY, entry->loop, &mesh_ops, entry, error);
+  entry->mesh = instance_open_mesh (s, MESH_ENTRY, entry->loop, &mesh_ops, entry, error);
   if (entry->mesh == NULL)
     return FT_IO;
   entry->place = place_new (entry->loop, entry->mesh, s->ip, &place_ops, entry);
-  instance_broker (s, place_own_broker (entry->place), false);
+  instance_configure_broker (s, place_own_broker (entry->place), false);
   entry->witness = witness_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
   entry->versions = versions_new (place_own_broker (entry->place));
-  RequestsConf conf = { entry->loop,   entry->seam,    entry->cli,     entry->place,
-                        entry->budget, entry->servers, entry->witness, entry->versions };
+  RequestsConf conf = { entry->loop,   entry->adapter_ops, entry->cli,     entry->place,
+                        entry->budget, entry->servers,     entry->witness, entry->versions };
   entry->requests = requests_new (&conf);
   entry->callers = hsrv_new (entry->loop, s->callers, &callers_ops, entry);
   if (entry->callers == NULL)
@@ -595,7 +595,8 @@
 }
 
 FtStatus
-entry_new (const Settings *settings, const Seam *seam, Loop *loop, Instance **out, FtError *error)
+entry_new (const Settings *settings, const AdapterOps *adapter_ops, Loop *loop, Instance **out,
+           FtError *error)
 {
   Entry *entry = g_new0 (Entry, 1);
   BudgetConf budget = { settings->budget_ratio, (double) settings->budget_slack,
@@ -603,13 +604,13 @@
 
   entry->base.ops = &ops;
   entry->settings = settings;
-  entry->seam = seam;
+  entry->adapter_ops = adapter_ops;
   entry->loop = loop;
   entry->started = loop_now (loop);
   entry->cli = hcli_new (loop);
   entry->servers = servers_new ();
   entry->budget = budget_new (loop_clock (loop), &budget);
-  entry->reader = reader_new (loop, entry->cli, seam, settings->list, on_list_read, entry);
+  entry->reader = reader_new (loop, entry->cli, adapter_ops, settings->list, on_list_read, entry);
   entry->tick.fire = on_tick;
   FtStatus status = open_addresses (entry, error);
   if (status != FT_OK)
--- a/node/greet.c
+++ b/node/greet.c
@@ -24,7 +24,7 @@
 #define GREET_FOR    (10 * FT_SECOND) /* entries that start later find the seeds up */
 #define SAVE_EVERY   (5 * FT_SECOND)  /* entries come and go by the hundred */
 #define LINE_MOST    16               /* 255.255.255.255 and its end */
-#define FILE_MOST    (GREET_MOST * LINE_MOST)
+#define FILE_MOST    (GREET_ADDRESSES_MAX * LINE_MOST)
 #define NAME         "entries"
 #define MULTICAST    0xe0000000u /* from here on no address is an instance's */
 
@@ -126,7 +126,7 @@
           *stop = '\0';
           known.ip = read_address (greet, line);
         }
-      if (known.ip && greet->known->len < GREET_MOST)
+      if (known.ip && greet->known->len < GREET_ADDRESSES_MAX)
         g_array_prepend_val (greet->known, known);
       else
         left_out++;
@@ -232,7 +232,7 @@
   else
     greet->changed = true;
   g_array_append_val (greet->known, moved);
-  if (greet->known->len > GREET_MOST)
+  if (greet->known->len > GREET_ADDRESSES_MAX)
     g_array_remove_index (greet->known, 0);
   mesh_hang_up (greet->mesh, ip);
 }
@@ -271,17 +271,17 @@
 }
 
 bool
-greet_owns (const MeshPeer *peer)
+greet_is_greeting_link (const MeshPeer *peer)
 {
   return peer->dialled && peer->role == MESH_ENTRY;
 }
 
 bool
-greet_up (Greet *greet, MeshPeer *peer)
+greet_link_up (Greet *greet, MeshPeer *peer)
 {
   Known *known = find (greet, peer->ip);
 
-  if (greet_owns (peer))
+  if (greet_is_greeting_link (peer))
     {
       if (known)
         known->met = true;
@@ -315,7 +315,7 @@
 }
 
 unsigned
-greet_known (const Greet *greet)
+greet_known_count (const Greet *greet)
 {
   return greet->known->len;
 }
--- a/node/greet.h
+++ b/node/greet.h
@@ -4,7 +4,7 @@
 
 #include "mesh.h"
 
-#define GREET_MOST 1024 /* addresses kept */
+#define GREET_ADDRESSES_MAX 1024 /* addresses kept */
 
 typedef struct Greet Greet;
 
@@ -14,13 +14,13 @@
 /* Writes what has changed. */
 void greet_free (Greet *greet);
 /* A link has come up. True: it was made only to greet, and is nobody else's business. */
-bool greet_up (Greet *greet, MeshPeer *peer);
+bool greet_link_up (Greet *greet, MeshPeer *peer);
 /* Was the link made only to greet? Of links that are up. */
-bool greet_owns (const MeshPeer *peer);
+bool greet_is_greeting_link (const MeshPeer *peer);
 /* voters: addresses of those that this instance knows, which entries are told. Call every 20 ms or
  * so. */
 void greet_tick (Greet *greet, const uint32_t *voters, unsigned count);
 /* Addresses held. */
-unsigned greet_known (const Greet *greet);
+unsigned greet_known_count (const Greet *greet);
 
 #endif
--- a/node/instance.c
+++ b/node/instance.c
@@ -1,4 +1,4 @@
-/* instance.c - what both kinds of instances do alike at their start. */
+/* instance.c - start-up code that entries and voters share. */
 #include "instance.h"
 
 #include <errno.h>
@@ -15,8 +15,8 @@
 }
 
 Mesh *
-instance_links (const Settings *settings, MeshRole role, Loop *loop, const MeshOps *ops, void *host,
-                FtError *error)
+instance_open_mesh (const Settings *settings, MeshRole role, Loop *loop, const MeshOps *ops,
+                    void *host, FtError *error)
 {
   int64_t port = settings->link_listen_port ? settings->link_listen_port : settings->link_port;
   SockAddr listen = { settings->ip, (uint16_t) port };
@@ -32,7 +32,7 @@
 }
 
 void
-instance_broker (const Settings *settings, Broker *broker, bool alone)
+instance_configure_broker (const Settings *settings, Broker *broker, bool alone)
 {
   BrokerConf conf = { settings->handover_wait_ms * FT_MS, settings->return_part,
                       settings->return_place_part, settings->fair_shares };
--- a/node/jlog.c
+++ b/node/jlog.c
@@ -1,12 +1,11 @@
-/* jlog.c - log lines through a buffer of fixed size.
+/* jlog.c - writes log lines through a buffer of bounded size.
  *
- * Failure: whoever reads the log is slow, or a fault makes a line for every request. Symptom: the
- * process blocks on its own log, or spends its processor share on it. Lines beyond LINES_PER_S, and
- * lines for which the buffer has no room, are dropped and counted; the count is logged itself.
+ * A slow reader of the log, or a fault that logs a line for every request, must neither block the
+ * process nor use up its CPU share. Lines above LINES_PER_S, and lines that do not fit into the
+ * buffer, are dropped and counted; the count is logged.
  *
- * Failure: hundreds of links go down at once, and each makes a line. Symptom: the one line that
- * says why, who is in charge or that a server was taken out, is dropped for them. Each event has
- * its own allowance, so that a frequent one drops no other.
+ * The rate limit applies to each event separately. Otherwise hundreds of links that go down at once
+ * would crowd out the one line that names the cause, the leader or a server that was taken out.
  */
 #include "jlog.h"
 
@@ -17,29 +16,28 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Tuning; each row with its reason. */
-#define LINES_PER_S 100 /* of one event: requests end at 75 a second on one instance */
-#define BURST       300 /* the same at once: a failover, or a list that changes as a whole */
-#define BUFFER_MOST (256u << 10) /* bytes that wait for a slow reader */
-#define FLUSH_SIZE  4096         /* fewer system calls than a line each */
-#define FLUSH_EVERY (200 * FT_MS)
+#define LINES_PER_S    100 /* per event: one instance completes 75 requests a second */
+#define BURST          300 /* per event at once: a failover, or a list in which all servers change */
+#define BUFFER_MAX     (256u << 10) /* bytes kept for a slow reader */
+#define FLUSH_SIZE     4096         /* bytes; fewer system calls than one per line */
+#define FLUSH_INTERVAL (200 * FT_MS)
 
 static char node_name[64];
-static JlogLevel most_level = JLOG_INFO;
+static JlogLevel max_level = JLOG_INFO;
 static FtClock *log_clock;
 static GString *buffer;
-static GHashTable *allowances; /* event: Allowance */
+static GHashTable *buckets; /* event name: TokenBucket */
 static int64_t flush_at;
-static uint64_t written, dropped, dropped_told;
+static uint64_t written, dropped, dropped_logged;
 
 typedef struct
 {
-  double lines; /* that may follow at once */
+  double lines; /* that may be logged at once */
   int64_t at;
-} Allowance;
+} TokenBucket;
 
 void
-jlog_open (const char *node, const char *level, FtClock *clock)
+jlog_init (const char *node, const char *level, FtClock *clock)
 {
   static const char *const names[] = { "error", "warn", "info", "debug" };
   int flags = fcntl (STDOUT_FILENO, F_GETFL);
@@ -47,10 +45,10 @@
   g_strlcpy (node_name, node, sizeof node_name);
   for (unsigned i = 0; i < G_N_ELEMENTS (names); i++)
     if (strcmp (level, names[i]) == 0)
-      most_level = (JlogLevel) i;
+      max_level = (JlogLevel) i;
   log_clock = clock;
-  if (allowances == NULL)
-    allowances = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
+  if (buckets == NULL)
+    buckets = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
   if (buffer == NULL)
     buffer = g_string_sized_new (FLUSH_SIZE * 2);
   if (flags >= 0)
@@ -58,7 +56,7 @@
 }
 
 static void
-append_text (GString *out, const char *text)
+append_json_string (GString *out, const char *text)
 {
   g_string_append_c (out, '"');
   for (; *text; text++)
@@ -74,23 +72,22 @@
 }
 
 static bool
-allowed (const char *event)
+take_token (const char *event)
 {
   int64_t now = ft_clock_now (log_clock);
-  Allowance *allowance = g_hash_table_lookup (allowances, event);
+  TokenBucket *bucket = g_hash_table_lookup (buckets, event);
 
-  if (allowance == NULL)
+  if (bucket == NULL)
     {
-      allowance = g_new0 (Allowance, 1);
-      *allowance = (Allowance){ BURST, now };
-      g_hash_table_insert (allowances, (gpointer) event, allowance);
+      bucket = g_new0 (TokenBucket, 1);
+      *bucket = (TokenBucket){ BURST, now };
+      g_hash_table_insert (buckets, (gpointer) event, bucket);
     }
-  allowance->lines
-      = MIN (BURST, allowance->lines + (double) (now - allowance->at) / 1e6 * LINES_PER_S);
-  allowance->at = now;
-  if (allowance->lines < 1 || buffer->len >= BUFFER_MOST)
+  bucket->lines = MIN (BURST, bucket->lines + (double) (now - bucket->at) / 1e6 * LINES_PER_S);
+  bucket->at = now;
+  if (bucket->lines < 1 || buffer->len >= BUFFER_MAX)
     return false;
-  allowance->lines -= 1;
+  bucket->lines -= 1;
   return true;
 }
 
@@ -110,13 +107,13 @@
   if (request)
     {
       g_string_append (buffer, ",\"request\":");
-      append_text (buffer, request);
+      append_json_string (buffer, request);
     }
   for (; fields->name; fields++)
     {
       g_string_append_printf (buffer, ",\"%s\":", fields->name);
       if (fields->text)
-        append_text (buffer, fields->text);
+        append_json_string (buffer, fields->text);
       else
         g_string_append_printf (buffer, "%lld", (long long) fields->number);
     }
@@ -126,9 +123,9 @@
 void
 jlog_fields (JlogLevel level, const char *event, const char *request, const JlogField *fields)
 {
-  if (buffer == NULL || level > most_level)
+  if (buffer == NULL || level > max_level)
     return;
-  if (!allowed (event))
+  if (!take_token (event))
     {
       dropped++;
       return;
@@ -145,12 +142,12 @@
   int64_t now = ft_clock_now (log_clock);
   if (!all && buffer->len < FLUSH_SIZE && now < flush_at)
     return;
-  flush_at = now + FLUSH_EVERY;
-  if (dropped > dropped_told && buffer->len < BUFFER_MOST)
+  flush_at = now + FLUSH_INTERVAL;
+  if (dropped > dropped_logged && buffer->len < BUFFER_MAX)
     {
-      JlogField fields[] = { JL_INT ("lines", dropped - dropped_told), { NULL, NULL, 0 } };
+      JlogField fields[] = { JL_INT ("lines", dropped - dropped_logged), { NULL, NULL, 0 } };
       append_line (JLOG_WARN, "log-dropped", NULL, fields);
-      dropped_told = dropped;
+      dropped_logged = dropped;
     }
   if (buffer->len == 0)
     return;
@@ -158,7 +155,7 @@
   if (done > 0)
     g_string_erase (buffer, 0, done);
   else if (done < 0 && errno != EAGAIN && errno != EINTR)
-    g_string_truncate (buffer, 0); /* nobody reads any more */
+    g_string_truncate (buffer, 0); /* the reader has closed the pipe */
 }
 
 uint64_t
--- a/node/jlog.h
+++ b/node/jlog.h
@@ -1,4 +1,4 @@
-/* jlog.h - structured logs: one JSON object a line on standard output, bounded and never blocking.
+/* jlog.h - structured log: one JSON object per line on standard output, rate-limited, non-blocking.
  */
 #ifndef JLOG_H
 #define JLOG_H
@@ -16,7 +16,7 @@
 typedef struct
 {
   const char *name; /* NULL ends a list of fields */
-  const char *text; /* NULL: number counts */
+  const char *text; /* NULL: use number */
   int64_t number;
 } JlogField;
 
@@ -25,13 +25,14 @@
 /* Microseconds, written as milliseconds; the name should end in _ms. */
 #define JL_MS(name, value) ((JlogField){ name, NULL, (int64_t) (value) / 1000 })
 
-/* node: this instance's name, in each line. level: "error", "warn", "info" or "debug". */
-void jlog_open (const char *node, const char *level, FtClock *clock);
+/* node: this instance's name, written in each line. level: "error", "warn", "info" or "debug". */
+void jlog_init (const char *node, const char *level, FtClock *clock);
 /* event: a short constant name; request may be NULL. */
 void jlog_fields (JlogLevel level, const char *event, const char *request, const JlogField *fields);
 #define jlog(level, event, request, ...)                                                           \
   jlog_fields (level, event, request, (const JlogField[]){ __VA_ARGS__, { NULL, NULL, 0 } })
-/* Writes what is buffered as far as standard output takes it. Call once a turn; cheap. */
+/* Writes as much of the buffer as standard output accepts. Unless all is set, only when enough has
+ * collected or some time has passed. Cheap; call in each iteration of the loop. */
 void jlog_flush (bool all);
 /* Lines written and lines dropped so far. */
 uint64_t jlog_written (void);
--- a/node/main.c
+++ b/node/main.c
@@ -173,13 +173,13 @@
   process->loop = loop_new ();
   if (process->loop == NULL || !open_signals (process))
     return ft_error_set (error, FT_IO, 0, "", "%s", g_strerror (errno));
-  jlog_open (s->name, s->log_level, loop_clock (process->loop));
+  jlog_init (s->name, s->log_level, loop_clock (process->loop));
   jlog (JLOG_INFO, "start", NULL, JL_TEXT ("version", ft_version ()),
         JL_TEXT ("role", s->role_text), JL_TEXT ("ip", s->ip_text), JL_TEXT ("domain", s->domain),
         JL_INT ("first_start", s->first_start), JL_INT ("seeds", s->seeds->len),
         JL_INT ("pid", getpid ()));
   FtStatus status = (s->role == ROLE_ENTRY ? entry_new : control_new) (
-      s, platform_seam (), process->loop, &process->instance, error);
+      s, platform_adapter_ops (), process->loop, &process->instance, error);
   if (status == FT_OK && s->metrics_port)
     {
       process->metrics = hsrv_new (process->loop, metrics, &metrics_ops, process);
--- a/node/operators.c
+++ b/node/operators.c
@@ -10,7 +10,7 @@
 #include "content.h"
 #include "jlog.h"
 #include "rollcalls.h"
-#include "squeeze.h"
+#include "compress.h"
 
 #include <string.h>
 
@@ -32,7 +32,7 @@
 struct Operators
 {
   Loop *loop;
-  const Seam *seam;
+  const AdapterOps *adapter_ops;
   Voter *voter;
   Suspects *suspects;
   Rollouts *rollouts;
@@ -78,7 +78,7 @@
       return;
     }
   fields = g_string_new (NULL);
-  operators->seam->write_redirect (fields, to, hmsg_target (hcall_msg (call)));
+  operators->adapter_ops->write_redirect (fields, to, hmsg_target (hcall_msg (call)));
   reply_text (call, 307, fields, "{}\n", 3);
 }
 
@@ -97,7 +97,8 @@
   RtCat *cat = NULL;
   Change change = { 0 };
 
-  if (operators->seam->read_catalogue ((const char *) body->data, body->len, &cat, &error) != FT_OK)
+  if (operators->adapter_ops->read_catalogue ((const char *) body->data, body->len, &cat, &error)
+      != FT_OK)
     {
       jlog (JLOG_WARN, "change-invalid", NULL, JL_TEXT ("field", error.field),
             JL_TEXT ("why", error.text), JL_INT ("bytes", body->len));
@@ -111,16 +112,16 @@
       pass_on (operators, call);
       return;
     }
-  if (change.number <= voter_newest (operators->voter))
+  if (change.number <= voter_newest_number (operators->voter))
     {
       jlog (JLOG_INFO, "change-known", NULL, JL_INT ("version", change.number),
-            JL_INT ("newest", voter_newest (operators->voter)));
+            JL_INT ("newest", voter_newest_number (operators->voter)));
       reply_text (call, 200, g_string_new (NULL), "{}\n", 3);
       return;
     }
   change.call = call;
   change.until = loop_now (operators->loop) + CHANGE_MOST;
-  GBytes *packed = squeeze_pack (body->data, body->len);
+  GBytes *packed = compress_pack (body->data, body->len);
   if (packed == NULL)
     {
       reply_error (call, 503, "", "there is no memory for the change");
@@ -149,7 +150,7 @@
     }
   gsize size;
   const void *packed = g_bytes_get_data (document, &size);
-  GBytes *text = squeeze_unpack (packed, size);
+  GBytes *text = compress_unpack (packed, size);
   if (text)
     reply_text (call, 200, g_string_new (NULL), g_bytes_get_data (text, NULL),
                 g_bytes_get_size (text));
@@ -227,7 +228,7 @@
 take_rollout_call (Operators *operators, HCall *call)
 {
   const HMsg *msg = hcall_msg (call);
-  RollCall kind = rollcall_of (operators->seam, hmsg_method (msg), hmsg_target (msg));
+  RollCall kind = rollcall_of (operators->adapter_ops, hmsg_method (msg), hmsg_target (msg));
   Change change = { .call = call, .until = loop_now (operators->loop) + CHANGE_MOST };
 
   if (kind == ROLLCALL_NONE)
@@ -237,7 +238,7 @@
       pass_on (operators, call);
       return true;
     }
-  rollcall_answer (operators->seam, operators->rollouts, operators->cat, kind, msg,
+  rollcall_answer (operators->adapter_ops, operators->rollouts, operators->cat, kind, msg,
                    hcall_body (call), &change.rollout);
   change.ticket = change.rollout.ticket;
   if (change.rollout.status)
@@ -255,15 +256,15 @@
 
   if (take_suspects_call (operators, call) || take_rollout_call (operators, call))
     return;
-  switch (operators->seam->call (hmsg_method (msg), hmsg_target (msg)))
+  switch (operators->adapter_ops->call (hmsg_method (msg), hmsg_target (msg)))
     {
-    case SEAM_CALL_PUT:
+    case ADAPTER_CALL_PUT:
       put_catalogue (operators, call);
       break;
-    case SEAM_CALL_GET:
+    case ADAPTER_CALL_GET:
       get_catalogue (operators, call);
       break;
-    case SEAM_CALL_READY:
+    case ADAPTER_CALL_READY:
       hcall_reply (call, operators->leaving ? 503 : 200, NULL, "", 0);
       break;
     default:
@@ -295,7 +296,7 @@
 static const HSrvOps operator_ops = { on_operator, on_operator_gone, NULL };
 
 void
-operators_verdict (Operators *operators, uint64_t ticket, FtStatus status)
+operators_on_verdict (Operators *operators, uint64_t ticket, FtStatus status)
 {
   for (unsigned i = 0; i < operators->changes->len; i++)
     {
@@ -347,7 +348,7 @@
   HSrvLimits limits = { 65536, FT_TEXT_MOST, 10 * FT_SECOND, 30 * FT_SECOND };
 
   operators->loop = conf->loop;
-  operators->seam = conf->seam;
+  operators->adapter_ops = conf->adapter_ops;
   operators->voter = conf->voter;
   operators->suspects = conf->suspects;
   operators->rollouts = conf->rollouts;
@@ -377,19 +378,19 @@
 }
 
 void
-operators_catalogue (Operators *operators, const RtCat *cat)
+operators_set_catalogue (Operators *operators, const RtCat *cat)
 {
   operators->cat = cat;
 }
 
 void
-operators_leave (Operators *operators)
+operators_start_leaving (Operators *operators)
 {
   operators->leaving = true;
 }
 
 unsigned
-operators_open (const Operators *operators)
+operators_open_count (const Operators *operators)
 {
   return operators->changes->len;
 }
--- a/node/operators.h
+++ b/node/operators.h
@@ -4,7 +4,7 @@
 
 #include "hsrv.h"
 #include "rollouts.h"
-#include "seam.h"
+#include "adapter.h"
 #include "suspects.h"
 #include "voter.h"
 
@@ -14,7 +14,7 @@
 typedef struct
 {
   Loop *loop;
-  const Seam *seam;
+  const AdapterOps *adapter_ops;
   Voter *voter;
   Suspects *suspects;
   Rollouts *rollouts;
@@ -24,15 +24,15 @@
 /* NULL: the address cannot be bound, errno says why. */
 Operators *operators_new (const OperatorsConf *conf);
 /* The catalogue in force, borrowed until the next call. */
-void operators_catalogue (Operators *operators, const RtCat *cat);
+void operators_set_catalogue (Operators *operators, const RtCat *cat);
 void operators_free (Operators *operators);
 /* The end of a proposal, as VoterOps.verdict tells it. */
-void operators_verdict (Operators *operators, uint64_t ticket, FtStatus status);
+void operators_on_verdict (Operators *operators, uint64_t ticket, FtStatus status);
 /* Answers changes that wait for too long. Call every 20 ms or so. */
 void operators_tick (Operators *operators);
 /* From now on this voter accepts nothing itself. */
-void operators_leave (Operators *operators);
+void operators_start_leaving (Operators *operators);
 /* Changes that wait for their verdict. */
-unsigned operators_open (const Operators *operators);
+unsigned operators_open_count (const Operators *operators);
 
 #endif
--- a/node/publish.c
+++ b/node/publish.c
@@ -5,7 +5,7 @@
  * entries share the limits is counted here too, since it goes into the view.
  */
 #include "publish.h"
-#include "documents.h"
+#include "docver.h"
 
 #include <string.h>
 
@@ -57,7 +57,7 @@
   guint shown_deputies;
   uint32_t deputies[DEPUTIES];
   unsigned deputy_count;
-  Documents *documents;
+  DocumentVersions *documents;
   unsigned document_next; /* contact that is sent the newest document next, if it lacks it */
   unsigned list_next;     /* the same of a whole list, if it wants one */
 };
@@ -181,7 +181,7 @@
   view->term = status->term;
   view->leader = status->leader;
   view->proved = status->proved && !pub->leaving;
-  view->document = voter_newest (pub->voter);
+  view->document = voter_newest_number (pub->voter);
   view->voters.voters_len = status->count;
   view->voters.voters_val = status->voters;
   view->entries = steady_entries (pub);
@@ -243,7 +243,7 @@
 
   if (document == NULL)
     return false;
-  documents_take (pub->documents, *number, document, text);
+  docver_set_newest (pub->documents, *number, document, text);
   g_bytes_unref (document);
   if (text)
     g_bytes_unref (text);
@@ -262,7 +262,7 @@
   if (!take_document (pub, &number) || mesh_unsent (contact->peer) > UNSENT_SMALL
       || (contact->pushed == number && now - contact->pushed_at < PUSH_AGAIN))
     return 0;
-  GBytes *message = documents_message (pub->documents, held_by (contact, number));
+  GBytes *message = docver_message_for (pub->documents, held_by (contact, number));
   if (message && mesh_send_packed (contact->peer, message))
     sent = g_bytes_get_size (message);
   contact->pushed = number;
@@ -282,7 +282,7 @@
 static void
 send_documents (Publish *pub, int64_t now)
 {
-  uint64_t number = voter_newest (pub->voter);
+  uint64_t number = voter_newest_number (pub->voter);
   unsigned all = pub->contacts->len;
   size_t sent = 0;
 
@@ -340,7 +340,7 @@
 static void
 tick_contacts (Publish *pub, int64_t now)
 {
-  uint64_t number = voter_newest (pub->voter);
+  uint64_t number = voter_newest_number (pub->voter);
 
   note_view (pub);
   for (unsigned i = 0; i < pub->contacts->len; i++)
@@ -363,7 +363,7 @@
   pub->voter = voter;
   pub->servers = servers;
   pub->broker = broker;
-  pub->documents = documents_new ();
+  pub->documents = docver_new ();
   pub->contacts = g_ptr_array_new_with_free_func (g_free);
   pub->lost = g_hash_table_new (NULL, NULL);
   return pub;
@@ -374,7 +374,7 @@
 {
   if (pub == NULL)
     return;
-  documents_free (pub->documents);
+  docver_free (pub->documents);
   if (pub->view)
     g_bytes_unref (pub->view);
   g_hash_table_unref (pub->lost);
@@ -383,7 +383,7 @@
 }
 
 void
-publish_up (Publish *pub, MeshPeer *peer)
+publish_link_up (Publish *pub, MeshPeer *peer)
 {
   int64_t now = loop_now (pub->loop);
 
@@ -396,12 +396,12 @@
   g_ptr_array_add (pub->contacts, contact);
   send_view (pub, contact, now);
   send_list (pub, contact, now);
-  if (peer->role == MESH_ENTRY && peer->document < voter_newest (pub->voter))
+  if (peer->role == MESH_ENTRY && peer->document < voter_newest_number (pub->voter))
     send_document (pub, contact, now);
 }
 
 void
-publish_down (Publish *pub, MeshPeer *peer)
+publish_link_down (Publish *pub, MeshPeer *peer)
 {
   int64_t until = loop_now (pub->loop) + LOST_KEPT;
 
@@ -415,7 +415,7 @@
 }
 
 void
-publish_wants_list (MeshPeer *peer)
+publish_request_list (MeshPeer *peer)
 {
   Contact *contact = peer->user;
 
@@ -431,7 +431,7 @@
 }
 
 void
-publish_state (Publish *pub, bool leaving, bool reading)
+publish_set_state (Publish *pub, bool leaving, bool reading)
 {
   pub->leaving = leaving;
   pub->reading = reading;
@@ -473,7 +473,7 @@
 }
 
 unsigned
-publish_entries (const Publish *pub, unsigned *lost)
+publish_count_entries (const Publish *pub, unsigned *lost)
 {
   if (lost)
     *lost = g_hash_table_size (pub->lost);
--- a/node/reader.c
+++ b/node/reader.c
@@ -35,14 +35,14 @@
 {
   Loop *loop;
   HCli *cli;
-  const Seam *seam;
+  const AdapterOps *adapter_ops;
   SockAddr addr;
   ReaderDone done;
   void *host;
   HXfer *xfer;
   LoopTimer timeout, page_retry;
   char *page;      /* requested last; NULL: the first page */
-  GArray *servers; /* SeamServer */
+  GArray *servers; /* AdapterServer */
   GString *body;
   unsigned status, pages, last_pages; /* of this pass; of the last complete pass */
   unsigned invalid,
@@ -112,8 +112,8 @@
       return;
     }
   unsigned invalid = reader->invalid;
-  FtStatus status = reader->seam->read_list (reader->body->str, reader->body->len, reader->servers,
-                                             &next, &reader->invalid, &error);
+  FtStatus status = reader->adapter_ops->read_list (
+      reader->body->str, reader->body->len, reader->servers, &next, &reader->invalid, &error);
   if (reader->invalid > invalid)
     log_invalid (reader, error.text);
   if (status != FT_OK)
@@ -145,7 +145,7 @@
   GString *request = g_string_new (NULL);
 
   g_string_truncate (reader->body, 0);
-  reader->seam->write_list_request (request, reader->addr, reader->page);
+  reader->adapter_ops->write_list_request (request, reader->addr, reader->page);
   reader->xfer = hcli_send (reader->cli, &target, request, &ops, reader);
   g_string_free (request, TRUE);
   if (reader->xfer == NULL)
@@ -169,21 +169,22 @@
 }
 
 Reader *
-reader_new (Loop *loop, HCli *cli, const Seam *seam, SockAddr list, ReaderDone done, void *host)
+reader_new (Loop *loop, HCli *cli, const AdapterOps *adapter_ops, SockAddr list, ReaderDone done,
+            void *host)
 {
   Reader *reader = g_new0 (Reader, 1);
 
   reader->loop = loop;
   reader->cli = cli;
-  reader->seam = seam;
+  reader->adapter_ops = adapter_ops;
   reader->addr = list;
   reader->done = done;
   reader->host = host;
   reader->timeout.fire = on_timeout;
   reader->page_retry.fire = on_page_retry;
   reader->body = g_string_new (NULL);
-  reader->servers = g_array_new (FALSE, TRUE, sizeof (SeamServer));
-  g_array_set_clear_func (reader->servers, seam_server_clear);
+  reader->servers = g_array_new (FALSE, TRUE, sizeof (AdapterServer));
+  g_array_set_clear_func (reader->servers, adapter_server_clear);
   return reader;
 }
 
--- a/node/reader.h
+++ b/node/reader.h
@@ -3,17 +3,17 @@
 #define READER_H
 
 #include "hcli.h"
-#include "seam.h"
+#include "adapter.h"
 
 typedef struct Reader Reader;
 
-/* Called at the end of a pass. servers: SeamServer, borrowed; NULL: the list could not be read
+/* Called at the end of a pass. servers: AdapterServer, borrowed; NULL: the list could not be read
  * for the reason in why. asked_at: loop time at which the first page was requested; the list
  * shows the state of that time or later. */
 typedef void (*ReaderDone) (void *host, const GArray *servers, int64_t asked_at, const char *why);
 
-Reader *reader_new (Loop *loop, HCli *cli, const Seam *seam, SockAddr list, ReaderDone done,
-                    void *host);
+Reader *reader_new (Loop *loop, HCli *cli, const AdapterOps *adapter_ops, SockAddr list,
+                    ReaderDone done, void *host);
 void reader_free (Reader *reader);
 /* Starts a pass unless one is going on. */
 void reader_start (Reader *reader);
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -17,17 +17,17 @@
   if (!req->org->by_tokens)
     return 1;
   if (req->facts.has_tokens)
-    return req->facts.prompt_tokens + req->facts.output_most;
+    return req->facts.prompt_tokens + req->facts.output_max;
   return req->org->plain_tokens;
 }
 
 static unsigned
-expected_tokens (const SeamRequest *facts)
+expected_tokens (const AdapterRequest *facts)
 {
   unsigned guess
-      = facts->output_guess ? facts->output_guess : facts->output_most / OUTPUT_GUESS_DIVISOR;
+      = facts->output_estimate ? facts->output_estimate : facts->output_max / OUTPUT_GUESS_DIVISOR;
 
-  return facts->output_most ? MIN (guess, facts->output_most) : guess;
+  return facts->output_max ? MIN (guess, facts->output_max) : guess;
 }
 
 /* Names the servers to which this entry has idle connections, so that the scheduler can prefer
@@ -171,7 +171,7 @@
 static bool
 is_known_unusable (const Requests *requests, const char *id, int64_t listed_at)
 {
-  const SeamServer *held = servers_find (requests->conf.servers, id);
+  const AdapterServer *held = servers_find (requests->conf.servers, id);
 
   if (held)
     return held->leaving || versions_bar (requests->conf.versions, held->service, held->version);
@@ -198,7 +198,7 @@
 void
 requests_grant (Requests *requests, uint64_t number, const Grant *grant)
 {
-  const SeamServer *server = &grant->server;
+  const AdapterServer *server = &grant->server;
   Req *req = g_hash_table_lookup (requests->by_number, &number);
 
   if (req == NULL)
--- a/node/reqend.c
+++ b/node/reqend.c
@@ -56,8 +56,8 @@
         JL_MS ("sent_ms", req->sent_at ? req->sent_at - req->arrived : -1),
         JL_MS ("back_ms", req->waited_before),
         JL_INT ("tier", req->route ? rt_order (req->route, req->org) : 0),
-        JL_INT ("prompt", req->facts.prompt_tokens), JL_INT ("most", req->facts.output_most),
-        JL_INT ("guess", req->facts.output_guess), JL_MS ("pause_ms", req->longest_pause),
+        JL_INT ("prompt", req->facts.prompt_tokens), JL_INT ("most", req->facts.output_max),
+        JL_INT ("guess", req->facts.output_estimate), JL_MS ("pause_ms", req->longest_pause),
         JL_INT ("slowness", req->slowness), JL_INT ("kept", req->conn_idle > 0),
         JL_MS ("took_ms", req_now (req) - req->arrived),
         JL_MS ("left_ms", req->deadline - req_now (req)));
@@ -100,7 +100,7 @@
   count_inc (refused ? COUNT_REFUSED : COUNT_UNKNOWN);
   req_log_end (req, refused ? "refuse" : "fail", status, why);
   hwrite_field (fields, "Content-Type", "application/json");
-  req->requests->conf.seam->write_own (fields, *req->id ? req->id : NULL, retry_us);
+  req->requests->conf.adapter_ops->write_own_answer (fields, *req->id ? req->id : NULL, retry_us);
   hcall_reply (req->call, status, fields, body, strlen (body));
   g_string_free (fields, TRUE);
   g_free (body);
--- a/node/reqint.h
+++ b/node/reqint.h
@@ -21,8 +21,8 @@
   RtCat *cat;
   const RtRoute *route;
   const RtOrg *org;
-  SeamRequest facts;
-  char id[SEAM_ID_MOST];
+  AdapterRequest facts;
+  char id[ADAPTER_ID_MAX];
   uint64_t content; /* content_id of the request; 0: not computed yet */
   const char *service;
   int64_t arrived;
--- a/node/requests.c
+++ b/node/requests.c
@@ -147,7 +147,7 @@
   req->silence.fire = try_on_silence;
   req->verdict_wait.fire = req_on_verdict_wait_over;
   req->arrived = req->deadline = hcall_arrived (call);
-  requests->conf.seam->read_request (hcall_msg (call), &req->facts);
+  requests->conf.adapter_ops->read_request (hcall_msg (call), &req->facts);
   if (req->facts.id)
     g_strlcpy (req->id, req->facts.id, sizeof req->id);
   requests->open_count++;
@@ -200,18 +200,19 @@
   if (!resolve_route (req))
     return;
   req->content = content_of (req);
-  int64_t patience = req->facts.patience_us ? MIN (req->facts.patience_us, req->route->timeout_us)
-                                            : req->route->timeout_us;
+  int64_t patience = req->facts.caller_wait_us
+                         ? MIN (req->facts.caller_wait_us, req->route->timeout_us)
+                         : req->route->timeout_us;
   req->deadline = req->arrived + patience;
-  if (req->facts.patience_us)
+  if (req->facts.caller_wait_us)
     req->waited_before
-        = patience_record (requests->patience, req->route->name, req->facts.patience_us);
+        = patience_record (requests->patience, req->route->name, req->facts.caller_wait_us);
   req->first_deadline = req->deadline;
   if (req->route->kind == RT_STREAM)
     req->first_deadline
-        = MIN (req->deadline,
-               req->arrived
-                   + requests->conf.seam->first_patience (req->route->aim_us, req->route->gap_us));
+        = MIN (req->deadline, req->arrived
+                                  + requests->conf.adapter_ops->first_event_timeout (
+                                      req->route->aim_us, req->route->gap_us));
   req->service = rt_route_target (req->route, g_random_int ());
   budget_count_request (requests->conf.budget, req->service);
   loop_timer_set (requests->conf.loop, &req->deadline_timer, req->deadline);
@@ -225,8 +226,8 @@
 {
   int64_t wait = CATALOGUE_WAIT_MAX;
 
-  if (req->facts.patience_us)
-    wait = MIN (wait, req->facts.patience_us / CATALOGUE_WAIT_DIVISOR);
+  if (req->facts.caller_wait_us)
+    wait = MIN (wait, req->facts.caller_wait_us / CATALOGUE_WAIT_DIVISOR);
   g_ptr_array_add (req->requests->awaiting_catalogue, req);
   loop_timer_set (req->requests->conf.loop, &req->deadline_timer, req->arrived + wait);
 }
--- a/node/requests.h
+++ b/node/requests.h
@@ -16,7 +16,7 @@
 typedef struct
 {
   Loop *loop;
-  const Seam *seam;
+  const AdapterOps *adapter_ops;
   HCli *cli;
   Place *place;
   RetryBudget *budget;
--- a/node/rollcalls.c
+++ b/node/rollcalls.c
@@ -14,15 +14,15 @@
 #define NAME_MOST  100    /* bytes; as versions in the list of servers */
 
 RollCall
-rollcall_of (const Seam *seam, const char *method, const char *target)
+rollcall_of (const AdapterOps *adapter_ops, const char *method, const char *target)
 {
   bool one = g_str_has_prefix (target, OWN_PATH "/");
 
-  switch (seam->call (method, target))
+  switch (adapter_ops->call (method, target))
     {
-    case SEAM_CALL_ROLLOUT_START:
+    case ADAPTER_CALL_ROLLOUT_START:
       return ROLLCALL_START;
-    case SEAM_CALL_ROLLOUT_STATE:
+    case ADAPTER_CALL_ROLLOUT_STATE:
       return ROLLCALL_STATE;
     default:
       break;
@@ -58,7 +58,7 @@
 };
 
 static FtStatus
-read_own (const GByteArray *body, SeamRollout *out, FtError *error)
+read_own (const GByteArray *body, AdapterRollout *out, FtError *error)
 {
   char *text = g_strndup ((const char *) body->data, body->len);
   OwnOrder own = { 0 };
@@ -68,7 +68,8 @@
   if (status == FT_OK)
     status = ft_json_fields (doc, ft_json_root (doc), "", own_fields, NULL, &own, error);
   if (status == FT_OK)
-    *out = (SeamRollout){ g_strdup (own.service), g_strdup (own.target), own.limit_s * FT_SECOND };
+    *out = (AdapterRollout){ g_strdup (own.service), g_strdup (own.target),
+                             own.limit_s * FT_SECOND };
   ft_json_fields_clear (own_fields, &own);
   ft_json_free (doc);
   g_free (text);
@@ -76,7 +77,7 @@
 }
 
 static void
-take_order (Rollouts *rollouts, const RtCat *cat, const SeamRollout *order, RollReply *reply)
+take_order (Rollouts *rollouts, const RtCat *cat, const AdapterRollout *order, RollReply *reply)
 {
   if (cat == NULL)
     {
@@ -107,13 +108,14 @@
 }
 
 static void
-start (const Seam *seam, Rollouts *rollouts, const RtCat *cat, bool own, const GByteArray *body,
-       RollReply *reply)
+start (const AdapterOps *adapter_ops, Rollouts *rollouts, const RtCat *cat, bool own,
+       const GByteArray *body, RollReply *reply)
 {
-  SeamRollout order = { 0 };
+  AdapterRollout order = { 0 };
   FtError error = { 0 };
-  FtStatus status = own ? read_own (body, &order, &error)
-                        : seam->read_rollout ((const char *) body->data, body->len, &order, &error);
+  FtStatus status
+      = own ? read_own (body, &order, &error)
+            : adapter_ops->read_rollout ((const char *) body->data, body->len, &order, &error);
 
   if (status != FT_OK)
     {
@@ -123,7 +125,7 @@
       return;
     }
   take_order (rollouts, cat, &order, reply);
-  seam_rollout_clear (&order);
+  adapter_rollout_clear (&order);
 }
 
 void
@@ -138,17 +140,18 @@
 
 /* ---- Questions ---- */
 
-static SeamRolloutState
+static AdapterRolloutState
 state_of (const MsgRollout *rollout)
 {
   if (roll_is_active (rollout))
-    return SEAM_ROLLOUT_ACTIVE;
-  return rollout->phase == MSG_ROLLOUT_COMPLETED ? SEAM_ROLLOUT_COMPLETED
-                                                 : SEAM_ROLLOUT_ROLLED_BACK;
+    return ADAPTER_ROLLOUT_ACTIVE;
+  return rollout->phase == MSG_ROLLOUT_COMPLETED ? ADAPTER_ROLLOUT_COMPLETED
+                                                 : ADAPTER_ROLLOUT_ROLLED_BACK;
 }
 
 static void
-show (const Seam *seam, const Rollouts *rollouts, bool own, const char *service, RollReply *reply)
+show (const AdapterOps *adapter_ops, const Rollouts *rollouts, bool own, const char *service,
+      RollReply *reply)
 {
   const MsgRollout *rollout = rollouts_find (rollouts, service);
 
@@ -162,7 +165,7 @@
   if (own)
     rollouts_show (rollout, reply->body);
   else
-    seam->write_rollout (reply->body, state_of (rollout), rollout->target);
+    adapter_ops->write_rollout (reply->body, state_of (rollout), rollout->target);
 }
 
 static void
@@ -189,7 +192,7 @@
 }
 
 void
-rollcall_answer (const Seam *seam, Rollouts *rollouts, const RtCat *cat, RollCall kind,
+rollcall_answer (const AdapterOps *adapter_ops, Rollouts *rollouts, const RtCat *cat, RollCall kind,
                  const HMsg *msg, const GByteArray *body, RollReply *reply)
 {
   const char *target = hmsg_target (msg);
@@ -198,16 +201,16 @@
   *reply = (RollReply){ .field = "" };
   if (kind == ROLLCALL_START || kind == ROLLCALL_OWN_START)
     {
-      start (seam, rollouts, cat, kind == ROLLCALL_OWN_START, body, reply);
+      start (adapter_ops, rollouts, cat, kind == ROLLCALL_OWN_START, body, reply);
       return;
     }
-  service = kind == ROLLCALL_STATE ? seam->rollout_service (target) : own_service (target);
+  service = kind == ROLLCALL_STATE ? adapter_ops->rollout_service (target) : own_service (target);
   if (service == NULL)
     fail (reply, 400, "service", "its name cannot be read");
   else if (kind == ROLLCALL_OWN_ABORT)
     stop (rollouts, service, reply);
   else
-    show (seam, rollouts, kind == ROLLCALL_OWN_STATE, service, reply);
+    show (adapter_ops, rollouts, kind == ROLLCALL_OWN_STATE, service, reply);
   g_free (service);
 }
 
--- a/node/rollcalls.h
+++ b/node/rollcalls.h
@@ -15,7 +15,7 @@
   ROLLCALL_OWN_ABORT
 } RollCall;
 
-RollCall rollcall_of (const Seam *seam, const char *method, const char *target);
+RollCall rollcall_of (const AdapterOps *adapter_ops, const char *method, const char *target);
 
 /* What an operator is told. status 0: nothing yet; the verdict on ticket follows. */
 typedef struct
@@ -29,8 +29,8 @@
 } RollReply;
 
 /* Of the voter in charge. cat: in force; NULL: none. */
-void rollcall_answer (const Seam *seam, Rollouts *rollouts, const RtCat *cat, RollCall kind,
-                      const HMsg *msg, const GByteArray *body, RollReply *reply);
+void rollcall_answer (const AdapterOps *adapter_ops, Rollouts *rollouts, const RtCat *cat,
+                      RollCall kind, const HMsg *msg, const GByteArray *body, RollReply *reply);
 /* The verdict on the order's proposal is FT_OK: does the log name this order's target? */
 void rollcall_committed (const Rollouts *rollouts, RollReply *reply);
 void rollcall_clear (RollReply *reply);
--- a/node/rollead.c
+++ b/node/rollead.c
@@ -220,7 +220,7 @@
       return;
     }
   rollouts_each (rollouts, lead_one);
-  tell_all (rollouts->tell);
+  bcast_send_all (rollouts->tell);
 }
 
 void
--- a/node/rollint.h
+++ b/node/rollint.h
@@ -5,7 +5,7 @@
 
 #include "judge.h"
 #include "rollouts.h"
-#include "tell.h"
+#include "bcast.h"
 
 /* What this voter has seen of a roll-out's committed steps, in charge or not. */
 typedef struct
@@ -40,7 +40,7 @@
   GHashTable *seen;     /* service: Seen */
   GPtrArray *led;       /* Led */
   unsigned unheard;     /* entries lost lately */
-  Tell *tell;
+  Broadcast *tell;
   uint64_t told; /* digest of the phases that schedulers and entries have */
 };
 
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -202,9 +202,9 @@
     return;
   rollouts->told = digest;
   rollouts_each (rollouts, rollouts_apply);
-  tell_changed (rollouts->tell);
+  bcast_changed (rollouts->tell);
   if (rollouts_in_charge (rollouts))
-    tell_all (rollouts->tell);
+    bcast_send_all (rollouts->tell);
 }
 
 /* ---- Links ---- */
@@ -212,19 +212,19 @@
 void
 rollouts_up (Rollouts *rollouts, MeshPeer *peer)
 {
-  tell_up (rollouts->tell, peer, roll_index (rollouts->account) > 0);
+  bcast_link_up (rollouts->tell, peer, roll_index (rollouts->account) > 0);
 }
 
 void
 rollouts_down (Rollouts *rollouts, const MeshPeer *peer)
 {
-  tell_down (rollouts->tell, peer);
+  bcast_link_down (rollouts->tell, peer);
 }
 
 /* ---- Operators ---- */
 
 RollOrder
-rollouts_order (Rollouts *rollouts, const SeamRollout *order, uint64_t *ticket)
+rollouts_order (Rollouts *rollouts, const AdapterRollout *order, uint64_t *ticket)
 {
   const MsgRollout *known = rollouts_find (rollouts, order->service);
   bool lately = rollouts_elapsed (rollouts, order->service) < rollouts->conf.repeat_us;
@@ -319,7 +319,7 @@
   rollouts->account = roll_new ();
   rollouts->seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   rollouts->led = g_ptr_array_new_with_free_func (rollead_free);
-  rollouts->tell = tell_new (pack_for_entries, rollouts);
+  rollouts->tell = bcast_new (pack_for_entries, rollouts);
   broker_set_judged_callback (broker, rollead_judged, rollouts);
   return rollouts;
 }
@@ -329,7 +329,7 @@
 {
   if (rollouts == NULL)
     return;
-  tell_free (rollouts->tell);
+  bcast_free (rollouts->tell);
   g_ptr_array_unref (rollouts->led);
   g_hash_table_unref (rollouts->seen);
   roll_free (rollouts->account);
--- a/node/rollouts.h
+++ b/node/rollouts.h
@@ -31,7 +31,7 @@
 /* ---- Operators; of the voter in charge ---- */
 
 /* ROLL_NEW: the order is proposed, and *ticket is the voter's, with which the verdict follows. */
-RollOrder rollouts_order (Rollouts *rollouts, const SeamRollout *order, uint64_t *ticket);
+RollOrder rollouts_order (Rollouts *rollouts, const AdapterRollout *order, uint64_t *ticket);
 /* Rolls back what is under way. A ticket as above; 0: nothing is. */
 uint64_t rollouts_abort (Rollouts *rollouts, const char *service);
 /* Borrowed; NULL: none was ever ordered. */
--- a/node/servers.c
+++ b/node/servers.c
@@ -9,7 +9,7 @@
  */
 #include "serversint.h"
 #include "codec.h"
-#include "squeeze.h"
+#include "compress.h"
 
 #include <string.h>
 
@@ -35,8 +35,8 @@
 {
   Servers *servers = g_new0 (Servers, 1);
 
-  servers->list = g_array_new (FALSE, TRUE, sizeof (SeamServer));
-  g_array_set_clear_func (servers->list, seam_server_clear);
+  servers->list = g_array_new (FALSE, TRUE, sizeof (AdapterServer));
+  g_array_set_clear_func (servers->list, adapter_server_clear);
   servers->by_id = g_hash_table_new (g_str_hash, g_str_equal);
   servers->messages = g_hash_table_new_full (NULL, NULL, NULL, (GDestroyNotify) g_bytes_unref);
   servers->changed_in = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -69,7 +69,7 @@
 /* The sum of these does not depend on the order, so that a list that was updated by changes has
  * the digest of the same list sent whole. */
 static guint
-server_digest (const SeamServer *server)
+server_digest (const AdapterServer *server)
 {
   guint hash = g_str_hash (server->id) * 31 + g_str_hash (server->service);
 
@@ -85,16 +85,16 @@
   servers->digest = SERVERS_HELD_NONE;
   for (unsigned i = 0; i < servers->list->len; i++)
     {
-      const SeamServer *server = &g_array_index (servers->list, SeamServer, i);
+      const AdapterServer *server = &g_array_index (servers->list, AdapterServer, i);
       g_hash_table_insert (servers->by_id, server->id, GUINT_TO_POINTER (i + 1));
       servers->digest += server_digest (server);
     }
 }
 
-static SeamServer
-copy_server (const SeamServer *from)
+static AdapterServer
+copy_server (const AdapterServer *from)
 {
-  SeamServer out = *from;
+  AdapterServer out = *from;
 
   out.id = g_strdup (from->id);
   out.name = g_strdup (from->name);
@@ -152,15 +152,15 @@
   begin_step (servers);
   for (unsigned i = 0; i < servers->list->len; i++)
     {
-      const SeamServer *server = &g_array_index (servers->list, SeamServer, i);
+      const AdapterServer *server = &g_array_index (servers->list, AdapterServer, i);
       unsigned at = GPOINTER_TO_UINT (g_hash_table_lookup (old_by_id, server->id));
       if (at == 0
-          || server_digest (server) != server_digest (&g_array_index (old, SeamServer, at - 1)))
+          || server_digest (server) != server_digest (&g_array_index (old, AdapterServer, at - 1)))
         record_changed (servers, server->id);
     }
   for (unsigned i = 0; i < old->len; i++)
     {
-      const char *id = g_array_index (old, SeamServer, i).id;
+      const char *id = g_array_index (old, AdapterServer, i).id;
       if (servers_find (servers, id) == NULL)
         record_removed (servers, id);
     }
@@ -188,9 +188,9 @@
 static GArray *
 new_list (void)
 {
-  GArray *list = g_array_new (FALSE, TRUE, sizeof (SeamServer));
+  GArray *list = g_array_new (FALSE, TRUE, sizeof (AdapterServer));
 
-  g_array_set_clear_func (list, seam_server_clear);
+  g_array_set_clear_func (list, adapter_server_clear);
   return list;
 }
 
@@ -200,9 +200,9 @@
  * later start counts, whichever was heard last, and of two records of one lifetime the one that
  * shows it leaving. */
 static void
-keep_newest_lifetime (GHashTable *newest, const SeamServer *server)
+keep_newest_lifetime (GHashTable *newest, const AdapterServer *server)
 {
-  const SeamServer *known = g_hash_table_lookup (newest, server->name);
+  const AdapterServer *known = g_hash_table_lookup (newest, server->name);
 
   if (known == NULL || server->born_ms > known->born_ms
       || (server->born_ms == known->born_ms && server->leaving && !known->leaving))
@@ -220,20 +220,20 @@
   added = g_hash_table_new (g_str_hash, g_str_equal);
   GArray *list = new_list ();
   for (unsigned i = 0; i < from->len; i++)
-    keep_newest_lifetime (newest, &g_array_index (from, SeamServer, i));
+    keep_newest_lifetime (newest, &g_array_index (from, AdapterServer, i));
   for (unsigned i = 0; i < servers->list->len; i++)
     {
-      const SeamServer *held = &g_array_index (servers->list, SeamServer, i);
-      const SeamServer *listed = g_hash_table_lookup (newest, held->name);
+      const AdapterServer *held = &g_array_index (servers->list, AdapterServer, i);
+      const AdapterServer *listed = g_hash_table_lookup (newest, held->name);
       if (listed && listed->born_ms < held->born_ms)
         keep_newest_lifetime (newest, held);
     }
   for (unsigned i = 0; i < from->len; i++)
     {
-      const char *name = g_array_index (from, SeamServer, i).name;
+      const char *name = g_array_index (from, AdapterServer, i).name;
       if (!g_hash_table_add (added, (gpointer) name))
         continue;
-      SeamServer server = copy_server (g_hash_table_lookup (newest, name));
+      AdapterServer server = copy_server (g_hash_table_lookup (newest, name));
       g_array_append_val (list, server);
     }
   replace_list (servers, list, asked_at);
@@ -242,34 +242,34 @@
   return true;
 }
 
-static SeamServer
+static AdapterServer
 from_message (const MeshServer *from)
 {
-  return (SeamServer){ .id = g_strdup (from->id),
-                       .name = g_strdup (from->name),
-                       .born_ms = from->born_ms,
-                       .service = g_strdup (from->service),
-                       .domain = g_strdup (from->domain),
-                       .version = g_strdup (from->software),
-                       .addr = { from->ip, (uint16_t) from->port },
-                       .slots = from->slots,
-                       .leaving = from->state == MESH_SERVER_LEAVING,
-                       .cold_us = from->cold_ms * FT_MS };
+  return (AdapterServer){ .id = g_strdup (from->id),
+                          .name = g_strdup (from->name),
+                          .born_ms = from->born_ms,
+                          .service = g_strdup (from->service),
+                          .domain = g_strdup (from->domain),
+                          .version = g_strdup (from->software),
+                          .addr = { from->ip, (uint16_t) from->port },
+                          .slots = from->slots,
+                          .leaving = from->state == MESH_SERVER_LEAVING,
+                          .cold_us = from->cold_ms * FT_MS };
 }
 
 /* ---- Changes ---- */
 
 static void
-put_server (Servers *servers, SeamServer server)
+put_server (Servers *servers, AdapterServer server)
 {
   unsigned at = GPOINTER_TO_UINT (g_hash_table_lookup (servers->by_id, server.id));
 
   if (at)
     {
-      SeamServer *held = &g_array_index (servers->list, SeamServer, at - 1);
+      AdapterServer *held = &g_array_index (servers->list, AdapterServer, at - 1);
       servers->digest -= server_digest (held);
       g_hash_table_remove (servers->by_id, held->id); /* its key is held->id */
-      seam_server_clear (held);
+      adapter_server_clear (held);
       *held = server;
     }
   else
@@ -289,13 +289,13 @@
 
   if (at == 0)
     return;
-  servers->digest -= server_digest (&g_array_index (servers->list, SeamServer, at - 1));
+  servers->digest -= server_digest (&g_array_index (servers->list, AdapterServer, at - 1));
   g_hash_table_remove (servers->by_id, id);
   record_removed (servers, id);
   g_array_remove_index_fast (servers->list, at - 1);
   if (at > servers->list->len)
     return;
-  const SeamServer *moved = &g_array_index (servers->list, SeamServer, at - 1);
+  const AdapterServer *moved = &g_array_index (servers->list, AdapterServer, at - 1);
   g_hash_table_replace (servers->by_id, moved->id, GUINT_TO_POINTER (at));
 }
 
@@ -319,7 +319,7 @@
 
   for (unsigned i = 0; i < from->servers.servers_len; i++)
     {
-      SeamServer server = from_message (&from->servers.servers_val[i]);
+      AdapterServer server = from_message (&from->servers.servers_val[i]);
       g_array_append_val (list, server);
     }
   replace_list (servers, list, asked_at);
@@ -353,7 +353,7 @@
 ServersResult
 servers_apply_packed (Servers *servers, const MeshPackedList *packed, int64_t now)
 {
-  GBytes *bytes = squeeze_unpack (packed->list.list_val, packed->list.list_len);
+  GBytes *bytes = compress_unpack (packed->list.list_val, packed->list.list_len);
   ServersResult result = SERVERS_UNKNOWN_BASE;
   MeshList list = { 0 };
   gsize size = 0;
@@ -390,12 +390,12 @@
   return servers->asked_at;
 }
 
-const SeamServer *
+const AdapterServer *
 servers_find (const Servers *servers, const char *id)
 {
   unsigned at = GPOINTER_TO_UINT (g_hash_table_lookup (servers->by_id, id));
 
-  return at ? &g_array_index (servers->list, SeamServer, at - 1) : NULL;
+  return at ? &g_array_index (servers->list, AdapterServer, at - 1) : NULL;
 }
 
 unsigned
@@ -411,7 +411,7 @@
 
   for (unsigned i = 0; i < servers->list->len; i++)
     {
-      const SeamServer *from = &g_array_index (servers->list, SeamServer, i);
+      const AdapterServer *from = &g_array_index (servers->list, AdapterServer, i);
       list[i] = (SchedServer){ from->id,      from->service, from->domain, from->slots,
                                from->leaving, from->cold_us, from->version };
     }
--- a/node/servers.h
+++ b/node/servers.h
@@ -5,7 +5,7 @@
 
 #include "mesh.h"
 #include "scheduler.h"
-#include "seam.h"
+#include "adapter.h"
 
 typedef struct Servers Servers;
 
@@ -33,7 +33,7 @@
 /* When the held list was requested from the platform; 0: none is held yet. */
 int64_t servers_asked_at (const Servers *servers);
 /* NULL: not on the list. */
-const SeamServer *servers_find (const Servers *servers, const char *id);
+const AdapterServer *servers_find (const Servers *servers, const char *id);
 unsigned servers_count (const Servers *servers);
 /* Passes the list to a scheduler. */
 void servers_give_to (const Servers *servers, Sched *sched);
--- a/node/serversint.h
+++ b/node/serversint.h
@@ -16,7 +16,7 @@
 
 struct Servers
 {
-  GArray *list;      /* SeamServer */
+  GArray *list;      /* AdapterServer */
   GHashTable *by_id; /* id -> index + 1 */
   int64_t asked_at, requested_at;
   guint digest, polled_digest;
--- a/node/serversmsg.c
+++ b/node/serversmsg.c
@@ -2,7 +2,7 @@
  * the peer holds, the whole list compressed, or only its digest. */
 #include "serversint.h"
 #include "codec.h"
-#include "squeeze.h"
+#include "compress.h"
 
 #include <string.h>
 
@@ -10,7 +10,7 @@
   16 /* most changes that are sent uncompressed; more of them compress to a fifth */
 
 static MeshServer
-to_message (const SeamServer *from)
+to_message (const AdapterServer *from)
 {
   static char none[] = "";
 
@@ -48,7 +48,7 @@
   msg->servers.servers_val = g_new0 (MeshServer, servers->list->len + 1);
   for (unsigned i = 0; i < servers->list->len; i++)
     {
-      const SeamServer *server = &g_array_index (servers->list, SeamServer, i);
+      const AdapterServer *server = &g_array_index (servers->list, AdapterServer, i);
       gpointer changed_in = g_hash_table_lookup (servers->changed_in, server->id);
       if (GPOINTER_TO_UINT (changed_in) > since)
         msg->servers.servers_val[count++] = to_message (server);
@@ -87,7 +87,7 @@
   msg->servers.servers_len = MIN (servers->list->len, MESH_SERVERS_MOST);
   msg->servers.servers_val = g_new0 (MeshServer, servers->list->len + 1);
   for (unsigned i = 0; i < msg->servers.servers_len; i++)
-    msg->servers.servers_val[i] = to_message (&g_array_index (servers->list, SeamServer, i));
+    msg->servers.servers_val[i] = to_message (&g_array_index (servers->list, AdapterServer, i));
 }
 
 static GBytes *
@@ -97,7 +97,7 @@
 
   if (plain == NULL)
     return NULL;
-  GBytes *out = squeeze_pack (plain->data, plain->len);
+  GBytes *out = compress_pack (plain->data, plain->len);
   g_byte_array_unref (plain);
   return out;
 }
--- a/node/settings.c
+++ b/node/settings.c
@@ -1,4 +1,4 @@
-/* settings.c - one table says what there is, checks it and prints the help. */
+/* settings.c - one table defines all settings; it drives the validation and the help text. */
 #include "settings.h"
 
 #include <stdio.h>
@@ -18,7 +18,7 @@
   { "callers", FT_FIELD_STRING, false, 0, 21, "", AT (callers_text),
     "address for callers, IP:PORT; needed by an entry" },
   { "ready", FT_FIELD_STRING, false, 0, 21, "", AT (ready_text),
-    "address for the balancer's question, IP:PORT; needed by an entry" },
+    "address for the load balancer's readiness check, IP:PORT; needed by an entry" },
   { "control", FT_FIELD_STRING, false, 0, 21, "", AT (control_text),
     "address for operators, IP:PORT; needed by a voter" },
   { "list", FT_FIELD_STRING, true, 9, 21, NULL, AT (list_text),
@@ -30,45 +30,46 @@
   { "link_port", FT_FIELD_INTEGER, true, 1, 65535, NULL, AT (link_port),
     "port for other instances, the same on all" },
   { "link_listen_port", FT_FIELD_INTEGER, false, 0, 65535, "0", AT (link_listen_port),
-    "port to listen on for other instances when something forwards link_port to it; 0: link_port" },
+    "port to listen on for other instances if link_port is forwarded to it; 0: link_port" },
   { "metrics_port", FT_FIELD_INTEGER, false, 0, 65535, "0", AT (metrics_port),
     "port for metrics; 0: none" },
   { "first_start", FT_FIELD_BOOL, false, 0, 0, "false", AT (first_start),
-    "the whole deployment starts for the first time: the seeds may form the first set of voters" },
-  { "losses", FT_FIELD_WHOLE, false, 0, 3, "1", AT (losses), "voters that may be lost at once" },
+    "first start of the whole deployment: the seeds may form the first set of voters" },
+  { "losses", FT_FIELD_WHOLE, false, 0, 3, "1", AT (losses),
+    "voters that may fail at the same time" },
   { "list_rate", FT_FIELD_STRING, false, 0, 20, "10", AT (list_rate_text),
-    "calls a second that the list takes from all instances together" },
+    "calls per second to the list that are allowed to all instances together" },
   { "drain_ms", FT_FIELD_WHOLE, false, 100, 3600000, "3000", AT (drain_ms),
-    "a server that the list shows as leaving gets nothing new after so long, milliseconds" },
+    "time after which a server that the list shows as leaving gets no new requests, ms" },
   { "grace_s", FT_FIELD_WHOLE, false, 1, 86400, "8", AT (grace_s),
-    "a process is killed so long after it was asked to end, seconds" },
+    "time from the request to stop a process until it is killed, seconds" },
   { "budget_ratio", FT_FIELD_STRING, false, 0, 20, "0.2", AT (budget_ratio_text),
-    "repeats allowed, as a part of a service's requests" },
+    "retries allowed, as a share of a service's requests" },
   { "budget_slack", FT_FIELD_WHOLE, false, 0, 1000000, "20", AT (budget_slack),
-    "repeats allowed beside, over all instances" },
+    "retries allowed in addition, over all instances" },
   { "budget_window_s", FT_FIELD_WHOLE, false, 1, 3600, "10", AT (budget_window_s),
-    "span over which repeats are counted, seconds" },
+    "window over which retries are counted, seconds" },
   { "limit_window_s", FT_FIELD_WHOLE, false, 0, 3600, "0", AT (limit_window_s),
-    "span in which organisations' limits are judged, seconds; 0: no margin is known" },
+    "window in which organisations' limits are checked, seconds; 0: no margin is known" },
   { "limit_overage", FT_FIELD_STRING, false, 0, 20, "0", AT (limit_overage_text),
-    "margin of the limits in that span, as a part of them" },
+    "allowed excess over the limits in that window, as a share of them" },
   { "limit_slack", FT_FIELD_WHOLE, false, 0, G_GINT64_CONSTANT (1000000000000), "0",
-    AT (limit_slack), "margin of the limits beside, in their unit" },
+    AT (limit_slack), "allowed excess in addition, in the unit of the limits" },
   { "rollout_share", FT_FIELD_STRING, false, 0, 20, "0.1", AT (rollout_share_text),
-    "part of a service's requests that a bad version may get while it is tried" },
+    "share of a service's requests that a bad version may get during a roll-out" },
   { "rollout_slack", FT_FIELD_WHOLE, false, 0, 1000000, "20", AT (rollout_slack),
-    "requests that it may get beside" },
+    "requests that it may get in addition" },
   { "order_repeat_ms", FT_FIELD_WHOLE, false, 100, 3600000, "5000", AT (order_repeat_ms),
-    "the same order to move to a version, within so long, is the first one sent again" },
+    "an identical roll-out order within this time counts as a retry of the first, ms" },
   { "handover_wait_ms", FT_FIELD_WHOLE, false, 0, 5000, "0", AT (handover_wait_ms),
-    "a scheduler that takes over waits so long at most for what entries know, milliseconds; 0: it "
-    "does not" },
+    "how long a new scheduler waits at most for the entries' reports, milliseconds; 0: it does "
+    "not wait" },
   { "return_part", FT_FIELD_STRING, false, 0, 20, "0", AT (return_part_text),
-    "part of limits, 0 to 1, that may be promised to refused callers that come again; 0: none" },
+    "share of limits, 0 to 1, that may be reserved for refused callers that retry; 0: none" },
   { "return_place_part", FT_FIELD_STRING, false, 0, 20, "0", AT (return_place_part_text),
-    "part of places, 0 to 1, that may be promised to them; 0: none" },
+    "share of places, 0 to 1, that may be reserved for them; 0: none" },
   { "fair_shares", FT_FIELD_BOOL, false, 0, 0, "false", AT (fair_shares),
-    "places that are short go to organisations by shares of their limits" },
+    "when places are short, share them out in proportion to organisations' limits" },
   { 0 },
 };
 
@@ -98,38 +99,38 @@
 }
 
 static FtStatus
-address (const char *field, const char *text, bool needed, SockAddr *out, FtError *error)
+parse_address (const char *field, const char *text, bool needed, SockAddr *out, FtError *error)
 {
   if (*text == '\0' && !needed)
     return FT_OK;
   if (sock_addr_parse (text, out))
     return FT_OK;
-  return ft_error_set (error, FT_INVALID, 0, field, "\"%s\" is not IP:PORT", text);
+  return ft_error_set (error, FT_INVALID, 0, field, "\"%s\" is not of the form IP:PORT", text);
 }
 
 static FtStatus
-real (const char *field, const char *text, double *out, FtError *error)
+parse_number (const char *field, const char *text, double *out, FtError *error)
 {
   char *end;
 
   *out = g_ascii_strtod (text, &end);
   if (end != text && *end == '\0' && *out >= 0)
     return FT_OK;
-  return ft_error_set (error, FT_INVALID, 0, field, "\"%s\" is not a number from 0", text);
+  return ft_error_set (error, FT_INVALID, 0, field, "\"%s\" is not a number of at least 0", text);
 }
 
 static FtStatus
-part (const char *field, const char *text, double *out, FtError *error)
+parse_share (const char *field, const char *text, double *out, FtError *error)
 {
-  FtStatus status = real (field, text, out, error);
+  FtStatus status = parse_number (field, text, out, error);
 
   if (status == FT_OK && *out > 1)
-    return ft_error_set (error, FT_INVALID, 0, field, "\"%s\" is more than 1", text);
+    return ft_error_set (error, FT_INVALID, 0, field, "\"%s\" is greater than 1", text);
   return status;
 }
 
 static FtStatus
-work_out (Settings *s, FtError *error)
+parse_values (Settings *s, FtError *error)
 {
   SockAddr self;
   char *with_port = g_strconcat (s->ip_text, ":0", NULL);
@@ -137,7 +138,7 @@
 
   g_free (with_port);
   if (!ip)
-    return ft_error_set (error, FT_INVALID, 0, "ip", "\"%s\" is not an IPv4 number", s->ip_text);
+    return ft_error_set (error, FT_INVALID, 0, "ip", "\"%s\" is not an IPv4 address", s->ip_text);
   s->ip = self.ip;
   if (strcmp (s->role_text, "entry") == 0)
     s->role = ROLE_ENTRY;
@@ -146,26 +147,26 @@
   else
     return ft_error_set (error, FT_INVALID, 0, "role", "must be entry or voter");
   if (s->role == ROLE_VOTER && *s->data_folder == '\0')
-    return ft_error_set (error, FT_INVALID, 0, "data_folder", "a voter needs one");
+    return ft_error_set (error, FT_INVALID, 0, "data_folder", "required for a voter");
   s->seeds = g_array_new (FALSE, FALSE, sizeof (SockAddr));
   for (unsigned i = 0; i < s->seed_texts->len; i++)
     {
       SockAddr seed;
-      if (address ("seeds", s->seed_texts->pdata[i], true, &seed, error) != FT_OK)
+      if (parse_address ("seeds", s->seed_texts->pdata[i], true, &seed, error) != FT_OK)
         return FT_INVALID;
       g_array_append_val (s->seeds, seed);
     }
   bool entry = s->role == ROLE_ENTRY;
-  if (address ("callers", s->callers_text, entry, &s->callers, error) != FT_OK
-      || address ("ready", s->ready_text, entry, &s->ready, error) != FT_OK
-      || address ("control", s->control_text, !entry, &s->control, error) != FT_OK
-      || address ("list", s->list_text, true, &s->list, error) != FT_OK
-      || real ("list_rate", s->list_rate_text, &s->list_rate, error) != FT_OK
-      || real ("limit_overage", s->limit_overage_text, &s->limit_overage, error) != FT_OK
-      || real ("rollout_share", s->rollout_share_text, &s->rollout_share, error) != FT_OK
-      || real ("budget_ratio", s->budget_ratio_text, &s->budget_ratio, error) != FT_OK
-      || part ("return_part", s->return_part_text, &s->return_part, error) != FT_OK
-      || part ("return_place_part", s->return_place_part_text, &s->return_place_part, error)
+  if (parse_address ("callers", s->callers_text, entry, &s->callers, error) != FT_OK
+      || parse_address ("ready", s->ready_text, entry, &s->ready, error) != FT_OK
+      || parse_address ("control", s->control_text, !entry, &s->control, error) != FT_OK
+      || parse_address ("list", s->list_text, true, &s->list, error) != FT_OK
+      || parse_number ("list_rate", s->list_rate_text, &s->list_rate, error) != FT_OK
+      || parse_number ("limit_overage", s->limit_overage_text, &s->limit_overage, error) != FT_OK
+      || parse_number ("rollout_share", s->rollout_share_text, &s->rollout_share, error) != FT_OK
+      || parse_number ("budget_ratio", s->budget_ratio_text, &s->budget_ratio, error) != FT_OK
+      || parse_share ("return_part", s->return_part_text, &s->return_part, error) != FT_OK
+      || parse_share ("return_place_part", s->return_place_part_text, &s->return_place_part, error)
              != FT_OK)
     return FT_INVALID;
   return FT_OK;
@@ -182,7 +183,7 @@
   if (status == FT_OK)
     status = ft_json_fields (doc, ft_json_root (doc), "", fields, NULL, settings, error);
   if (status == FT_OK)
-    status = work_out (settings, error);
+    status = parse_values (settings, error);
   if (status == FT_OK)
     *out = settings;
   else
--- a/node/settings.h
+++ b/node/settings.h
@@ -1,4 +1,4 @@
-/* settings.h - settings of an instance whose members are found, not configured. */
+/* settings.h - settings of an instance; the other members of the deployment are discovered. */
 #ifndef SETTINGS_H
 #define SETTINGS_H
 
@@ -23,7 +23,7 @@
   bool fair_shares;
   char *list_rate_text, *budget_ratio_text, *limit_overage_text, *rollout_share_text;
   char *return_part_text, *return_place_part_text;
-  /* Worked out from the texts above. */
+  /* Parsed from the texts above. */
   SettingsRole role;
   uint32_t ip;
   SockAddr callers, ready, control, list;
@@ -31,7 +31,7 @@
   double list_rate, budget_ratio, limit_overage, rollout_share, return_part, return_place_part;
 } Settings;
 
-/* Reads and checks a settings file (JSON with comments). Errors name line and field. */
+/* Reads and validates a settings file (JSON with comments). Errors name line and field. */
 FtStatus settings_read (const char *path, Settings **out, FtError *error);
 FtStatus settings_parse (const char *text, Settings **out, FtError *error);
 void settings_free (Settings *settings);
--- a/node/suspects.c
+++ b/node/suspects.c
@@ -12,7 +12,7 @@
 #include "count.h"
 #include "jlog.h"
 #include "quarantine.h"
-#include "tell.h"
+#include "bcast.h"
 
 #include <string.h>
 
@@ -35,7 +35,7 @@
   Loop *loop;
   Voter *voter;
   Blame *account; /* as committed */
-  Tell *tell;
+  Broadcast *tell;
   GPtrArray *proposals;
   GBytes *packed; /* the account's message, but for its index */
 };
@@ -101,7 +101,7 @@
 
   if (changed)
     {
-      tell_changed (suspects->tell);
+      bcast_changed (suspects->tell);
       suspects->packed = plain;
       plain = before;
     }
@@ -121,7 +121,7 @@
 tell_entries (Suspects *suspects)
 {
   if (in_charge (suspects))
-    tell_all (suspects->tell);
+    bcast_send_all (suspects->tell);
 }
 
 /* ---- What the log says ---- */
@@ -164,7 +164,7 @@
 void
 suspects_committed (Suspects *suspects)
 {
-  GBytes *bytes = voter_blame (suspects->voter);
+  GBytes *bytes = voter_crash_table (suspects->voter);
   MsgBlame captured = { 0 };
   Blame *account;
   gsize size;
@@ -207,7 +207,7 @@
   MeshMsg msg = { .kind = MESH_ENDED_KNOWN };
 
   msg.MeshMsg_u.known.number = number;
-  MeshPeer *peer = tell_find (suspects->tell, asker);
+  MeshPeer *peer = bcast_find (suspects->tell, asker);
   if (peer)
     mesh_send (peer, &msg);
 }
@@ -354,13 +354,13 @@
 void
 suspects_up (Suspects *suspects, MeshPeer *peer)
 {
-  tell_up (suspects->tell, peer, blame_index (suspects->account) > 0);
+  bcast_link_up (suspects->tell, peer, blame_index (suspects->account) > 0);
 }
 
 void
 suspects_down (Suspects *suspects, const MeshPeer *peer)
 {
-  tell_down (suspects->tell, peer);
+  bcast_link_down (suspects->tell, peer);
 }
 
 void
@@ -415,7 +415,7 @@
   suspects->loop = loop;
   suspects->voter = voter;
   suspects->account = blame_new ();
-  suspects->tell = tell_new (pack_newest, suspects);
+  suspects->tell = bcast_new (pack_newest, suspects);
   suspects->proposals = g_ptr_array_new_with_free_func (proposal_free);
   note_account (suspects);
   return suspects;
@@ -426,7 +426,7 @@
 {
   if (suspects == NULL)
     return;
-  tell_free (suspects->tell);
+  bcast_free (suspects->tell);
   g_ptr_array_unref (suspects->proposals);
   g_bytes_unref (suspects->packed);
   blame_free (suspects->account);
--- a/node/try.c
+++ b/node/try.c
@@ -31,7 +31,7 @@
 
 /* True unless the answer names another request. */
 static bool
-matches_request (const Req *req, const SeamAnswer *answer)
+matches_request (const Req *req, const AdapterAnswer *answer)
 {
   return answer->id == NULL || strcmp (answer->id, req->id) == 0;
 }
@@ -66,7 +66,7 @@
 /* Takes the server's notice about itself, if the answer comes from that server and belongs to this
  * request. A value that cannot be parsed leaves the earlier notice in force. */
 static void
-take_notice (const Req *req, const SeamAnswer *answer)
+take_notice (const Req *req, const AdapterAnswer *answer)
 {
   const Notice *notice = &answer->notice;
   Place *place = req->requests->conf.place;
@@ -91,9 +91,9 @@
 on_head (void *user, const HMsg *msg)
 {
   Req *req = user;
-  SeamAnswer answer;
+  AdapterAnswer answer;
 
-  req->requests->conf.seam->read_answer (msg, &answer);
+  req->requests->conf.adapter_ops->read_answer (msg, &answer);
   req->close_delimited = hmsg_ends_with_connection (msg);
   if (!matches_request (req, &answer))
     {
@@ -132,7 +132,7 @@
   if (!req->begun)
     {
       g_string_truncate (req->fields, 0);
-      req->requests->conf.seam->write_answer (req->fields, msg);
+      req->requests->conf.adapter_ops->write_answer (req->fields, msg);
     }
   if (req->is_stream && req->stream == NULL)
     req->stream = events_new ();
@@ -330,22 +330,22 @@
 void
 try_send (Req *req, const Grant *grant)
 {
-  const SeamServer *server = &grant->server;
+  const AdapterServer *server = &grant->server;
   Requests *requests = req->requests;
   const GByteArray *body = hcall_body (req->call);
   bool once = !rt_route_repeatable (req->route);
   HCliTarget target = { server->addr, server->id, CONNECT_TIMEOUT,
                         once ? grant->max_idle_us : MAX (REUSE_IDLE_MIN, grant->max_idle_us),
                         strcmp (hmsg_method (hcall_msg (req->call)), "HEAD") == 0 };
-  SeamForward forward = { .server = server->name,
-                          .org = req->org ? req->org->name : NULL,
-                          .left_us = req->deadline - req_now (req),
-                          .last_event = req->begun ? events_last_id (req->stream) : NULL,
-                          .body = body->data,
-                          .body_size = body->len };
+  AdapterForward forward = { .server = server->name,
+                             .org = req->org ? req->org->name : NULL,
+                             .left_us = req->deadline - req_now (req),
+                             .last_event = req->begun ? events_last_id (req->stream) : NULL,
+                             .body = body->data,
+                             .body_size = body->len };
   GString *message = g_string_sized_new (1024 + body->len);
 
-  requests->conf.seam->write_request (message, hcall_msg (req->call), &forward);
+  requests->conf.adapter_ops->write_request (message, hcall_msg (req->call), &forward);
   req->sends++;
   req->read_paused = false;
   req->addr = server->addr;
--- a/node/voter.c
+++ b/node/voter.c
@@ -569,7 +569,7 @@
 }
 
 void
-voter_meet (Voter *voter, uint32_t id)
+voter_add_peer (Voter *voter, uint32_t id)
 {
   push (voter, (Work){ .kind = WORK_MEET, .from = id });
 }
@@ -599,7 +599,7 @@
 }
 
 void
-voter_hand_over (Voter *voter)
+voter_transfer_leadership (Voter *voter)
 {
   push (voter, (Work){ .kind = WORK_HAND_OVER });
 }
@@ -655,7 +655,7 @@
 }
 
 GBytes *
-voter_blame (Voter *voter)
+voter_crash_table (Voter *voter)
 {
   return account_of (voter, &voter->blame);
 }
@@ -667,7 +667,7 @@
 }
 
 uint64_t
-voter_newest (Voter *voter)
+voter_newest_number (Voter *voter)
 {
   pthread_mutex_lock (&voter->lock);
   uint64_t number = voter->number;
--- a/node/voter.h
+++ b/node/voter.h
@@ -19,7 +19,7 @@
   void (*send) (void *host, uint32_t to, GByteArray *bytes);
   /* A newer document is committed; read it with voter_document. */
   void (*committed) (void *host);
-  /* The account of ended servers has changed; read it with voter_blame. */
+  /* The account of ended servers has changed; read it with voter_crash_table. */
   void (*blamed) (void *host);
   /* The account of roll-outs has changed; read it with voter_rollouts. */
   void (*rolled) (void *host);
@@ -45,12 +45,12 @@
 /* A message of another voter; bytes are taken over. */
 void voter_receive (Voter *voter, uint32_t from, GByteArray *bytes);
 /* Another instance is, or wants to be, a voter. */
-void voter_meet (Voter *voter, uint32_t id);
+void voter_add_peer (Voter *voter, uint32_t id);
 /* Asks for number to become the newest document, or for op to be applied, which is one on ended
  * servers or roll-outs. Returns a ticket, with which the verdict follows. */
 uint64_t voter_propose (Voter *voter, uint64_t number, GBytes *document);
 uint64_t voter_propose_op (Voter *voter, const MsgOp *op);
-void voter_hand_over (Voter *voter);
+void voter_transfer_leadership (Voter *voter);
 
 typedef struct
 {
@@ -73,10 +73,10 @@
 /* What it says; NULL: it was not read, error says why. The reference is the caller's. */
 RtCat *voter_catalogue (Voter *voter, uint64_t *number, FtError *error);
 /* Its number alone; 0: none. */
-uint64_t voter_newest (Voter *voter);
+uint64_t voter_newest_number (Voter *voter);
 /* The committed account of ended servers that this voter knows, a packed MsgBlame; NULL: none yet.
  * The reference is the caller's. */
-GBytes *voter_blame (Voter *voter);
+GBytes *voter_crash_table (Voter *voter);
 /* The same of roll-outs, a packed MsgRollouts. */
 GBytes *voter_rollouts (Voter *voter);
 
--- a/test/adapter.c
+++ b/test/adapter.c
@@ -2,7 +2,7 @@
 #include "platform.h"
 #include "servers.h"
 #include "settings.h"
-#include "squeeze.h"
+#include "compress.h"
 
 #include <glib/gstdio.h>
 #include <string.h>
@@ -195,24 +195,24 @@
       "Connection: keep-alive, X-Local\r\nX-Local: 1\r\nKeep-Alive: timeout=3\r\nX-Other: kept\r\n"
       "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
       body);
-  const Seam *seam = platform_seam ();
-  SeamRequest facts;
-  SeamForward forward = { .server = "i-1",
-                          .org = "org1",
-                          .left_us = 1500 * FT_MS,
-                          .body = body->str,
-                          .body_size = body->len };
-
-  seam->read_request (kept, &facts);
+  const AdapterOps *adapter_ops = platform_adapter_ops ();
+  AdapterRequest facts;
+  AdapterForward forward = { .server = "i-1",
+                             .org = "org1",
+                             .left_us = 1500 * FT_MS,
+                             .body = body->str,
+                             .body_size = body->len };
+
+  adapter_ops->read_request (kept, &facts);
   g_assert_cmpstr (facts.id, ==, "id1");
   g_assert_cmpstr (facts.key, ==, "secret");
-  g_assert_cmpint (facts.patience_us, ==, 99999 * FT_MS);
+  g_assert_cmpint (facts.caller_wait_us, ==, 99999 * FT_MS);
   g_assert_true (facts.has_tokens);
   g_assert_cmpuint (facts.prompt_tokens, ==, 1460);
-  g_assert_cmpuint (facts.output_most, ==, 80);
-  g_assert_cmpuint (facts.output_guess, ==, 33);
+  g_assert_cmpuint (facts.output_max, ==, 80);
+  g_assert_cmpuint (facts.output_estimate, ==, 33);
   g_assert_cmpuint (facts.shared_part, ==, 0x5c1e07a2);
-  seam->write_request (out, kept, &forward);
+  adapter_ops->write_request (out, kept, &forward);
   for (unsigned i = 0; i < G_N_ELEMENTS (hidden); i++)
     if (strstr (out->str, hidden[i]))
       g_error ("%s reaches the server: %s", hidden[i], out->str);
@@ -240,28 +240,28 @@
                               "X-Foxtailgrade-Server-Signature: sig\r\nKeep-Alive: timeout=3\r\n"
                               "X-Foxtailgrade-Instance-Load: 3,1,8\r\n\r\n",
                               body);
-  SeamAnswer answer;
+  AdapterAnswer answer;
 
-  platform_seam ()->read_answer (kept, &answer);
+  platform_adapter_ops ()->read_answer (kept, &answer);
   g_assert_true (answer.not_run && answer.has_load);
   g_assert_cmpstr (answer.id, ==, "id1");
   g_assert_cmpuint (answer.running, ==, 3);
   g_assert_cmpuint (answer.slots, ==, 8);
   g_assert_cmpuint (answer.slowness, ==, 0);
-  platform_seam ()->write_answer (out, kept);
+  platform_adapter_ops ()->write_answer (out, kept);
   g_assert_nonnull (strstr (out->str, "X-Foxtailgrade-Server-Signature: sig\r\n"));
   g_assert_null (strstr (out->str, "Keep-Alive"));
   g_assert_null (strstr (out->str, "Content-Length"));
   hread_free (read);
   read = read_message (false, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", body);
-  platform_seam ()->read_answer (kept, &answer);
+  platform_adapter_ops ()->read_answer (kept, &answer);
   g_assert_true (answer.not_run);
   hread_free (read);
   read = read_message (false,
                        "HTTP/1.1 200 OK\r\nX-Foxtailgrade-Request-Id: id1\r\nContent-Length: 0\r\n"
                        "X-Foxtailgrade-Instance-Load: 3,1,8,140\r\n\r\n",
                        body);
-  platform_seam ()->read_answer (kept, &answer);
+  platform_adapter_ops ()->read_answer (kept, &answer);
   g_assert_true (answer.has_load);
   g_assert_cmpuint (answer.slots, ==, 8);
   g_assert_cmpuint (answer.slowness, ==, 140);
@@ -312,15 +312,15 @@
       char *text
           = g_strdup_printf ("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n%s\r\n", cases[i].fields);
       HRead *read = read_message (false, text, body);
-      SeamAnswer answer;
+      AdapterAnswer answer;
 
-      platform_seam ()->read_answer (kept, &answer);
+      platform_adapter_ops ()->read_answer (kept, &answer);
       g_assert_cmpfloat_with_epsilon (answer.notice.rate, cases[i].rate, 1e-9);
       g_assert_cmpint (answer.notice.leaving, ==, cases[i].leaving);
       g_assert_cmpint (answer.notice.backoff_us, ==, cases[i].backoff_us);
       g_assert_cmpstr (answer.unread, ==, cases[i].unread);
       g_string_truncate (body, 0);
-      platform_seam ()->write_answer (body, kept);
+      platform_adapter_ops ()->write_answer (body, kept);
       g_assert_nonnull (strstr (body->str, cases[i].fields)); /* the caller gets it as it came */
       hread_free (read);
       g_string_free (body, TRUE);
@@ -335,9 +335,9 @@
   GString *body = g_string_new (NULL);
   HRead *read = read_message (
       false, "HTTP/1.1 301 Moved\r\nContent-Length: 0\r\nRetry-After: 9\r\n\r\n", body);
-  SeamAnswer answer;
+  AdapterAnswer answer;
 
-  platform_seam ()->read_answer (kept, &answer);
+  platform_adapter_ops ()->read_answer (kept, &answer);
   g_assert_true (notice_is_empty (&answer.notice));
   hread_free (read);
   g_string_free (body, TRUE);
@@ -352,7 +352,7 @@
   static const char whole[] = "{\"Service\":\"s\",\"Address\":\"10.0.0.9:%d\",\"Zone\":\"z\","
                               "\"Version\":\"v1\",\"Slots\":5,\"State\":\"ready\","
                               "\"ColdRemainingMs\":0,\"Id\":\"sound-%d\"}";
-  GArray *servers = g_array_new (FALSE, TRUE, sizeof (SeamServer));
+  GArray *servers = g_array_new (FALSE, TRUE, sizeof (AdapterServer));
   GString *page = g_string_new ("{\"Instances\":[");
   unsigned spoilt = 0;
   char *next;
@@ -362,15 +362,15 @@
   g_string_append_printf (page, ",%s,", entry);
   g_string_append_printf (page, whole, 2, 2);
   g_string_append (page, "],\"Next\":null}");
-  g_array_set_clear_func (servers, seam_server_clear);
+  g_array_set_clear_func (servers, adapter_server_clear);
   g_assert_cmpint (platform_read_list (page->str, page->len, servers, &next, &spoilt, &error), ==,
                    FT_OK);
   g_test_message ("%s: %s", entry, error.text);
   g_assert_cmpuint (spoilt, ==, 1);
   g_assert_nonnull (strstr (error.text, field));
   g_assert_cmpuint (servers->len, ==, 2);
-  g_assert_cmpstr (g_array_index (servers, SeamServer, 0).id, ==, "sound-1");
-  g_assert_cmpstr (g_array_index (servers, SeamServer, 1).id, ==, "sound-2");
+  g_assert_cmpstr (g_array_index (servers, AdapterServer, 0).id, ==, "sound-1");
+  g_assert_cmpstr (g_array_index (servers, AdapterServer, 1).id, ==, "sound-2");
   g_array_unref (servers);
   g_string_free (page, TRUE);
 }
@@ -382,17 +382,17 @@
       = "{\"Instances\":[{\"Service\":\"s\",\"Address\":\"10.0.0.9:8080\",\"Zone\":"
         "\"z\",\"Version\":\"v1\",\"Slots\":5,\"State\":\"draining\",\"ColdRemainingMs\":20,\"Id\":"
         "\"i-1\"}],\"Next\":\"p-50\"}";
-  GArray *servers = g_array_new (FALSE, TRUE, sizeof (SeamServer));
+  GArray *servers = g_array_new (FALSE, TRUE, sizeof (AdapterServer));
   GString *request = g_string_new (NULL);
   unsigned spoilt = 0;
   char *next;
   FtError error;
 
-  g_array_set_clear_func (servers, seam_server_clear);
+  g_array_set_clear_func (servers, adapter_server_clear);
   g_assert_cmpint (platform_read_list (text, strlen (text), servers, &next, &spoilt, &error), ==,
                    FT_OK);
   g_assert_cmpuint (spoilt, ==, 0);
-  const SeamServer *server = &g_array_index (servers, SeamServer, 0);
+  const AdapterServer *server = &g_array_index (servers, AdapterServer, 0);
   g_assert_true (server->leaving);
   g_assert_cmpuint (server->addr.port, ==, 8080);
   g_assert_cmpint (server->cold_us, ==, 20 * FT_MS);
@@ -465,13 +465,13 @@
 
   for (int i = 0; i < 2000; i++)
     g_string_append_printf (text, "{\"Name\":\"route-%d\",\"Host\":\"a.example\"},", i);
-  GBytes *packed = squeeze_pack (text->str, text->len);
+  GBytes *packed = compress_pack (text->str, text->len);
   gsize size = g_bytes_get_size (packed);
   g_assert_cmpuint (size * 4, <, text->len);
-  GBytes *back = squeeze_unpack (g_bytes_get_data (packed, NULL), size);
+  GBytes *back = compress_unpack (g_bytes_get_data (packed, NULL), size);
   g_assert_cmpmem (g_bytes_get_data (back, NULL), g_bytes_get_size (back), text->str, text->len);
   for (gsize cut = 0; cut < size; cut += 7)
-    g_assert_null (squeeze_unpack (g_bytes_get_data (packed, NULL), cut));
+    g_assert_null (compress_unpack (g_bytes_get_data (packed, NULL), cut));
   g_bytes_unref (packed);
   g_bytes_unref (back);
   g_string_free (text, TRUE);
--- a/test/greet.c
+++ b/test/greet.c
@@ -40,7 +40,7 @@
 {
   g_assert_true (g_file_set_contents (file, text, size, NULL));
   greet = greet_new (loop, mesh, 0x7f000001, folder);
-  unsigned known = greet_known (greet);
+  unsigned known = greet_known_count (greet);
   greet_free (greet);
   return known;
 }
@@ -62,7 +62,7 @@
 {
   begin ();
   greet = greet_new (loop, mesh, 0x7f000001, folder); /* missing */
-  g_assert_cmpuint (greet_known (greet), ==, 0);
+  g_assert_cmpuint (greet_known_count (greet), ==, 0);
   greet_free (greet);
   g_assert_cmpuint (known_of ("", 0), ==, 0);
   g_assert_cmpuint (known_of ("10.0.0.1\n10.0.0.2\n", -1), ==, 2);
@@ -71,10 +71,10 @@
   g_assert_cmpuint (known_of ("10.0.0.1\n\0\n\377\200", 13), ==, 1);
   g_assert_cmpuint (known_of ("127.0.0.1\n10.0.0.1\n10.0.0.1\n224.0.0.1\n255.255.255.255\n", -1),
                     ==, 1); /* itself, twice, none of an instance */
-  char *many = addresses (GREET_MOST + 20);
-  g_assert_cmpuint (known_of (many, -1), ==, GREET_MOST);
+  char *many = addresses (GREET_ADDRESSES_MAX + 20);
+  g_assert_cmpuint (known_of (many, -1), ==, GREET_ADDRESSES_MAX);
   g_free (many);
-  char *padding = g_strnfill (GREET_MOST * 16, '\n');
+  char *padding = g_strnfill (GREET_ADDRESSES_MAX * 16, '\n');
   many = g_strconcat ("10.0.0.1\n", padding, NULL);
   g_free (padding);
   g_assert_cmpuint (known_of (many, -1), ==, 0); /* longer than any that is written */
@@ -82,7 +82,7 @@
   g_remove (file);
   g_assert_cmpint (g_mkdir (file, 0700), ==, 0); /* cannot be read */
   greet = greet_new (loop, mesh, 0x7f000001, folder);
-  g_assert_cmpuint (greet_known (greet), ==, 0);
+  g_assert_cmpuint (greet_known_count (greet), ==, 0);
   greet_free (greet);
   end ();
 }
@@ -94,15 +94,15 @@
   begin ();
   TestPeer entry = test_peer (loop, mesh, ENTRY, MESH_ENTRY, false);
   greet = greet_new (loop, mesh, 0x7f000001, folder);
-  for (unsigned i = 0; i <= GREET_MOST; i++)
+  for (unsigned i = 0; i <= GREET_ADDRESSES_MAX; i++)
     {
       entry.peer.ip = ENTRY + i;
-      g_assert_false (greet_up (greet, &entry.peer));
+      g_assert_false (greet_link_up (greet, &entry.peer));
     }
-  g_assert_false (greet_up (greet, &entry.peer));
+  g_assert_false (greet_link_up (greet, &entry.peer));
   greet_free (greet);
   greet = greet_new (loop, mesh, 0x7f000001, folder);
-  g_assert_cmpuint (greet_known (greet), ==, GREET_MOST);
+  g_assert_cmpuint (greet_known_count (greet), ==, GREET_ADDRESSES_MAX);
   greet_free (greet);
   char *text = NULL;
   g_assert_true (g_file_get_contents (file, &text, NULL, NULL));
@@ -125,8 +125,8 @@
   greet_tick (greet, voters, G_N_ELEMENTS (voters));
   TestPeer entry = test_peer (loop, mesh, ENTRY, MESH_ENTRY, true);
   TestPeer voter = test_peer (loop, mesh, voters[0], MESH_VOTER, false);
-  g_assert_true (greet_up (greet, &entry.peer));
-  g_assert_true (greet_owns (&entry.peer));
+  g_assert_true (greet_link_up (greet, &entry.peer));
+  g_assert_true (greet_is_greeting_link (&entry.peer));
   g_assert_true (test_peer_next (&entry, &msg));
   g_assert_cmpint (msg.kind, ==, MESH_VIEW);
   g_assert_cmpuint (msg.MeshMsg_u.view.voters.voters_len, ==, G_N_ELEMENTS (voters));
@@ -134,10 +134,10 @@
   g_assert_false (msg.MeshMsg_u.view.proved);
   codec_clear (CODEC (MeshMsg), &msg);
   g_assert_false (test_peer_next (&entry, &msg));
-  g_assert_false (greet_up (greet, &voter.peer));
-  g_assert_false (greet_owns (&voter.peer));
+  g_assert_false (greet_link_up (greet, &voter.peer));
+  g_assert_false (greet_is_greeting_link (&voter.peer));
   g_assert_false (test_peer_next (&voter, &msg));
-  g_assert_cmpuint (greet_known (greet), ==, 0);
+  g_assert_cmpuint (greet_known_count (greet), ==, 0);
   greet_free (greet);
   test_peer_end (&entry);
   test_peer_end (&voter);
@@ -156,7 +156,7 @@
 voter_up (void *host, MeshPeer *peer)
 {
   (void) host;
-  greet_up (greet, peer);
+  greet_link_up (greet, peer);
 }
 
 static void
@@ -303,7 +303,7 @@
   tick_until (&links, 2, SOON);
   tick_until (&links, 1, ENDED);
   g_assert_nonnull (mesh_dialled (mesh, 0x7f000003));
-  g_assert_cmpuint (greet_known (greet), ==, 1);
+  g_assert_cmpuint (greet_known_count (greet), ==, 1);
   tick (20);
   g_assert_cmpuint (links, ==, 1); /* nobody is greeted later */
   g_assert_cmpuint (views, ==, 1);
--- a/test/handover.c
+++ b/test/handover.c
@@ -229,7 +229,7 @@
                   fields[3].text);
 }
 
-const SeamServer *
+const AdapterServer *
 servers_find (const Servers *servers, const char *id)
 {
   (void) servers;
--- a/test/jlog.c
+++ b/test/jlog.c
@@ -33,7 +33,7 @@
   fcntl (ends[0], F_SETFL, O_NONBLOCK);
   fflush (stdout);
   dup2 (ends[1], STDOUT_FILENO);
-  jlog_open ("n", "info", &clock.base);
+  jlog_init ("n", "info", &clock.base);
   for (int i = 0; i < 2000; i++)
     jlog (JLOG_WARN, "link-down", NULL, JL_INT ("peer", i));
   jlog (JLOG_INFO, "charge", NULL, JL_INT ("term", 7));
--- a/test/list.c
+++ b/test/list.c
@@ -10,23 +10,23 @@
 static void
 read_servers (Servers *servers, unsigned from, unsigned to, int leaving, int64_t at)
 {
-  GArray *list = g_array_new (FALSE, FALSE, sizeof (SeamServer));
+  GArray *list = g_array_new (FALSE, FALSE, sizeof (AdapterServer));
 
   for (unsigned i = from; i < to; i++)
     {
       char *id = g_strdup_printf ("i-%u", i);
-      SeamServer server = { .id = id,
-                            .name = id,
-                            .service = (char *) "s",
-                            .domain = (char *) "z",
-                            .addr = { i, 1 },
-                            .slots = 4,
-                            .leaving = (int) i == leaving };
+      AdapterServer server = { .id = id,
+                               .name = id,
+                               .service = (char *) "s",
+                               .domain = (char *) "z",
+                               .addr = { i, 1 },
+                               .slots = 4,
+                               .leaving = (int) i == leaving };
       g_array_append_val (list, server);
     }
   g_assert_true (servers_apply_read (servers, list, at));
   for (unsigned i = 0; i < list->len; i++)
-    g_free (g_array_index (list, SeamServer, i).id);
+    g_free (g_array_index (list, AdapterServer, i).id);
   g_array_unref (list);
 }
 
@@ -100,18 +100,18 @@
 static void
 read_lifetime (Servers *servers, int64_t born_ms, int64_t other_born_ms, int64_t at)
 {
-  GArray *list = g_array_new (FALSE, TRUE, sizeof (SeamServer));
+  GArray *list = g_array_new (FALSE, TRUE, sizeof (AdapterServer));
 
-  g_array_set_clear_func (list, seam_server_clear);
+  g_array_set_clear_func (list, adapter_server_clear);
   for (unsigned i = 0; i < 2; i++)
     {
       int64_t born = i ? other_born_ms : born_ms;
-      SeamServer server = { .id = g_strdup_printf ("i-1@%d", (int) born),
-                            .name = g_strdup ("i-1"),
-                            .born_ms = born,
-                            .service = g_strdup ("s"),
-                            .domain = g_strdup ("z"),
-                            .slots = 4 };
+      AdapterServer server = { .id = g_strdup_printf ("i-1@%d", (int) born),
+                               .name = g_strdup ("i-1"),
+                               .born_ms = born,
+                               .service = g_strdup ("s"),
+                               .domain = g_strdup ("z"),
+                               .slots = 4 };
       g_array_append_val (list, server);
       if (other_born_ms == 0)
         break;
@@ -379,7 +379,7 @@
   SockAddr addr = { 0x7f000001u + ((unsigned) getpid () % 60000 << 8), PORT };
   HSrv *list = hsrv_new (loop, addr, &list_ops, NULL);
   g_assert_nonnull (list);
-  Reader *reader = reader_new (loop, cli, platform_seam (), addr, on_read, NULL);
+  Reader *reader = reader_new (loop, cli, platform_adapter_ops (), addr, on_read, NULL);
   loop_timer_set (loop, &guard, loop_now (loop) + GIVE_UP);
   reader_start (reader);
   g_assert_true (reader_busy (reader));
--- a/test/place.c
+++ b/test/place.c
@@ -36,7 +36,7 @@
 static void
 on_grant (void *host, uint64_t request, const Grant *grant)
 {
-  const SeamServer *server = &grant->server;
+  const AdapterServer *server = &grant->server;
 
   (void) host;
   (void) request;
@@ -106,12 +106,12 @@
   RtCat *cat = rt_cat_new (1, &limits);
   RtService service = { .name = (char *) "s" };
   RtOrg org = { .name = (char *) "o", .rate = 1000, .burst = 1000, .keys = g_ptr_array_new () };
-  SeamServer server = { .id = (char *) "i",
-                        .name = (char *) "i",
-                        .service = (char *) "s",
-                        .domain = (char *) "z",
-                        .addr = { 1, 1 },
-                        .slots = 4 };
+  AdapterServer server = { .id = (char *) "i",
+                           .name = (char *) "i",
+                           .service = (char *) "s",
+                           .domain = (char *) "z",
+                           .addr = { 1, 1 },
+                           .slots = 4 };
   GArray *list = g_array_new (FALSE, FALSE, sizeof server);
 
   servers = servers_new ();
--- a/test/publish.c
+++ b/test/publish.c
@@ -2,8 +2,8 @@
  * one without other voters; entries are played over socket pairs. */
 #include "publish.h"
 #include "peer.h"
-#include "squeeze.h"
-#include "tell.h"
+#include "compress.h"
+#include "bcast.h"
 
 #include <glib/gstdio.h>
 
@@ -65,7 +65,7 @@
   (void) error;
   g_assert_true (g_thread_self () != loops);
   g_atomic_int_inc (&reads);
-  *text = squeeze_unpack (data, size);
+  *text = compress_unpack (data, size);
   return NULL;
 }
 
@@ -75,13 +75,13 @@
 static void
 read_list (void)
 {
-  GArray *list = g_array_new (FALSE, FALSE, sizeof (SeamServer));
-  SeamServer server = { .id = (char *) "i",
-                        .name = (char *) "i",
-                        .service = (char *) "s",
-                        .domain = (char *) "z",
-                        .addr = { 1, 1 },
-                        .slots = 4 };
+  GArray *list = g_array_new (FALSE, FALSE, sizeof (AdapterServer));
+  AdapterServer server = { .id = (char *) "i",
+                           .name = (char *) "i",
+                           .service = (char *) "s",
+                           .domain = (char *) "z",
+                           .addr = { 1, 1 },
+                           .slots = 4 };
 
   g_array_append_val (list, server);
   g_assert_true (servers_apply_read (servers, list, loop_now (loop)));
@@ -114,7 +114,7 @@
 {
   for (unsigned i = 0; i < entry_count; i++)
     {
-      publish_down (publish, &entries[i].peer);
+      publish_link_down (publish, &entries[i].peer);
       test_peer_end (&entries[i]);
     }
   publish_free (publish);
@@ -163,8 +163,8 @@
   read_list ();
   for (unsigned i = 0; i < ENTRIES; i++)
     {
-      publish_up (publish, &entries[i].peer);
-      publish_wants_list (&entries[i].peer);
+      publish_link_up (publish, &entries[i].peer);
+      publish_request_list (&entries[i].peer);
       g_assert_cmpuint (got (&entries[i], MESH_PACKED_LIST), ==, 0);
     }
   for (; total < ENTRIES && ticks < 10; ticks++)
@@ -210,7 +210,7 @@
 {
   begin (ENTRIES);
   for (unsigned i = 0; i < ENTRIES; i++)
-    publish_up (publish, &entries[i].peer);
+    publish_link_up (publish, &entries[i].peer);
   publish_tick (publish); /* chooses deputies */
   publish_views (publish);
   g_assert_cmpuint (shown_entries (&entries[0]), ==, ENTRIES);
@@ -259,7 +259,7 @@
       g_string_append_printf (text, "{\"Name\":\"%016" G_GINT64_MODIFIER "x\",\"Value\":%u},",
                               state, i == 500 ? changed : 1);
     }
-  GBytes *packed = squeeze_pack (text->str, text->len);
+  GBytes *packed = compress_pack (text->str, text->len);
   g_string_free (text, TRUE);
   return packed;
 }
@@ -269,13 +269,13 @@
 {
   GBytes *document = catalogue (number, (unsigned) number);
 
-  for (unsigned turn = 0; voter_newest (voter) < number && turn < 1000; turn++)
+  for (unsigned turn = 0; voter_newest_number (voter) < number && turn < 1000; turn++)
     {
       if (turn % 50 == 0)
         voter_propose (voter, number, document);
       run_for (20 * FT_MS);
     }
-  g_assert_cmpuint (voter_newest (voter), ==, number);
+  g_assert_cmpuint (voter_newest_number (voter), ==, number);
   g_bytes_unref (document);
 }
 
@@ -322,7 +322,7 @@
 {
   for (unsigned i = 0; i < entry_count; i++)
     {
-      publish_up (publish, &entries[i].peer);
+      publish_link_up (publish, &entries[i].peer);
       got_documents (number, true);
     }
 }
@@ -371,7 +371,7 @@
         got_documents (number, false);
     }
   for (unsigned i = 0; i < entry_count; i++)
-    publish_down (publish, &entries[i].peer);
+    publish_link_down (publish, &entries[i].peer);
   got_documents (10, false);
   for (unsigned i = 0; i < entry_count; i++)
     entries[i].peer.document = 10;
@@ -425,27 +425,27 @@
 static void
 messages_are_packed_once (void)
 {
-  Tell *tell = tell_new (pack_some, NULL);
+  Broadcast *tell = bcast_new (pack_some, NULL);
 
   begin (ENTRIES);
   for (unsigned i = 0; i < ENTRIES; i++)
-    tell_up (tell, &entries[i].peer, false);
+    bcast_link_up (tell, &entries[i].peer, false);
   packs = 0;
-  tell_all (tell);
+  bcast_send_all (tell);
   g_assert_cmpuint (packs, ==, 0);
-  tell_changed (tell);
-  tell_all (tell);
+  bcast_changed (tell);
+  bcast_send_all (tell);
   g_assert_cmpuint (packs, ==, 1);
   for (unsigned i = 0; i < ENTRIES; i++)
     g_assert_cmpuint (got (&entries[i], MESH_ROLLOUTS), ==, 1);
-  tell_free (tell);
+  bcast_free (tell);
   end ();
 }
 
 static unsigned
 count_suspects (void)
 {
-  GBytes *bytes = voter_blame (voter);
+  GBytes *bytes = voter_crash_table (voter);
   MsgBlame account = { 0 };
   gsize size;
 
