--- a/node/voter.c
+++ b/node/voter.c
@@ -1,9 +1,9 @@
-/* voter.c - runs raft.c in a thread of its own, since a sync waits for the disk.
+/* voter.c - runs raft.c in a thread of its own, because a sync blocks on the disk.
  *
- * Failure: a disk stalls for seconds. Symptom: with the log in the loop's thread nothing would be
- * scheduled meanwhile, and operators would hang. Here only the log's thread waits; a leader that
- * waits sends no heartbeats, so the others elect another, and voter_status says that this one is no
- * longer proved, because its lease has ended by the clock.
+ * A disk can stall for seconds. With the log in the loop's thread, scheduling and operators' calls
+ * would stall with it. Here only the log's thread blocks. A blocked leader sends no heartbeats, so
+ * the others elect a new one, and voter_status reports this one as no longer proved as soon as its
+ * lease has expired.
  */
 #include "voter.h"
 #include "disk.h"
@@ -14,19 +14,19 @@
 #include <sys/random.h>
 #include <time.h>
 
-/* Tuning; each row with its reason. */
-#define TICK_US  (20 * 1000)   /* a fifth of the log's heartbeat */
-#define REOPEN   (500 * FT_MS) /* a full disk is tried again: space may have been freed */
-#define LOG_MOST 48 /* packed documents of 10 to 100 KB each: the log stays below 10 MB */
+#define TICK_US (20 * 1000) /* a fifth of the log's heartbeat interval */
+#define REOPEN_INTERVAL                                                                            \
+  (500 * FT_MS)           /* retry interval after a write error: space may have been freed */
+#define SNAPSHOT_AFTER 48 /* packed documents of 10 to 100 KB each: the log stays below 10 MB */
 
 typedef enum
 {
   WORK_NONE,
   WORK_MESSAGE,
-  WORK_MEET,
+  WORK_ADD_PEER,
   WORK_PROPOSE,
   WORK_PROPOSE_OP,
-  WORK_HAND_OVER
+  WORK_TRANSFER
 } WorkKind;
 
 typedef struct
@@ -42,7 +42,7 @@
   REPORT_SEND,
   REPORT_VERDICT,
   REPORT_DOCUMENT,
-  REPORT_BLAME,
+  REPORT_CRASHES,
   REPORT_ROLLOUTS
 } ReportKind;
 
@@ -61,13 +61,13 @@
   uint64_t ticket, index, term;
 } Pending;
 
-/* A part of the replicated state, as the loop may read it. */
+/* A copy of one table of the replicated state, for the loop's thread. */
 typedef struct
 {
   GBytes *packed; /* under lock */
-  bool reported;  /* under lock; a report of it is on its way to the loop */
-  uint64_t index; /* of what packed holds; the log's thread's */
-} Account;
+  bool reported;  /* under lock; a report of a change is queued for the loop */
+  uint64_t index; /* log index of the content of packed; used by the log's thread only */
+} TableCopy;
 
 struct Voter
 {
@@ -90,13 +90,13 @@
   bool stopped;
   VoterStatus status;   /* under lock */
   int64_t proved_until; /* under lock */
-  uint64_t number;      /* under lock, as ... */
-  GBytes *document;     /* ... the document of that number, ... */
-  GBytes *text;         /* ... its text, ... */
-  RtCat *cat;           /* ... what it says, NULL: it cannot be read ... */
-  FtError error;        /* ... for this reason */
-  Account blame, rollouts;
-  uint64_t next_ticket; /* the loop's thread's */
+  uint64_t number;      /* under lock, as are the next four */
+  GBytes *document;     /* packed document of that number */
+  GBytes *text;         /* unpacked; NULL: it cannot be unpacked */
+  RtCat *cat;           /* parsed; NULL: it is invalid */
+  FtError error;        /* why cat is NULL */
+  TableCopy crashes, rollouts;
+  uint64_t next_ticket; /* used by the loop's thread only */
 };
 
 static int64_t
@@ -125,17 +125,17 @@
 
 /* ---- Reports to the loop ---- */
 
-/* What changes from now on is reported again. */
+/* Clears the flag before the table is read, so that any later change is reported again. */
 static void
-begin_account (Voter *voter, Account *account)
+clear_reported (Voter *voter, TableCopy *table)
 {
   pthread_mutex_lock (&voter->lock);
-  account->reported = false;
+  table->reported = false;
   pthread_mutex_unlock (&voter->lock);
 }
 
 static void
-deliver (void *data)
+deliver_report (void *data)
 {
   Report *report = data;
   Voter *voter = report->voter;
@@ -151,13 +151,13 @@
     case REPORT_DOCUMENT:
       voter->ops->committed (voter->host);
       break;
-    case REPORT_BLAME:
-      begin_account (voter, &voter->blame);
-      voter->ops->blamed (voter->host);
+    case REPORT_CRASHES:
+      clear_reported (voter, &voter->crashes);
+      voter->ops->crashes_changed (voter->host);
       break;
     case REPORT_ROLLOUTS:
-      begin_account (voter, &voter->rollouts);
-      voter->ops->rolled (voter->host);
+      clear_reported (voter, &voter->rollouts);
+      voter->ops->rollouts_changed (voter->host);
       break;
     }
   g_free (report);
@@ -167,7 +167,7 @@
 report (Voter *voter, Report from)
 {
   from.voter = voter;
-  loop_post (voter->loop, deliver, g_memdup2 (&from, sizeof from));
+  loop_post (voter->loop, deliver_report, g_memdup2 (&from, sizeof from));
 }
 
 static void
@@ -177,14 +177,14 @@
 }
 
 static void
-settle (Voter *voter, uint64_t index)
+report_verdicts (Voter *voter, uint64_t index)
 {
   while (voter->pending->len > 0)
     {
       const Pending *first = &g_array_index (voter->pending, Pending, 0);
       if (first->index > index)
         return;
-      /* The entry at that index is ours only if nobody else led in between. */
+      /* The log entry at that index is this proposal only if the term has not changed since. */
       bool ours = first->index == index && first->term == raft_term (voter->raft);
       report (voter, (Report){ .kind = REPORT_VERDICT,
                                .ticket = first->ticket,
@@ -194,7 +194,7 @@
 }
 
 static void
-drop_document (GBytes *document, GBytes *text, RtCat *cat)
+unref_document (GBytes *document, GBytes *text, RtCat *cat)
 {
   if (document)
     g_bytes_unref (document);
@@ -203,13 +203,15 @@
   rt_cat_unref (cat);
 }
 
-/* Failure: an operator is told that a change is committed and reads it back here before the loop
- * has heard of it. Symptom: the older one is shown. So the document is in its place first.
+/* Stores the newest document for the loop's thread.
  *
- * Failure: a catalogue of 1,500 routes is read in the loop of an instance that has a fraction of a
- * core. Symptom: grants and views wait for 50 ms and more. It is read here. */
+ * It is stored before the proposal's verdict is reported; otherwise an operator who reads a change
+ * back right after its acknowledgement could get the older document.
+ *
+ * It is parsed here, in the log's thread: on a fraction of a core, parsing a catalogue of 1,500
+ * routes in the loop delayed grants and views by 50 ms and more. */
 static void
-keep_document (Voter *voter)
+store_document (Voter *voter)
 {
   const MsgDocument *document = state_document (voter->state);
   FtError error = { 0 };
@@ -219,8 +221,8 @@
   if (document == NULL || document->number <= voter->number)
     return;
   GBytes *bytes = g_bytes_new (document->text.text_val, document->text.text_len);
-  if (voter->ops->read)
-    cat = voter->ops->read (voter->host, bytes, &text, &error);
+  if (voter->ops->parse)
+    cat = voter->ops->parse (voter->host, bytes, &text, &error);
   pthread_mutex_lock (&voter->lock);
   GBytes *old = voter->document, *old_text = voter->text;
   RtCat *old_cat = voter->cat;
@@ -230,26 +232,26 @@
   voter->error = error;
   voter->number = document->number;
   pthread_mutex_unlock (&voter->lock);
-  drop_document (old, old_text, old_cat);
+  unref_document (old, old_text, old_cat);
   report (voter, (Report){ .kind = REPORT_DOCUMENT });
 }
 
-/* In its place before whoever proposed the change hears that it is committed, for the same reason.
- * bytes are taken over.
+/* Stores a table for the loop's thread, also before the verdict of the change is reported. Takes
+ * ownership of bytes.
  *
- * Failure: many changes are committed while the loop waits for its processor. Symptom: for each the
- * loop reads the whole account, always the newest. A report that is on its way tells of all. */
+ * At most one report is queued at a time. If many changes are committed while the loop waits for
+ * the CPU, it would otherwise read the whole newest table once for each of them. */
 static void
-keep_account (Voter *voter, Account *account, uint64_t index, GByteArray *bytes, ReportKind kind)
+store_table (Voter *voter, TableCopy *table, uint64_t index, GByteArray *bytes, ReportKind kind)
 {
   if (bytes == NULL)
-    g_error ("a part of the replicated state cannot be packed");
-  account->index = index;
+    g_error ("a table of the replicated state cannot be packed");
+  table->index = index;
   pthread_mutex_lock (&voter->lock);
-  GBytes *old = account->packed;
-  account->packed = g_byte_array_free_to_bytes (bytes);
-  bool reported = account->reported;
-  account->reported = true;
+  GBytes *old = table->packed;
+  table->packed = g_byte_array_free_to_bytes (bytes);
+  bool reported = table->reported;
+  table->reported = true;
   pthread_mutex_unlock (&voter->lock);
   if (old)
     g_bytes_unref (old);
@@ -258,40 +260,40 @@
 }
 
 static void
-keep_blame (Voter *voter)
+store_crashes (Voter *voter)
 {
-  const Blame *blame = state_blame (voter->state);
+  const Blame *crashes = state_blame (voter->state);
   MsgBlame captured = { 0 };
 
-  if (blame_index (blame) == voter->blame.index)
+  if (blame_index (crashes) == voter->crashes.index)
     return;
-  blame_capture (blame, 0, &captured);
-  keep_account (voter, &voter->blame, blame_index (blame), codec_pack (CODEC (MsgBlame), &captured),
-                REPORT_BLAME);
+  blame_capture (crashes, 0, &captured);
+  store_table (voter, &voter->crashes, blame_index (crashes),
+               codec_pack (CODEC (MsgBlame), &captured), REPORT_CRASHES);
   g_free (captured.suspects.suspects_val);
 }
 
 static void
-keep_rollouts (Voter *voter)
+store_rollouts (Voter *voter)
 {
-  const RollAccount *account = state_rollouts (voter->state);
+  const RollAccount *table = state_rollouts (voter->state);
   MsgRollouts captured = { 0 };
 
-  if (roll_index (account) == voter->rollouts.index)
+  if (roll_index (table) == voter->rollouts.index)
     return;
-  roll_capture (account, &captured);
-  keep_account (voter, &voter->rollouts, roll_index (account),
-                codec_pack (CODEC (MsgRollouts), &captured), REPORT_ROLLOUTS);
+  roll_capture (table, &captured);
+  store_table (voter, &voter->rollouts, roll_index (table),
+               codec_pack (CODEC (MsgRollouts), &captured), REPORT_ROLLOUTS);
   g_free (captured.rollouts.rollouts_val);
 }
 
-/* What the loop may read is the state's. */
+/* Updates all copies that the loop's thread reads. */
 static void
-keep_all (Voter *voter)
+store_all (Voter *voter)
 {
-  keep_document (voter);
-  keep_blame (voter);
-  keep_rollouts (voter);
+  store_document (voter);
+  store_crashes (voter);
+  store_rollouts (voter);
 }
 
 static void
@@ -301,8 +303,8 @@
 
   (void) verdict;
   (void) op;
-  keep_all (voter);
-  settle (voter, index);
+  store_all (voter);
+  report_verdicts (voter, index);
 }
 
 static const RaftOps raft_ops = { on_send, on_apply };
@@ -346,7 +348,7 @@
 }
 
 static void
-do_work (Voter *voter, Work *work)
+handle_work (Voter *voter, Work *work)
 {
   Msg msg = { 0 };
 
@@ -361,7 +363,7 @@
         raft_receive (voter->raft, work->from, &msg);
       codec_clear (CODEC (Msg), &msg);
       break;
-    case WORK_MEET:
+    case WORK_ADD_PEER:
       raft_add_peer (voter->raft, work->from);
       break;
     case WORK_PROPOSE:
@@ -370,7 +372,7 @@
     case WORK_PROPOSE_OP:
       propose_op (voter, work);
       break;
-    case WORK_HAND_OVER:
+    case WORK_TRANSFER:
       raft_transfer_leadership (voter->raft);
       break;
     }
@@ -410,9 +412,9 @@
   return status;
 }
 
-/* Failure: a disk refuses writes for a while and takes them again. Symptom: the voter stays out
- * until somebody starts it anew, and a second loss stops the log. It reads its files again, after a
- * sync has shown that what they hold lasts. */
+/* Reloads the log after a storage failure, once a sync has succeeded and so shown that the content
+ * of the files is durable. Without this a voter whose disk rejected writes for a while would stay
+ * out until it is restarted, and the loss of a second voter could stop the log. */
 static void
 reopen (Voter *voter)
 {
@@ -421,7 +423,7 @@
   int64_t now = now_us (NULL);
   if (now < voter->reopen_at)
     return;
-  voter->reopen_at = now + REOPEN;
+  voter->reopen_at = now + REOPEN_INTERVAL;
   if (voter->disk->ops->sync (voter->disk, "log") != FT_OK)
     return;
   raft_free (voter->raft);
@@ -432,20 +434,21 @@
   open_log (voter, NULL);
 }
 
-/* A snapshot from the leader changes the state without an entry of its own. */
+/* The copies are updated in every iteration, because a snapshot from the leader changes the state
+ * without on_apply being called. */
 static void
-turn (Voter *voter, GQueue *work)
+iterate (Voter *voter, GQueue *work)
 {
   Work *one;
 
   reopen (voter);
   while ((one = g_queue_pop_head (work)) != NULL)
-    do_work (voter, one);
+    handle_work (voter, one);
   if (voter->raft == NULL)
     return;
   raft_tick (voter->raft);
   raft_flush (voter->raft);
-  keep_all (voter);
+  store_all (voter);
   publish_status (voter);
 }
 
@@ -468,7 +471,7 @@
       GQueue work = voter->queue;
       g_queue_init (&voter->queue);
       pthread_mutex_unlock (&voter->lock);
-      turn (voter, &work);
+      iterate (voter, &work);
       pthread_mutex_lock (&voter->lock);
     }
   pthread_mutex_unlock (&voter->lock);
@@ -476,7 +479,7 @@
 }
 
 static void
-push (Voter *voter, Work from)
+queue_work (Voter *voter, Work from)
 {
   Work *work = g_memdup2 (&from, sizeof from);
 
@@ -510,7 +513,7 @@
   voter->conf = (RaftConf){ .self = conf->self,
                             .voters = voter->seeds,
                             .count = conf->seed_count,
-                            .snapshot_after = LOG_MOST,
+                            .snapshot_after = SNAPSHOT_AFTER,
                             .discover = true,
                             .may_bootstrap = conf->may_bootstrap,
                             .min_voters = 2 * conf->losses + 1 };
@@ -519,14 +522,14 @@
     status = open_log (voter, error);
   if (status == FT_OK)
     {
-      keep_all (voter);
+      store_all (voter);
       publish_status (voter);
       if (pthread_create (&voter->thread, NULL, run, voter) == 0)
         {
           *out = voter;
           return FT_OK;
         }
-      status = ft_error_set (error, FT_IO, 0, "", "no thread can be started");
+      status = ft_error_set (error, FT_IO, 0, "", "cannot start a thread");
     }
   raft_free (voter->raft);
   state_free (voter->state);
@@ -552,9 +555,9 @@
   state_free (voter->state);
   disk_free (voter->disk);
   g_array_unref (voter->pending);
-  drop_document (voter->document, voter->text, voter->cat);
-  if (voter->blame.packed)
-    g_bytes_unref (voter->blame.packed);
+  unref_document (voter->document, voter->text, voter->cat);
+  if (voter->crashes.packed)
+    g_bytes_unref (voter->crashes.packed);
   if (voter->rollouts.packed)
     g_bytes_unref (voter->rollouts.packed);
   pthread_mutex_destroy (&voter->lock);
@@ -565,13 +568,13 @@
 void
 voter_receive (Voter *voter, uint32_t from, GByteArray *bytes)
 {
-  push (voter, (Work){ .kind = WORK_MESSAGE, .from = from, .bytes = bytes });
+  queue_work (voter, (Work){ .kind = WORK_MESSAGE, .from = from, .bytes = bytes });
 }
 
 void
 voter_add_peer (Voter *voter, uint32_t id)
 {
-  push (voter, (Work){ .kind = WORK_MEET, .from = id });
+  queue_work (voter, (Work){ .kind = WORK_ADD_PEER, .from = id });
 }
 
 uint64_t
@@ -582,7 +585,8 @@
 
   g_byte_array_append (bytes, g_bytes_get_data (document, NULL),
                        (guint) g_bytes_get_size (document));
-  push (voter, (Work){ .kind = WORK_PROPOSE, .ticket = ticket, .number = number, .bytes = bytes });
+  queue_work (voter,
+              (Work){ .kind = WORK_PROPOSE, .ticket = ticket, .number = number, .bytes = bytes });
   return ticket;
 }
 
@@ -593,15 +597,15 @@
   uint64_t ticket = ++voter->next_ticket;
 
   if (bytes == NULL)
-    g_error ("an operation of this instance's own cannot be packed");
-  push (voter, (Work){ .kind = WORK_PROPOSE_OP, .ticket = ticket, .bytes = bytes });
+    g_error ("a proposed operation cannot be packed");
+  queue_work (voter, (Work){ .kind = WORK_PROPOSE_OP, .ticket = ticket, .bytes = bytes });
   return ticket;
 }
 
 void
 voter_transfer_leadership (Voter *voter)
 {
-  push (voter, (Work){ .kind = WORK_HAND_OVER });
+  queue_work (voter, (Work){ .kind = WORK_TRANSFER });
 }
 
 void
@@ -646,10 +650,10 @@
 }
 
 static GBytes *
-account_of (Voter *voter, const Account *account)
+ref_table (Voter *voter, const TableCopy *table)
 {
   pthread_mutex_lock (&voter->lock);
-  GBytes *packed = account->packed ? g_bytes_ref (account->packed) : NULL;
+  GBytes *packed = table->packed ? g_bytes_ref (table->packed) : NULL;
   pthread_mutex_unlock (&voter->lock);
   return packed;
 }
@@ -657,13 +661,13 @@
 GBytes *
 voter_crash_table (Voter *voter)
 {
-  return account_of (voter, &voter->blame);
+  return ref_table (voter, &voter->crashes);
 }
 
 GBytes *
 voter_rollouts (Voter *voter)
 {
-  return account_of (voter, &voter->rollouts);
+  return ref_table (voter, &voter->rollouts);
 }
 
 uint64_t
