--- a/node/control.c
+++ b/node/control.c
@@ -1,10 +1,10 @@
-/* control.c - an instance that keeps the replicated log, and what the voter in charge does beside:
- * it answers operators, reads the platform's list for all, and schedules.
+/* control.c - a voter instance: it runs the replicated log, and while it leads with a valid lease
+ * ("in charge") it also answers operators, reads the platform's list for all, and schedules.
  *
- * What really needs agreement, the catalogue and who votes, is in the log. Scheduling is not: it
- * moves with the charge, and a successor learns from the entries what runs. A voter that hears of
- * nobody in charge reads the list itself, so that during a cut the entries that it reaches still
- * hear which servers leave.
+ * Only state that needs agreement is in the log: the catalogue, the set of voters, server crashes
+ * and roll-outs. Scheduling state is not: a new leader learns from the entries' reports what runs.
+ * A voter that knows of no leader reads the list itself, so that during a network partition the
+ * entries that it reaches still learn which servers leave.
  */
 #include "count.h"
 #include "broker.h"
@@ -23,11 +23,10 @@
 #include <errno.h>
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define TICK        (20 * FT_MS)
-#define ALONE_AFTER (900 * FT_MS) /* longer than a usual election */
-#define LEAVE_LEAST (400 * FT_MS) /* the successor is elected */
-#define LEAVE_MOST  (2 * FT_SECOND)
+#define TICK              (20 * FT_MS)
+#define NO_LEADER_TIMEOUT (900 * FT_MS) /* without a leader; longer than a usual election */
+#define LEAVE_MIN         (400 * FT_MS) /* the time in which a successor is elected */
+#define LEAVE_MAX         (2 * FT_SECOND)
 
 typedef struct
 {
@@ -47,22 +46,22 @@
   Greet *greet;
   Suspects *suspects;
   Rollouts *rollouts;
-  GHashTable *readers; /* ip of the other voters that hold the list of servers or read it */
-  unsigned entries_up, entries_down; /* links to entries since they were logged last */
+  GHashTable *readers; /* set: ip of the other voters that hold or read the list of servers */
+  unsigned entry_links_up, entry_links_down; /* changes since they were logged last */
   int64_t entries_logged_at;
   LoopTimer tick;
   VoterStatus status;
-  VoterStatus noted; /* by note_charge */
-  int64_t list_at, led_at, leaving_since;
+  VoterStatus noted_status; /* as note_leadership saw it last */
+  int64_t list_at, leader_seen_at, leaving_since;
 } Control;
 
-/* ---- Telling entries ---- */
+/* ---- Limits ---- */
 
-/* Failure: entries are cut off and give away their part of a limit themselves. Symptom: with the
- * whole limit given away here too an organisation passes it. So this accountant keeps the part of
- * the entries that it hears. */
+/* Entries that are cut off grant their share of each limit themselves. If this voter granted the
+ * whole limit too, an organisation could exceed it; so it grants only the share of the entries that
+ * are linked to it. */
 static void
-share_limits (Control *control)
+update_limit_shares (Control *control)
 {
   unsigned lost, heard = publish_count_entries (control->publish, &lost);
 
@@ -71,13 +70,13 @@
 
 /* ---- Links ---- */
 
-/* Entries come and go by the hundred, and each logs its own links; of those here only their number
- * is logged, once a second. Other voters are what this one depends on. */
+/* Logs each link to another voter. Links to entries are only counted, and the counts are logged
+ * once a second: entries come and go by the hundred, and each logs its own links. */
 static void
 log_link (Control *control, const MeshPeer *peer, bool up)
 {
   if (peer->role == MESH_ENTRY)
-    *(up ? &control->entries_up : &control->entries_down) += 1;
+    *(up ? &control->entry_links_up : &control->entry_links_down) += 1;
   else if (up)
     jlog (JLOG_INFO, "link-up", NULL, JL_INT ("peer", peer->ip), JL_INT ("dialled", peer->dialled));
   else
@@ -87,18 +86,18 @@
 }
 
 static void
-log_entries (Control *control, int64_t now)
+log_entry_links (Control *control, int64_t now)
 {
   unsigned lost, linked;
 
   if (now < control->entries_logged_at + FT_SECOND
-      || control->entries_up + control->entries_down == 0)
+      || control->entry_links_up + control->entry_links_down == 0)
     return;
   linked = publish_count_entries (control->publish, &lost);
-  jlog (JLOG_INFO, "entries", NULL, JL_INT ("up", control->entries_up),
-        JL_INT ("down", control->entries_down), JL_INT ("linked", linked),
+  jlog (JLOG_INFO, "entries", NULL, JL_INT ("up", control->entry_links_up),
+        JL_INT ("down", control->entry_links_down), JL_INT ("linked", linked),
         JL_INT ("lost_lately", lost));
-  control->entries_up = control->entries_down = 0;
+  control->entry_links_up = control->entry_links_down = 0;
   control->entries_logged_at = now;
 }
 
@@ -114,8 +113,9 @@
     voter_add_peer (control->voter, peer->ip);
   if (!peer->dialled)
     broker_link_up (control->broker, peer);
-  suspects_up (control->suspects, peer); /* before the catalogue, which lets an entry send */
-  rollouts_up (control->rollouts, peer); /* likewise */
+  /* Before the catalogue, after which an entry forwards requests. */
+  suspects_up (control->suspects, peer);
+  rollouts_up (control->rollouts, peer);
   publish_link_up (control->publish, peer);
 }
 
@@ -137,19 +137,19 @@
 }
 
 static void
-took_list (Control *control, MeshPeer *peer, ServersResult taken)
+on_list_result (Control *control, MeshPeer *peer, ServersResult result)
 {
   MeshMsg want = { .kind = MESH_WANT_LIST };
 
-  if (taken == SERVERS_APPLIED && servers_poll_changed (control->servers))
+  if (result == SERVERS_APPLIED && servers_poll_changed (control->servers))
     broker_set_servers (control->broker, control->servers);
-  else if (taken == SERVERS_UNKNOWN_BASE
+  else if (result == SERVERS_UNKNOWN_BASE
            && servers_may_request (control->servers, loop_now (control->loop)))
     mesh_send (peer, &want);
 }
 
 static void
-take_view (Control *control, const MeshPeer *peer, const MeshView *view)
+apply_view (Control *control, const MeshPeer *peer, const MeshView *view)
 {
   for (unsigned i = 0; i < view->voters.voters_len; i++)
     mesh_dial (control->mesh, view->voters.voters_val[i]);
@@ -178,23 +178,24 @@
       voter_receive (control->voter, peer->ip, bytes);
       break;
     case MESH_VIEW:
-      take_view (control, peer, view);
+      apply_view (control, peer, view);
       break;
     case MESH_LIST:
-      took_list (control, peer,
-                 servers_apply_message (control->servers, &msg->MeshMsg_u.list, now));
+      on_list_result (control, peer,
+                      servers_apply_message (control->servers, &msg->MeshMsg_u.list, now));
       break;
     case MESH_WANT_LIST:
       publish_request_list (peer);
       break;
     case MESH_PACKED_LIST:
-      took_list (control, peer,
-                 servers_apply_packed (control->servers, &msg->MeshMsg_u.packed, now));
+      on_list_result (control, peer,
+                      servers_apply_packed (control->servers, &msg->MeshMsg_u.packed, now));
       break;
     case MESH_ASK:
       if (control->leaving_since)
         {
-          publish_view (control->publish, peer); /* says so, and the entry asks another */
+          /* Its proved flag is now false, so the entry asks another voter. */
+          publish_view (control->publish, peer);
           break;
         }
       broker_message (control->broker, peer, msg);
@@ -228,9 +229,9 @@
   g_byte_array_unref (bytes);
 }
 
-/* In the log's thread. */
+/* Called in the log's thread. */
 static RtCat *
-on_read (void *host, GBytes *document, GBytes **text, FtError *error)
+on_parse (void *host, GBytes *document, GBytes **text, FtError *error)
 {
   const Control *control = host;
   RtCat *cat = NULL;
@@ -239,7 +240,7 @@
 
   *text = compress_unpack (packed, size);
   if (*text == NULL)
-    ft_error_set (error, FT_INVALID, 0, "", "it cannot be unpacked");
+    ft_error_set (error, FT_INVALID, 0, "", "the document cannot be unpacked");
   else
     control->adapter_ops->read_catalogue (g_bytes_get_data (*text, NULL), g_bytes_get_size (*text),
                                           &cat, error);
@@ -279,13 +280,13 @@
 }
 
 static void
-on_blamed (void *host)
+on_crashes_changed (void *host)
 {
   suspects_committed (((Control *) host)->suspects);
 }
 
 static void
-on_rolled (void *host)
+on_rollouts_changed (void *host)
 {
   rollouts_committed (((Control *) host)->rollouts);
 }
@@ -301,7 +302,7 @@
 }
 
 static const VoterOps voter_ops
-    = { on_read, on_send, on_committed, on_blamed, on_rolled, on_verdict };
+    = { on_parse, on_send, on_committed, on_crashes_changed, on_rollouts_changed, on_verdict };
 
 /* ---- Time ---- */
 
@@ -330,18 +331,20 @@
   publish_lists (control->publish);
 }
 
-/* Failure: all voters start at once and each reads the list before one of them is in charge.
- * Symptom: at thousands of servers their pages and the entries' together pass the platform's rate,
- * no pass ends, and nothing is served for 30 s. The first one to start reads for all; another does
- * when that one has not made itself heard until a voter is in charge. */
+/* True if this voter should read the list before a leader is known, because it has heard of no
+ * other voter that holds or reads it: the first voter to start reads for all.
+ *
+ * If all voters started reading at once, with thousands of servers their page requests together
+ * with the entries' would exceed the platform's rate limit, no read would complete, and nothing
+ * would be served for 30 s. */
 static bool
-reads_first (const Control *control)
+reads_before_leader (const Control *control)
 {
   return servers_asked_at (control->servers) == 0 && g_hash_table_size (control->readers) == 0;
 }
 
 static int64_t
-list_every (const Control *control)
+list_interval (const Control *control)
 {
   ReaderSchedule plan = { .calls = reader_last_pages (control->reader),
                           .rate = control->settings->list_rate,
@@ -352,30 +355,30 @@
 }
 
 static void
-read_list (Control *control, int64_t now)
+read_list_if_due (Control *control, int64_t now)
 {
   const VoterStatus *status = &control->status;
-  int64_t every = list_every (control);
+  int64_t interval = list_interval (control);
 
   if (status->proved || status->leader != 0)
-    control->led_at = now;
-  bool alone = now - control->led_at > ALONE_AFTER || reads_first (control);
+    control->leader_seen_at = now;
+  bool alone = now - control->leader_seen_at > NO_LEADER_TIMEOUT || reads_before_leader (control);
   if (now < control->list_at || (!status->proved && !alone))
     return;
-  control->list_at = now + every;
+  control->list_at = now + interval;
   reader_start (control->reader);
 }
 
-/* Failure: a view or a catalogue goes out just before this looks, and has taken the newest status
- * over. Symptom: compared with that, nothing has changed; the change of charge is neither logged
- * nor told at once. What was noted last is kept apart. */
+/* Logs a change of leadership and publishes it at once. The status is compared with a copy that
+ * only this function updates: control->status is also refreshed by on_committed and describe, and a
+ * change seen there first would go unnoticed. */
 static void
-note_charge (Control *control)
+note_leadership (Control *control)
 {
-  VoterStatus before = control->noted;
+  VoterStatus before = control->noted_status;
 
   voter_status (control->voter, &control->status);
-  control->noted = control->status;
+  control->noted_status = control->status;
   if (control->status.proved == before.proved && control->status.leader == before.leader
       && control->status.count == before.count && control->status.broken == before.broken)
     return;
@@ -387,7 +390,7 @@
       if (control->status.proved)
         {
           control->list_at = 0;
-          share_limits (control);
+          update_limit_shares (control);
           broker_take_over (control->broker);
         }
       publish_views (control->publish);
@@ -399,24 +402,24 @@
 {
   Control *control = (Control *) ((char *) timer - offsetof (Control, tick));
   int64_t now = loop_now (control->loop);
-  unsigned unheard;
+  unsigned lost;
 
-  note_charge (control);
-  share_limits (control);
+  note_leadership (control);
+  update_limit_shares (control);
   publish_set_state (control->publish, control->leaving_since != 0, reader_busy (control->reader));
   publish_tick (control->publish);
   suspects_tick (control->suspects);
-  publish_count_entries (control->publish, &unheard);
-  rollouts_tick (control->rollouts, unheard);
-  read_list (control, now);
-  log_entries (control, now);
+  publish_count_entries (control->publish, &lost);
+  rollouts_tick (control->rollouts, lost);
+  read_list_if_due (control, now);
+  log_entry_links (control, now);
   greet_tick (control->greet, control->status.voters, control->status.count);
   operators_tick (control->operators);
   broker_tick (control->broker);
   if (control->leaving_since
-      && ((now - control->leaving_since > LEAVE_LEAST
+      && ((now - control->leaving_since > LEAVE_MIN
            && operators_open_count (control->operators) == 0 && !control->status.proved)
-          || now - control->leaving_since > LEAVE_MOST))
+          || now - control->leaving_since > LEAVE_MAX))
     {
       jlog (JLOG_INFO, "stop", NULL, JL_MS ("after_ms", now - control->leaving_since));
       loop_stop (control->loop);
@@ -489,7 +492,7 @@
   loop_timer_stop (control->loop, &control->tick);
   voter_free (control->voter);
   operators_free (control->operators);
-  mesh_free (control->mesh); /* each link goes down, which those below hear */
+  mesh_free (control->mesh); /* calls on_down for each link, which uses the modules below */
   greet_free (control->greet);
   suspects_free (control->suspects);
   rollouts_free (control->rollouts);
@@ -556,7 +559,7 @@
       = reader_new (loop, control->cli, adapter_ops, settings->list, on_list_read, control);
   control->readers = g_hash_table_new (NULL, NULL);
   control->tick.fire = on_tick;
-  control->led_at = loop_now (loop);
+  control->leader_seen_at = loop_now (loop);
   FtStatus status = open_voter (control, error);
   if (status == FT_OK)
     {
@@ -572,7 +575,7 @@
       destroy (&control->base);
       return status;
     }
-  on_committed (control); /* what the disk held */
+  on_committed (control); /* the document loaded from disk */
   suspects_committed (control->suspects);
   rollouts_committed (control->rollouts);
   new_settings (&control->base, settings);
--- a/node/operators.c
+++ b/node/operators.c
@@ -1,9 +1,11 @@
-/* operators.c - what operators hand in is checked, proposed to the log and acknowledged once it is
- * committed; what they read is proved to be the newest. Both are the voter's in charge; another
- * voter sends the operator on to it.
+/* operators.c - the HTTP API for operators.
  *
- * A change whose number is not above the newest changes nothing and is acknowledged: it is in
- * force, or something newer is. So a change that is sent again, to whatever voter, is never
+ * A change is checked, proposed to the log and acknowledged once it is committed. Reads return the
+ * newest committed state. Both need the voter in charge; another voter redirects the operator to
+ * it.
+ *
+ * A catalogue whose version is not above the newest one changes nothing but is acknowledged, as it
+ * or a newer one is already in force. So a change that is sent again, to any voter, is never
  * refused.
  */
 #include "operators.h"
@@ -14,19 +16,18 @@
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define CHANGE_MOST (2500 * FT_MS) /* operators ask another voter after a second */
+#define CHANGE_TIMEOUT (2500 * FT_MS) /* operators retry at another voter after a second */
 
 #define SUSPECTS_PATH                                                                              \
-  "/v1/suspects" /* GET: all; DELETE with /CONTENT behind it: lets that one go */
+  "/v1/suspects" /* GET lists all; DELETE of SUSPECTS_PATH/CONTENT releases one */
 
 typedef struct
 {
   uint64_t ticket;
-  uint64_t number;   /* of a catalogue; 0: it is none */
-  RollReply rollout; /* its service NULL: it is none */
+  uint64_t number;   /* version of a catalogue; 0: not a catalogue */
+  RollReply rollout; /* service is NULL: not a roll-out */
   HCall *call;
-  int64_t until;
+  int64_t deadline;
 } Change;
 
 struct Operators
@@ -65,9 +66,9 @@
   g_free (safe_why);
 }
 
-/* Sends the operator on to the voter in charge, or says that none is known. */
+/* Redirects the operator to the voter in charge, or answers 503 if none is known. */
 static void
-pass_on (Operators *operators, HCall *call)
+redirect_to_leader (Operators *operators, HCall *call)
 {
   GString *fields;
   SockAddr to = { operators->status.leader, operators->address.port };
@@ -109,7 +110,7 @@
   rt_cat_unref (cat);
   if (!in_charge (operators))
     {
-      pass_on (operators, call);
+      redirect_to_leader (operators, call);
       return;
     }
   if (change.number <= voter_newest_number (operators->voter))
@@ -120,11 +121,11 @@
       return;
     }
   change.call = call;
-  change.until = loop_now (operators->loop) + CHANGE_MOST;
+  change.deadline = loop_now (operators->loop) + CHANGE_TIMEOUT;
   GBytes *packed = compress_pack (body->data, body->len);
   if (packed == NULL)
     {
-      reply_error (call, 503, "", "there is no memory for the change");
+      reply_error (call, 503, "", "not enough memory for the change");
       return;
     }
   change.ticket = voter_propose (operators->voter, change.number, packed);
@@ -139,7 +140,7 @@
 
   if (!in_charge (operators))
     {
-      pass_on (operators, call);
+      redirect_to_leader (operators, call);
       return;
     }
   GBytes *document = voter_document (operators->voter, &number);
@@ -161,7 +162,7 @@
   g_bytes_unref (document);
 }
 
-/* ---- Contents that end servers: calls of the product's own ---- */
+/* ---- Contents suspected of crashing servers: calls in addition to the platform's ---- */
 
 static void
 list_suspects (Operators *operators, HCall *call)
@@ -175,24 +176,24 @@
 static void
 release_suspect (Operators *operators, HCall *call, const char *text)
 {
-  Change change = { .call = call, .until = loop_now (operators->loop) + CHANGE_MOST };
+  Change change = { .call = call, .deadline = loop_now (operators->loop) + CHANGE_TIMEOUT };
   uint64_t content;
 
   if (!content_parse (text, &content))
     {
-      reply_error (call, 400, "content", "16 hexadecimal digits are wanted");
+      reply_error (call, 400, "content", "must be 16 hexadecimal digits");
       return;
     }
   change.ticket = suspects_release (operators->suspects, content);
   if (change.ticket == 0)
-    reply_error (call, 404, "content", "nothing is said against it");
+    reply_error (call, 404, "content", "is not a suspect");
   else
     g_array_append_val (operators->changes, change);
 }
 
-/* False: it is no such call. */
+/* Handles a call on suspects; false: it is another call. */
 static bool
-take_suspects_call (Operators *operators, HCall *call)
+handle_suspects_call (Operators *operators, HCall *call)
 {
   const char *method = hmsg_method (hcall_msg (call)), *target = hmsg_target (hcall_msg (call));
   bool lists = strcmp (method, "GET") == 0 && strcmp (target, SUSPECTS_PATH) == 0;
@@ -201,7 +202,7 @@
   if (!lists && !releases)
     return false;
   if (!in_charge (operators))
-    pass_on (operators, call);
+    redirect_to_leader (operators, call);
   else if (lists)
     list_suspects (operators, call);
   else
@@ -223,19 +224,19 @@
   rollcall_clear (reply);
 }
 
-/* False: it is no such call. */
+/* Handles a call on roll-outs; false: it is another call. */
 static bool
-take_rollout_call (Operators *operators, HCall *call)
+handle_rollout_call (Operators *operators, HCall *call)
 {
   const HMsg *msg = hcall_msg (call);
   RollCall kind = rollcall_of (operators->adapter_ops, hmsg_method (msg), hmsg_target (msg));
-  Change change = { .call = call, .until = loop_now (operators->loop) + CHANGE_MOST };
+  Change change = { .call = call, .deadline = loop_now (operators->loop) + CHANGE_TIMEOUT };
 
   if (kind == ROLLCALL_NONE)
     return false;
   if (!in_charge (operators))
     {
-      pass_on (operators, call);
+      redirect_to_leader (operators, call);
       return true;
     }
   rollcall_answer (operators->adapter_ops, operators->rollouts, operators->cat, kind, msg,
@@ -249,12 +250,12 @@
 }
 
 static void
-on_operator (void *owner, HCall *call)
+on_call (void *owner, HCall *call)
 {
   Operators *operators = owner;
   const HMsg *msg = hcall_msg (call);
 
-  if (take_suspects_call (operators, call) || take_rollout_call (operators, call))
+  if (handle_suspects_call (operators, call) || handle_rollout_call (operators, call))
     return;
   switch (operators->adapter_ops->call (hmsg_method (msg), hmsg_target (msg)))
     {
@@ -268,19 +269,19 @@
       hcall_reply (call, operators->leaving ? 503 : 200, NULL, "", 0);
       break;
     default:
-      reply_error (call, 404, "", "there is no such call");
+      reply_error (call, 404, "", "no such call");
       break;
     }
 }
 
 static void
-drop_change (Operators *operators, unsigned index)
+remove_change (Operators *operators, unsigned index)
 {
   g_array_remove_index_fast (operators->changes, index);
 }
 
 static void
-on_operator_gone (void *owner, HCall *call)
+on_caller_gone (void *owner, HCall *call)
 {
   Operators *operators = owner;
 
@@ -288,12 +289,12 @@
     if (g_array_index (operators->changes, Change, i).call == call)
       {
         rollcall_clear (&g_array_index (operators->changes, Change, i).rollout);
-        drop_change (operators, i);
+        remove_change (operators, i);
         return;
       }
 }
 
-static const HSrvOps operator_ops = { on_operator, on_operator_gone, NULL };
+static const HSrvOps operator_ops = { on_call, on_caller_gone, NULL };
 
 void
 operators_on_verdict (Operators *operators, uint64_t ticket, FtStatus status)
@@ -303,7 +304,7 @@
       Change change = g_array_index (operators->changes, Change, i);
       if (change.ticket != ticket)
         continue;
-      drop_change (operators, i);
+      remove_change (operators, i);
       if (change.number)
         jlog (JLOG_INFO, "change", NULL, JL_INT ("version", change.number),
               JL_TEXT ("verdict", status == FT_OK ? "committed" : ft_strerror (status)),
@@ -331,10 +332,10 @@
   for (unsigned i = operators->changes->len; i-- > 0;)
     {
       Change change = g_array_index (operators->changes, Change, i);
-      if (now < change.until)
+      if (now < change.deadline)
         continue;
       rollcall_clear (&change.rollout);
-      drop_change (operators, i);
+      remove_change (operators, i);
       reply_error (change.call, 503, "", "it is not known whether the change was accepted");
     }
 }
--- a/node/operators.h
+++ b/node/operators.h
@@ -1,4 +1,4 @@
-/* operators.h - a voter's answers to operators: catalogues handed in and read back. */
+/* operators.h - a voter's HTTP API for operators: catalogues, suspects and roll-outs. */
 #ifndef OPERATORS_H
 #define OPERATORS_H
 
@@ -10,7 +10,7 @@
 
 typedef struct Operators Operators;
 
-/* All must outlive it. */
+/* All pointers must stay valid until operators_free. */
 typedef struct
 {
   Loop *loop;
@@ -18,21 +18,21 @@
   Voter *voter;
   Suspects *suspects;
   Rollouts *rollouts;
-  SockAddr address; /* for operators; the same port on all voters */
+  SockAddr address; /* to listen on; the same port on all voters */
 } OperatorsConf;
 
 /* NULL: the address cannot be bound, errno says why. */
 Operators *operators_new (const OperatorsConf *conf);
-/* The catalogue in force, borrowed until the next call. */
+/* Sets the catalogue in force; cat must stay valid until the next call. */
 void operators_set_catalogue (Operators *operators, const RtCat *cat);
 void operators_free (Operators *operators);
-/* The end of a proposal, as VoterOps.verdict tells it. */
+/* The outcome of a proposal, see VoterOps.verdict. Tickets of other modules are ignored. */
 void operators_on_verdict (Operators *operators, uint64_t ticket, FtStatus status);
-/* Answers changes that wait for too long. Call every 20 ms or so. */
+/* Answers changes whose verdict is overdue. Call about every 20 ms. */
 void operators_tick (Operators *operators);
-/* From now on this voter accepts nothing itself. */
+/* The instance is stopping: from now on operators are redirected to another voter. */
 void operators_start_leaving (Operators *operators);
-/* Changes that wait for their verdict. */
+/* Number of changes that wait for their verdict. */
 unsigned operators_open_count (const Operators *operators);
 
 #endif
