--- a/node/bcast.c
+++ b/node/bcast.c
@@ -1,98 +1,96 @@
-/* bcast.c - who was sent which form of a message. */
+/* bcast.c - tracks which version of the message each entry was sent. */
 #include "bcast.h"
 
-/* Tuning; each row with its reason. */
-#define UNSENT_SMALL 16384 /* bytes under way to an entry beyond which nothing is added */
+#define UNSENT_MAX 16384 /* unsent bytes on a link above which nothing is added */
 
 typedef struct
 {
   MeshPeer *peer;
-  unsigned told; /* number of the form that it was sent last */
+  unsigned sent; /* number of the version sent last */
 } Contact;
 
 struct Broadcast
 {
   GBytes *(*pack) (void *host);
   void *host;
-  GPtrArray *contacts; /* Contact of each accepted link to an entry */
-  unsigned number;     /* of the newest form */
+  GPtrArray *contacts; /* a Contact for each accepted link from an entry */
+  unsigned number;     /* of the newest version */
 };
 
 Broadcast *
 bcast_new (GBytes *(*pack) (void *host), void *host)
 {
-  Broadcast *tell = g_new0 (Broadcast, 1);
+  Broadcast *bcast = g_new0 (Broadcast, 1);
 
-  tell->pack = pack;
-  tell->host = host;
-  tell->contacts = g_ptr_array_new_with_free_func (g_free);
-  return tell;
+  bcast->pack = pack;
+  bcast->host = host;
+  bcast->contacts = g_ptr_array_new_with_free_func (g_free);
+  return bcast;
 }
 
 void
-bcast_free (Broadcast *tell)
+bcast_free (Broadcast *bcast)
 {
-  if (tell == NULL)
+  if (bcast == NULL)
     return;
-  g_ptr_array_unref (tell->contacts);
-  g_free (tell);
+  g_ptr_array_unref (bcast->contacts);
+  g_free (bcast);
 }
 
 void
-bcast_changed (Broadcast *tell)
+bcast_changed (Broadcast *bcast)
 {
-  tell->number++;
+  bcast->number++;
 }
 
 static void
-send_to (const Broadcast *tell, Contact *contact, GBytes *packed)
+send_to (const Broadcast *bcast, Contact *contact, GBytes *packed)
 {
   mesh_send_packed (contact->peer, packed);
-  contact->told = tell->number;
+  contact->sent = bcast->number;
 }
 
 void
-bcast_link_up (Broadcast *tell, MeshPeer *peer, bool at_once)
+bcast_link_up (Broadcast *bcast, MeshPeer *peer, bool at_once)
 {
   if (peer->dialled || peer->role != MESH_ENTRY)
     return;
   Contact *contact = g_new0 (Contact, 1);
   contact->peer = peer;
-  contact->told = tell->number; /* nothing was ever said, unless at_once */
-  g_ptr_array_add (tell->contacts, contact);
+  contact->sent = bcast->number; /* unless at_once the message is still empty */
+  g_ptr_array_add (bcast->contacts, contact);
   if (!at_once)
     return;
-  GBytes *packed = tell->pack (tell->host);
-  send_to (tell, contact, packed);
+  GBytes *packed = bcast->pack (bcast->host);
+  send_to (bcast, contact, packed);
   g_bytes_unref (packed);
 }
 
 void
-bcast_link_down (Broadcast *tell, const MeshPeer *peer)
+bcast_link_down (Broadcast *bcast, const MeshPeer *peer)
 {
-  for (unsigned i = 0; i < tell->contacts->len; i++)
-    if (((Contact *) tell->contacts->pdata[i])->peer == peer)
+  for (unsigned i = 0; i < bcast->contacts->len; i++)
+    if (((Contact *) bcast->contacts->pdata[i])->peer == peer)
       {
-        g_ptr_array_remove_index_fast (tell->contacts, i);
+        g_ptr_array_remove_index_fast (bcast->contacts, i);
         return;
       }
 }
 
-/* Failure: an account of a thousand suspects is packed anew for each of 128 entries. Symptom: the
- * loop of the voter in charge does nothing else for 30 ms of processor time. It is packed once for
- * all. */
+/* Packs the message at most once. Packing a table of a thousand suspects for each of 128 entries
+ * took 30 ms of CPU time in the loop of the voter in charge. */
 void
-bcast_send_all (Broadcast *tell)
+bcast_send_all (Broadcast *bcast)
 {
   GBytes *packed = NULL;
 
-  for (unsigned i = 0; i < tell->contacts->len; i++)
+  for (unsigned i = 0; i < bcast->contacts->len; i++)
     {
-      Contact *contact = tell->contacts->pdata[i];
-      if (contact->told != tell->number && mesh_unsent (contact->peer) <= UNSENT_SMALL)
+      Contact *contact = bcast->contacts->pdata[i];
+      if (contact->sent != bcast->number && mesh_unsent (contact->peer) <= UNSENT_MAX)
         {
-          packed = packed ? packed : tell->pack (tell->host);
-          send_to (tell, contact, packed);
+          packed = packed ? packed : bcast->pack (bcast->host);
+          send_to (bcast, contact, packed);
         }
     }
   if (packed)
@@ -100,11 +98,11 @@
 }
 
 MeshPeer *
-bcast_find (const Broadcast *tell, uint64_t lifetime)
+bcast_find (const Broadcast *bcast, uint64_t lifetime)
 {
-  for (unsigned i = 0; i < tell->contacts->len; i++)
+  for (unsigned i = 0; i < bcast->contacts->len; i++)
     {
-      const Contact *contact = tell->contacts->pdata[i];
+      const Contact *contact = bcast->contacts->pdata[i];
       if (contact->peer->lifetime == lifetime)
         return contact->peer;
     }
--- a/node/bcast.h
+++ b/node/bcast.h
@@ -1,4 +1,4 @@
-/* bcast.h - a message that all entries linked to this voter are to know the newest form of. */
+/* bcast.h - keeps all linked entries up to date with the newest version of one message. */
 #ifndef BCAST_H
 #define BCAST_H
 
@@ -6,18 +6,17 @@
 
 typedef struct Broadcast Broadcast;
 
-/* pack: the message as it is now; the caller's reference. */
+/* pack returns the current message; the caller unrefs it. */
 Broadcast *bcast_new (GBytes *(*pack) (void *host), void *host);
-void bcast_free (Broadcast *tell);
-/* What it says has changed: whoever was sent it before is to get it again, by bcast_send_all. */
-void bcast_changed (Broadcast *tell);
-/* A link has come up or goes down. at_once: something was ever said, so it goes first on the link.
- */
-void bcast_link_up (Broadcast *tell, MeshPeer *peer, bool at_once);
-void bcast_link_down (Broadcast *tell, const MeshPeer *peer);
-/* Sends it to those who have not got its newest form, but over links that are full. */
-void bcast_send_all (Broadcast *tell);
-/* The entry of that lifetime; NULL: it is not linked. */
-MeshPeer *bcast_find (const Broadcast *tell, uint64_t lifetime);
+void bcast_free (Broadcast *bcast);
+/* The message has changed; bcast_send_all will send it to all entries again. */
+void bcast_changed (Broadcast *bcast);
+/* A link has come up or goes down. at_once: the message is not empty, so it is sent immediately. */
+void bcast_link_up (Broadcast *bcast, MeshPeer *peer, bool at_once);
+void bcast_link_down (Broadcast *bcast, const MeshPeer *peer);
+/* Sends the message to all entries that lack its newest version, except over congested links. */
+void bcast_send_all (Broadcast *bcast);
+/* The linked entry with this incarnation number; NULL: it is not linked. */
+MeshPeer *bcast_find (const Broadcast *bcast, uint64_t lifetime);
 
 #endif
--- a/node/docver.c
+++ b/node/docver.c
@@ -1,33 +1,35 @@
-/* docver.c - what changed since one of the latest versions, worked out once for all who hold it.
+/* docver.c - deltas from each of the latest versions to the newest, computed once and shared by all
+ * receivers.
  */
 #include "docver.h"
 #include "delta.h"
 
 #include <string.h>
 
-#define KEPT 8 /* versions: those of a burst of changes that a slow link has not taken yet */
+#define VERSIONS_KEPT                                                                              \
+  8 /* versions: enough for a burst of changes that a slow link has not delivered yet */
 
 typedef struct
 {
   uint64_t number; /* 0: unused */
-  GBytes *text;    /* NULL: it cannot be read */
-  GBytes *message; /* from this version to the newest; NULL: not asked for yet */
+  GBytes *text;    /* NULL: it cannot be unpacked */
+  GBytes *message; /* update from this version to the newest; NULL: not built yet */
 } Version;
 
 struct DocumentVersions
 {
-  Version versions[KEPT]; /* by number modulo KEPT */
+  Version versions[VERSIONS_KEPT]; /* indexed by number modulo VERSIONS_KEPT */
   uint64_t newest;
   GBytes *packed;  /* the newest */
-  GBytes *message; /* the whole; NULL likewise */
+  GBytes *message; /* with the whole document; NULL: not built yet */
 };
 
 static void
-clear_messages (DocumentVersions *documents)
+clear_messages (DocumentVersions *docver)
 {
-  g_clear_pointer (&documents->message, g_bytes_unref);
-  for (unsigned i = 0; i < KEPT; i++)
-    g_clear_pointer (&documents->versions[i].message, g_bytes_unref);
+  g_clear_pointer (&docver->message, g_bytes_unref);
+  for (unsigned i = 0; i < VERSIONS_KEPT; i++)
+    g_clear_pointer (&docver->versions[i].message, g_bytes_unref);
 }
 
 DocumentVersions *
@@ -37,34 +39,34 @@
 }
 
 void
-docver_free (DocumentVersions *documents)
+docver_free (DocumentVersions *docver)
 {
-  if (documents == NULL)
+  if (docver == NULL)
     return;
-  clear_messages (documents);
-  for (unsigned i = 0; i < KEPT; i++)
-    g_clear_pointer (&documents->versions[i].text, g_bytes_unref);
-  g_clear_pointer (&documents->packed, g_bytes_unref);
-  g_free (documents);
+  clear_messages (docver);
+  for (unsigned i = 0; i < VERSIONS_KEPT; i++)
+    g_clear_pointer (&docver->versions[i].text, g_bytes_unref);
+  g_clear_pointer (&docver->packed, g_bytes_unref);
+  g_free (docver);
 }
 
 void
-docver_set_newest (DocumentVersions *documents, uint64_t number, GBytes *packed, GBytes *text)
+docver_set_newest (DocumentVersions *docver, uint64_t number, GBytes *packed, GBytes *text)
 {
-  Version *version = &documents->versions[number % KEPT];
+  Version *version = &docver->versions[number % VERSIONS_KEPT];
 
-  if (number <= documents->newest)
+  if (number <= docver->newest)
     return;
-  clear_messages (documents);
-  g_clear_pointer (&documents->packed, g_bytes_unref);
+  clear_messages (docver);
+  g_clear_pointer (&docver->packed, g_bytes_unref);
   g_clear_pointer (&version->text, g_bytes_unref);
   *version = (Version){ .number = number, .text = text ? g_bytes_ref (text) : NULL };
-  documents->newest = number;
-  documents->packed = g_bytes_ref (packed);
+  docver->newest = number;
+  docver->packed = g_bytes_ref (packed);
 }
 
 static GBytes *
-pack (uint64_t number, uint64_t base, GBytes *text)
+pack_message (uint64_t number, uint64_t base, GBytes *text)
 {
   MeshMsg msg = { .kind = MESH_DOCUMENT };
   gsize size;
@@ -77,29 +79,29 @@
 }
 
 static GBytes *
-whole (DocumentVersions *documents)
+whole_message (DocumentVersions *docver)
 {
-  if (documents->message == NULL && documents->packed)
-    documents->message = pack (documents->newest, 0, documents->packed);
-  return documents->message;
+  if (docver->message == NULL && docver->packed)
+    docver->message = pack_message (docver->newest, 0, docver->packed);
+  return docver->message;
 }
 
 GBytes *
-docver_message_for (DocumentVersions *documents, uint64_t held)
+docver_message_for (DocumentVersions *docver, uint64_t held)
 {
-  Version *base = &documents->versions[held % KEPT];
-  const Version *newest = &documents->versions[documents->newest % KEPT];
+  Version *base = &docver->versions[held % VERSIONS_KEPT];
+  const Version *newest = &docver->versions[docver->newest % VERSIONS_KEPT];
 
-  if (held == 0 || held >= documents->newest || base->number != held || base->text == NULL
+  if (held == 0 || held >= docver->newest || base->number != held || base->text == NULL
       || newest->text == NULL)
-    return whole (documents);
+    return whole_message (docver);
   if (base->message == NULL)
     {
       GBytes *changes = delta_make (base->text, newest->text);
-      if (g_bytes_get_size (changes) < g_bytes_get_size (documents->packed))
-        base->message = pack (documents->newest, held, changes);
+      if (g_bytes_get_size (changes) < g_bytes_get_size (docver->packed))
+        base->message = pack_message (docver->newest, held, changes);
       else
-        base->message = g_bytes_ref (whole (documents));
+        base->message = g_bytes_ref (whole_message (docver));
       g_bytes_unref (changes);
     }
   return base->message;
--- a/node/docver.h
+++ b/node/docver.h
@@ -1,5 +1,4 @@
-/* docver.h - the newest catalogue as messages, for instances that hold an earlier one or none.
- */
+/* docver.h - builds messages that bring an instance with an older or no catalogue up to date. */
 #ifndef DOCVER_H
 #define DOCVER_H
 
@@ -8,12 +7,13 @@
 typedef struct DocumentVersions DocumentVersions;
 
 DocumentVersions *docver_new (void);
-void docver_free (DocumentVersions *documents);
-/* packed: as the log holds it (compress.h); text: unpacked, NULL: it could not be. An older number
- * changes nothing. */
-void docver_set_newest (DocumentVersions *documents, uint64_t number, GBytes *packed, GBytes *text);
-/* What brings an instance that holds version held to the newest, packed for a link: its changes if
- * these are few bytes, else the whole; held 0: it holds none. Borrowed; NULL: there is none. */
-GBytes *docver_message_for (DocumentVersions *documents, uint64_t held);
+void docver_free (DocumentVersions *versions);
+/* packed: as stored in the log (compress.h); text: unpacked, NULL: it cannot be unpacked. Ignored
+ * unless number is above the newest. */
+void docver_set_newest (DocumentVersions *versions, uint64_t number, GBytes *packed, GBytes *text);
+/* The packed message that updates an instance from version held (0: none) to the newest: a delta if
+ * it is smaller, else the whole document. NULL: there is no document. Valid until the next call of
+ * docver_set_newest or docver_free. */
+GBytes *docver_message_for (DocumentVersions *versions, uint64_t held);
 
 #endif
--- a/node/publish.c
+++ b/node/publish.c
@@ -1,42 +1,46 @@
-/* publish.c - what a voter tells the instances that are linked to it, so that each hears of a
- * change at once, and in few bytes while nothing changes.
+/* publish.c - sends state from a voter to the linked instances: changes at once, and little traffic
+ * while nothing changes.
  *
- * Everybody hears in a view who is in charge; entries get catalogues and lists of servers. How many
- * entries share the limits is counted here too, since it goes into the view.
+ * All instances get views, which name the voter in charge; entries also get catalogues and lists of
+ * servers. The entries that share the limits are counted here too, since their number is part of
+ * the view.
  */
 #include "publish.h"
 #include "docver.h"
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define VIEW_EVERY    (200 * FT_MS) /* six in the 1.3 s after which a link counts as lost */
-#define VIEW_FOLLOWER (400 * FT_MS) /* of a voter that is asked only when all others are silent */
-#define VIEW_WAITING  (40 * FT_MS)  /* a third of the silence after which an entry helps itself */
-#define ENTRIES_MOVED                                                                              \
-  16 /* part by which the number of entries must have moved to be shown again                      \
-      */
-#define LISTS_A_TICK                                                                               \
-  12 /* whole lists sent at once: 300 instances that start together have them within 0.5 s, and a  \
-        grant waits for no more than these on a voter's link */
-#define PUSHED_A_TICK                                                                              \
-  (256u << 10) /* bytes of catalogues sent at once: grants wait 2 ms behind them on a link of 1    \
-                  Gbit/s, and a thousand whole ones of 20 KB are out within 2 s */
-#define PUSH_AGAIN     (1500 * FT_MS) /* a push that its entry has not confirmed is repeated */
-#define FOLLOWER_WAITS (600 * FT_MS)  /* before a voter that is not in charge sends one */
-#define UNSENT_SMALL   16384 /* bytes under way to an entry beyond which nothing large is added */
-#define LOST_KEPT                                                                                  \
-  (12 * FT_SECOND) /* an entry that is cut off gives its part away by itself;                      \
-                      above the span of the limits, 8 s */
-#define DEPUTIES 3 /* entries that schedule when no voter does: three may not all be lost */
+#define VIEW_INTERVAL (200 * FT_MS) /* six within the 1.3 s after which a link counts as lost */
+#define FOLLOWER_VIEW_INTERVAL                                                                     \
+  (400 * FT_MS) /* from a voter not in charge, which entries use only if all others are silent */
+#define WAITING_KEEPALIVE                                                                          \
+  (40 * FT_MS) /* keep-alive while an entry waits: a third of the silence after which it           \
+             schedules without the voter */
+#define ENTRIES_CHANGE_DIVISOR                                                                     \
+  16 /* the number of entries is updated when it has changed by more than 1/16 */
+#define LISTS_PER_TICK                                                                             \
+  12 /* whole lists per tick: 300 instances that start together have them within 0.5 s, and a      \
+        grant is queued behind at most this many on a voter's network link */
+#define DOCUMENT_BYTES_PER_TICK                                                                    \
+  (256u << 10) /* bytes of catalogues per tick: they delay grants by 2 ms on a 1 Gbit/s link, and  \
+                  a thousand whole catalogues of 20 KB are sent within 2 s */
+#define RESEND_INTERVAL                                                                            \
+  (1500 * FT_MS) /* a catalogue that the entry has not confirmed is sent again */
+#define FOLLOWER_DELAY (600 * FT_MS) /* before a voter that is not in charge sends a catalogue */
+#define UNSENT_MAX     16384         /* unsent bytes on a link above which nothing large is added */
+#define LOST_ENTRY_TIME                                                                            \
+  (12 * FT_SECOND) /* an entry that is cut off still grants its share of the limits; longer than   \
+                      the limits' window of 8 s */
+#define DEPUTIES                                                                                   \
+  3 /* entries that schedule when no voter does; three are unlikely to fail together */
 
 typedef struct
 {
   MeshPeer *peer;
-  int64_t viewed_at, pushed_at, behind_since;
-  unsigned viewed, urgent; /* numbers of the view that it was sent last */
-  uint64_t pushed;         /* number of the document that it was sent last */
-  guint list_digest;       /* of the list that it was told of last */
+  int64_t view_sent_at, document_sent_at, up_to_date_at;
+  unsigned view_sent, urgent_sent; /* view_number and view_urgent of the view sent last */
+  uint64_t document_sent;          /* number of the document sent last */
+  guint list_digest;               /* of the list sent last */
   bool wants_list;
 } Contact;
 
@@ -46,24 +50,24 @@
   Voter *voter;
   Servers *servers;
   Broker *broker;
-  GPtrArray *contacts; /* Contact of each accepted link */
-  GHashTable *lost;    /* ip of an entry whose link is down: GINT of the second until it counts */
+  GPtrArray *contacts; /* a Contact for each accepted link */
+  GHashTable *lost; /* ip of an entry whose link is down: second until which it counts, as GINT */
   VoterStatus status;
   bool leaving, reading;
-  GBytes *view;         /* the newest view's message, for all */
-  unsigned view_number; /* grows with each change of the view ... */
-  unsigned view_urgent; /* ... and with each that decides whom entries ask */
-  MeshView shown;       /* as packed in view; its lists are not used */
-  guint shown_deputies;
+  GBytes *view;         /* packed message of the newest view, the same for all */
+  unsigned view_number; /* incremented with each change of the view */
+  unsigned view_urgent; /* incremented with each change that affects which scheduler entries ask */
+  MeshView published;   /* as packed in view; its array pointers must not be used */
+  guint published_deputies;
   uint32_t deputies[DEPUTIES];
   unsigned deputy_count;
   DocumentVersions *documents;
-  unsigned document_next; /* contact that is sent the newest document next, if it lacks it */
-  unsigned list_next;     /* the same of a whole list, if it wants one */
+  unsigned document_next; /* index of the last contact considered for the newest document */
+  unsigned list_next;     /* the same for a whole list */
 };
 
 static unsigned
-count_heard (const Publish *pub)
+count_linked (const Publish *pub)
 {
   unsigned count = 0;
 
@@ -76,17 +80,17 @@
 }
 
 static gboolean
-is_over (gpointer ip, gpointer second, gpointer now)
+has_expired (gpointer ip, gpointer second, gpointer now)
 {
   (void) ip;
   return GPOINTER_TO_INT (second) < GPOINTER_TO_INT (now);
 }
 
-/* Entries that share the places and limits: those heard and those lost lately. */
+/* Entries that share the places and limits: those linked and those lost recently. */
 static unsigned
 count_entries (const Publish *pub)
 {
-  return count_heard (pub) + g_hash_table_size (pub->lost);
+  return count_linked (pub) + g_hash_table_size (pub->lost);
 }
 
 static bool
@@ -110,8 +114,8 @@
   return false;
 }
 
-/* Keeps those that are still there, so that entries agree on them, and fills up with the lowest
- * addresses, so that successive voters in charge choose alike. */
+/* Keeps the deputies that are still linked, so that entries agree on them, and fills up with the
+ * lowest addresses, so that successive leaders make the same choice. */
 static void
 choose_deputies (Publish *pub)
 {
@@ -147,31 +151,34 @@
   return digest;
 }
 
+/* True if the view differs from the last one in a field that affects which scheduler entries ask or
+ * which document they need. */
 static bool
 is_urgent (const Publish *pub, const MeshView *view)
 {
-  const MeshView *shown = &pub->shown;
+  const MeshView *published = &pub->published;
 
-  return view->term != shown->term || view->leader != shown->leader || view->proved != shown->proved
-         || view->document != shown->document || view->reading != shown->reading
-         || deputies_digest (pub) != pub->shown_deputies;
+  return view->term != published->term || view->leader != published->leader
+         || view->proved != published->proved || view->document != published->document
+         || view->reading != published->reading || deputies_digest (pub) != pub->published_deputies;
 }
 
-/* Failure: a hundred entries are restarted in turn, so that their number changes many times a
- * second. Symptom: each change is a view to every entry, as many bytes as all asks together. What
- * they do by it, sharing limits out while no voter schedules, bears a sixteenth. */
+/* The number of entries for the view, which ignores changes of up to a sixteenth. When a hundred
+ * entries are restarted in turn, their number changes many times a second, and sending a view to
+ * every entry each time would cost as many bytes as all asks together. Entries use the number only
+ * to share out limits while no voter schedules, for which this precision is enough. */
 static unsigned
-steady_entries (const Publish *pub)
+entries_for_view (const Publish *pub)
 {
-  unsigned now = count_entries (pub), shown = pub->shown.entries;
-  unsigned moved = now > shown ? now - shown : shown - now;
+  unsigned now = count_entries (pub), published = pub->published.entries;
+  unsigned difference = now > published ? now - published : published - now;
 
-  return moved * ENTRIES_MOVED <= shown ? shown : now;
+  return difference * ENTRIES_CHANGE_DIVISOR <= published ? published : now;
 }
 
-/* Packs what entries are to know of this voter, and notes whether that has changed. */
+/* Packs the current view, and counts it as a new one if it has changed. */
 static void
-note_view (Publish *pub)
+update_view (Publish *pub)
 {
   MeshMsg msg = { .kind = MESH_VIEW };
   MeshView *view = &msg.MeshMsg_u.view;
@@ -184,7 +191,7 @@
   view->document = voter_newest_number (pub->voter);
   view->voters.voters_len = status->count;
   view->voters.voters_val = status->voters;
-  view->entries = steady_entries (pub);
+  view->entries = entries_for_view (pub);
   view->reading = servers_asked_at (pub->servers) > 0 || pub->reading;
   view->deputies.deputies_len = pub->deputy_count;
   view->deputies.deputies_val = pub->deputies;
@@ -198,46 +205,49 @@
   pub->view = packed;
   pub->view_number++;
   pub->view_urgent += is_urgent (pub, view);
-  pub->shown = *view;
-  pub->shown_deputies = deputies_digest (pub);
+  pub->published = *view;
+  pub->published_deputies = deputies_digest (pub);
 }
 
 static void
 send_view (Publish *pub, Contact *contact, int64_t now)
 {
-  note_view (pub);
+  update_view (pub);
   mesh_send_packed (contact->peer, pub->view);
-  contact->viewed = pub->view_number;
-  contact->urgent = pub->view_urgent;
-  contact->viewed_at = now;
+  contact->view_sent = pub->view_number;
+  contact->urgent_sent = pub->view_urgent;
+  contact->view_sent_at = now;
 }
 
-/* How many entries share the limits changes with each link; who is in charge is said at once. */
+/* Sends an urgent change at once and any other one at most once per interval; otherwise keeps the
+ * link alive. */
 static void
-show_view (Publish *pub, Contact *contact, int64_t now)
+send_view_if_due (Publish *pub, Contact *contact, int64_t now)
 {
-  int64_t every = pub->status.proved ? VIEW_EVERY : VIEW_FOLLOWER;
+  int64_t interval = pub->status.proved ? VIEW_INTERVAL : FOLLOWER_VIEW_INTERVAL;
 
-  if (contact->urgent != pub->view_urgent
-      || (contact->viewed != pub->view_number && now - contact->viewed_at >= every))
+  if (contact->urgent_sent != pub->view_urgent
+      || (contact->view_sent != pub->view_number && now - contact->view_sent_at >= interval))
     send_view (pub, contact, now);
   else if (broker_peer_waits (pub->broker, contact->peer))
-    mesh_keep_alive (contact->peer, VIEW_WAITING);
+    mesh_keep_alive (contact->peer, WAITING_KEEPALIVE);
   else
-    mesh_keep_alive (contact->peer, every);
+    mesh_keep_alive (contact->peer, interval);
 }
 
-/* The newest version that the entry has or will have, by what was sent on this link. A push that it
- * has not confirmed for long may have been against a version that it does not hold. */
+/* The version to send changes against: the newest that the entry has confirmed or was sent on this
+ * link. 0, for the whole document, if the newest was already sent but not confirmed in time: its
+ * changes may have been against a version that the entry does not hold. */
 static uint64_t
-held_by (const Contact *contact, uint64_t number)
+base_version (const Contact *contact, uint64_t number)
 {
-  return contact->pushed == number ? 0 : MAX (contact->pushed, contact->peer->document);
+  return contact->document_sent == number ? 0
+                                          : MAX (contact->document_sent, contact->peer->document);
 }
 
-/* Notes the newest; false: there is none. */
+/* Passes the newest document to docver; false: there is none. */
 static bool
-take_document (Publish *pub, uint64_t *number)
+load_newest_document (Publish *pub, uint64_t *number)
 {
   GBytes *text, *document = voter_document_text (pub->voter, number, &text);
 
@@ -250,23 +260,23 @@
   return true;
 }
 
-/* Failure: versions follow each other faster than a slow link takes them. Symptom: hundreds of them
- * wait in memory for each entry, and the newest comes last. One at a time is under way to an entry,
- * and what follows is the newest by then. Returns how many bytes were sent. */
+/* Sends the newest document unless the link is busy. If versions were queued on a link that is
+ * slower than they follow each other, hundreds would take up memory for each entry and the newest
+ * would arrive last. Returns the number of bytes sent. */
 static size_t
 send_document (Publish *pub, Contact *contact, int64_t now)
 {
   uint64_t number;
   size_t sent = 0;
 
-  if (!take_document (pub, &number) || mesh_unsent (contact->peer) > UNSENT_SMALL
-      || (contact->pushed == number && now - contact->pushed_at < PUSH_AGAIN))
+  if (!load_newest_document (pub, &number) || mesh_unsent (contact->peer) > UNSENT_MAX
+      || (contact->document_sent == number && now - contact->document_sent_at < RESEND_INTERVAL))
     return 0;
-  GBytes *message = docver_message_for (pub->documents, held_by (contact, number));
+  GBytes *message = docver_message_for (pub->documents, base_version (contact, number));
   if (message && mesh_send_packed (contact->peer, message))
     sent = g_bytes_get_size (message);
-  contact->pushed = number;
-  contact->pushed_at = now;
+  contact->document_sent = number;
+  contact->document_sent_at = now;
   return sent;
 }
 
@@ -274,11 +284,12 @@
 lacks_document (const Publish *pub, const Contact *contact, uint64_t number, int64_t now)
 {
   return contact->peer->role == MESH_ENTRY && contact->peer->document < number
-         && (pub->status.proved || now - contact->behind_since > FOLLOWER_WAITS);
+         && (pub->status.proved || now - contact->up_to_date_at > FOLLOWER_DELAY);
 }
 
-/* Failure: a change goes to a thousand entries in one turn. Symptom: the grants of that second wait
- * behind it, on the voter's link and in its loop. Some are sent it in each tick, by turns. */
+/* Sends the newest document to some of the entries, in rotation. Sending it to a thousand entries
+ * in one iteration would delay the grants of that second, both in the loop and on the network link.
+ */
 static void
 send_documents (Publish *pub, int64_t now)
 {
@@ -286,7 +297,7 @@
   unsigned all = pub->contacts->len;
   size_t sent = 0;
 
-  for (unsigned i = 0; i < all && sent < PUSHED_A_TICK; i++)
+  for (unsigned i = 0; i < all && sent < DOCUMENT_BYTES_PER_TICK; i++)
     {
       pub->document_next = (pub->document_next + 1) % all;
       Contact *contact = pub->contacts->pdata[pub->document_next];
@@ -298,7 +309,7 @@
 static void
 send_list (Publish *pub, Contact *contact, int64_t now)
 {
-  if (servers_asked_at (pub->servers) == 0 || mesh_unsent (contact->peer) > UNSENT_SMALL)
+  if (servers_asked_at (pub->servers) == 0 || mesh_unsent (contact->peer) > UNSENT_MAX)
     return;
   servers_send (pub->servers, contact->peer, now, contact->list_digest);
   contact->list_digest = servers_digest (pub->servers);
@@ -307,7 +318,7 @@
 static bool
 send_whole_list (Publish *pub, Contact *contact, int64_t now)
 {
-  if (!contact->wants_list || mesh_unsent (contact->peer) > UNSENT_SMALL
+  if (!contact->wants_list || mesh_unsent (contact->peer) > UNSENT_MAX
       || !servers_send_whole (pub->servers, contact->peer, now))
     return false;
   contact->wants_list = false;
@@ -315,15 +326,15 @@
   return true;
 }
 
-/* Failure: after a start of everything hundreds of entries want the whole list at once. Symptom:
- * a voter sends nothing but lists for seconds, and nobody is scheduled. Some are sent in each tick,
- * by turns; entries can serve before, since a grant says where its server is. */
+/* Sends the whole list to some of the entries that want it, in rotation. After a start of the whole
+ * deployment hundreds want it at once, and sending all of them would hold up scheduling for
+ * seconds. Entries can serve without it, since a grant contains the server's address. */
 static void
 send_whole_lists (Publish *pub, int64_t now)
 {
   unsigned sent = 0, all = pub->contacts->len;
 
-  for (unsigned i = 0; i < all && sent < LISTS_A_TICK; i++)
+  for (unsigned i = 0; i < all && sent < LISTS_PER_TICK; i++)
     {
       pub->list_next = (pub->list_next + 1) % all;
       sent += send_whole_list (pub, pub->contacts->pdata[pub->list_next], now);
@@ -331,24 +342,24 @@
 }
 
 static void
-push_all (Publish *pub, void (*send) (Publish *, Contact *, int64_t))
+send_to_all (Publish *pub, void (*send) (Publish *, Contact *, int64_t))
 {
   for (unsigned i = 0; i < pub->contacts->len; i++)
     send (pub, pub->contacts->pdata[i], loop_now (pub->loop));
 }
 
 static void
-tick_contacts (Publish *pub, int64_t now)
+update_contacts (Publish *pub, int64_t now)
 {
   uint64_t number = voter_newest_number (pub->voter);
 
-  note_view (pub);
+  update_view (pub);
   for (unsigned i = 0; i < pub->contacts->len; i++)
     {
       Contact *contact = pub->contacts->pdata[i];
-      show_view (pub, contact, now);
+      send_view_if_due (pub, contact, now);
       if (contact->peer->document >= number)
-        contact->behind_since = now;
+        contact->up_to_date_at = now;
     }
 }
 
@@ -403,13 +414,13 @@
 void
 publish_link_down (Publish *pub, MeshPeer *peer)
 {
-  int64_t until = loop_now (pub->loop) + LOST_KEPT;
+  int64_t expires_at = loop_now (pub->loop) + LOST_ENTRY_TIME;
 
   if (peer->user == NULL)
     return;
   if (peer->role == MESH_ENTRY && !peer->leaving)
     g_hash_table_insert (pub->lost, GUINT_TO_POINTER (peer->ip),
-                         GINT_TO_POINTER ((int) (until / FT_SECOND)));
+                         GINT_TO_POINTER ((int) (expires_at / FT_SECOND)));
   g_ptr_array_remove_fast (pub->contacts, peer->user);
   peer->user = NULL;
 }
@@ -440,7 +451,7 @@
 void
 publish_views (Publish *pub)
 {
-  push_all (pub, send_view);
+  send_to_all (pub, send_view);
 }
 
 void
@@ -448,7 +459,7 @@
 {
   uint64_t number;
 
-  if (!take_document (pub, &number))
+  if (!load_newest_document (pub, &number))
     return;
   voter_status (pub->voter, &pub->status);
   send_documents (pub, loop_now (pub->loop));
@@ -457,7 +468,7 @@
 void
 publish_lists (Publish *pub)
 {
-  push_all (pub, send_list);
+  send_to_all (pub, send_list);
 }
 
 void
@@ -465,9 +476,9 @@
 {
   int64_t now = loop_now (pub->loop);
 
-  g_hash_table_foreach_remove (pub->lost, is_over, GINT_TO_POINTER ((int) (now / FT_SECOND)));
+  g_hash_table_foreach_remove (pub->lost, has_expired, GINT_TO_POINTER ((int) (now / FT_SECOND)));
   choose_deputies (pub);
-  tick_contacts (pub, now);
+  update_contacts (pub, now);
   send_documents (pub, now);
   send_whole_lists (pub, now);
 }
@@ -477,5 +488,5 @@
 {
   if (lost)
     *lost = g_hash_table_size (pub->lost);
-  return count_heard (pub);
+  return count_linked (pub);
 }
