--- a/node/compress.c
+++ b/node/compress.c
@@ -1,14 +1,15 @@
-/* compress.c - a length and a zlib stream.
+/* compress.c - the compressed form is the length of the text (32 bits, little-endian) and a zlib
+ * stream.
  *
- * A catalogue of several hundred routes is 100 to 200 KB of JSON that says the same names over and
- * over; it shrinks to a tenth. One goes to every entry at each change, and the log keeps many.
+ * A catalogue of several hundred routes is 100 to 200 KB of JSON that repeats the same names, and
+ * compresses to a tenth. Each change is sent to every entry, and the log keeps many versions.
  */
 #include "compress.h"
 
 #include <string.h>
 #include <zlib.h>
 
-#define LEVEL 3 /* a third of the time of the default for a few per cent more bytes */
+#define ZLIB_LEVEL 3 /* a third of the default level's CPU time for a few per cent more bytes */
 
 GBytes *
 compress_pack (const void *text, size_t size)
@@ -18,7 +19,7 @@
   uint32_t length = GUINT32_TO_LE ((uint32_t) size);
 
   memcpy (out, &length, sizeof length);
-  if (compress2 (out + sizeof length, &bound, text, (uLong) size, LEVEL) != Z_OK)
+  if (compress2 (out + sizeof length, &bound, text, (uLong) size, ZLIB_LEVEL) != Z_OK)
     {
       g_free (out);
       return NULL;
--- a/node/docver.c
+++ b/node/docver.c
@@ -6,8 +6,7 @@
 
 #include <string.h>
 
-#define VERSIONS_KEPT                                                                              \
-  8 /* versions: enough for a burst of changes that a slow link has not delivered yet */
+#define VERSIONS_KEPT 8 /* enough for a burst of changes that a slow link has not delivered yet */
 
 typedef struct
 {
--- a/node/greet.c
+++ b/node/greet.c
@@ -1,12 +1,14 @@
-/* greet.c - a voter that starts dials the entries that it knew and names the voters to them.
+/* greet.c - after its start a voter connects to the entries that it knew before and sends them the
+ * addresses of the voters ("greets" them).
  *
- * Failure: all machines lose power and come back one after the other. Symptom: entries know the
- * addresses of their seeds only, and wait for these while a majority of the voters is up. An entry
- * that is greeted dials the voters that it is told; the link that told it carries nothing else and
- * is closed then. Nobody is greeted later: entries that run know the voters.
+ * When all machines lose power and come back one after the other, entries know only the addresses
+ * of their seeds and would wait for these even while a majority of the voters is up. A greeted
+ * entry dials the voters that it was sent; the greeting link carries nothing else and is closed
+ * then. Entries are greeted only in the first seconds, since running entries know the voters.
  *
- * The file has one IPv4 address a line, the one that was linked last first. It is not synced: after
- * a loss of power it may be older, empty or cut, and entries then find the seeds as without it.
+ * The file has one IPv4 address per line, the most recently linked one first. It is not synced:
+ * after a power failure it may be old, empty or truncated, and entries then find the voters through
+ * the seeds alone.
  */
 #include "greet.h"
 #include "count.h"
@@ -18,21 +20,20 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Tuning; each row with its reason. */
-#define DIALS_A_TICK 16               /* 16 of 20 ms are 800 connections a second */
-#define AGAIN        (200 * FT_MS)    /* of one address: machines start within some 0.5 s */
-#define GREET_FOR    (10 * FT_SECOND) /* entries that start later find the seeds up */
-#define SAVE_EVERY   (5 * FT_SECOND)  /* entries come and go by the hundred */
-#define LINE_MOST    16               /* 255.255.255.255 and its end */
-#define FILE_MOST    (GREET_ADDRESSES_MAX * LINE_MOST)
-#define NAME         "entries"
-#define MULTICAST    0xe0000000u /* from here on no address is an instance's */
+#define DIALS_PER_TICK  16               /* 16 per 20 ms are 800 connections a second */
+#define DIAL_INTERVAL   (200 * FT_MS)    /* per address: machines start within 0.5 s */
+#define GREETING_TIME   (10 * FT_SECOND) /* entries that start later find the seeds running */
+#define SAVE_INTERVAL   (5 * FT_SECOND)  /* entries change by the hundred */
+#define LINE_MAX_SIZE   16               /* 255.255.255.255 and a newline */
+#define FILE_MAX_SIZE   (GREET_ADDRESSES_MAX * LINE_MAX_SIZE)
+#define FILE_NAME       "entries"
+#define FIRST_MULTICAST 0xe0000000u /* 224.0.0.0; no instance has an address from here on */
 
 typedef struct
 {
   uint32_t ip;
-  bool met;    /* a link to it was up in this process's life ... */
-  bool linked; /* ... that it had dialled */
+  bool reached; /* a link to it was up at some time since this process started */
+  bool linked;  /* such a link was dialled by the entry */
   int64_t next_try;
 } Known;
 
@@ -41,13 +42,13 @@
   Loop *loop;
   Mesh *mesh;
   uint32_t self;
-  char *file, *fresh; /* fresh: the next file until it is whole */
-  GArray *known;      /* Known; those linked last are at the end */
-  unsigned next;      /* the one that may be dialled next */
+  char *file, *new_file; /* new_file is written first and renamed to file */
+  GArray *known;         /* Known; the most recently linked at the end */
+  unsigned next;         /* index of the last one considered for dialling */
   uint32_t voters[MESH_VOTERS_MOST];
   unsigned voter_count, greeted;
   int64_t ends_at, save_at;
-  bool over, changed;
+  bool ended, changed;
 };
 
 static Known *
@@ -62,28 +63,28 @@
 /* ---- The file ---- */
 
 static void
-log_file (const char *why, unsigned left_out)
+log_file_problem (const char *why, unsigned left_out)
 {
   jlog (JLOG_WARN, "entries-file", NULL, JL_TEXT ("why", why), JL_INT ("left_out", left_out));
 }
 
-/* NULL: it is missing, or cannot be read, which is logged. */
+/* NULL: the file is missing, or cannot be read, which is logged. */
 static GString *
 read_file (const char *path)
 {
-  GString *text = g_string_sized_new (FILE_MOST + 1);
+  GString *text = g_string_sized_new (FILE_MAX_SIZE + 1);
   ssize_t got = 0;
   int file = open (path, O_RDONLY | O_CLOEXEC);
 
   if (file < 0 && errno == ENOENT)
     goto none;
-  while (file >= 0 && text->len <= FILE_MOST
-         && (got = read (file, text->str + text->len, FILE_MOST + 1 - text->len)) > 0)
+  while (file >= 0 && text->len <= FILE_MAX_SIZE
+         && (got = read (file, text->str + text->len, FILE_MAX_SIZE + 1 - text->len)) > 0)
     g_string_set_size (text, text->len + (gsize) got);
   if (file < 0 || got < 0)
-    log_file (g_strerror (errno), 0);
-  else if (text->len > FILE_MOST)
-    log_file ("it is too long", 0);
+    log_file_problem (g_strerror (errno), 0);
+  else if (text->len > FILE_MAX_SIZE)
+    log_file_problem ("the file is too long", 0);
   else
     {
       close (file);
@@ -96,19 +97,19 @@
   return NULL;
 }
 
-/* 0: not the address of another instance that is not held yet. */
+/* Parses a line; 0: it is invalid, this instance's own address, or already known. */
 static uint32_t
-read_address (const Greet *greet, const char *line)
+parse_line (const Greet *greet, const char *line)
 {
   struct in_addr addr;
 
   if (inet_pton (AF_INET, line, &addr) != 1)
     return 0;
   uint32_t ip = ntohl (addr.s_addr);
-  return ip == greet->self || ip >= MULTICAST || find (greet, ip) ? 0 : ip;
+  return ip == greet->self || ip >= FIRST_MULTICAST || find (greet, ip) ? 0 : ip;
 }
 
-/* A last line without its end may be a part of an address. */
+/* Skips a last line without a newline, which may be a truncated address. */
 static void
 load (Greet *greet)
 {
@@ -124,7 +125,7 @@
       if (stop)
         {
           *stop = '\0';
-          known.ip = read_address (greet, line);
+          known.ip = parse_line (greet, line);
         }
       if (known.ip && greet->known->len < GREET_ADDRESSES_MAX)
         g_array_prepend_val (greet->known, known);
@@ -133,7 +134,7 @@
       line = stop ? stop + 1 : end;
     }
   if (left_out)
-    log_file ("lines without an address of its own", left_out);
+    log_file_problem ("lines without a new valid address", left_out);
   g_string_free (text, TRUE);
 }
 
@@ -162,8 +163,8 @@
       struct in_addr addr = { htonl (g_array_index (greet->known, Known, i).ip) };
       g_string_append_printf (text, "%s\n", inet_ntop (AF_INET, &addr, line, sizeof line));
     }
-  if (!write_text (greet->fresh, text) || rename (greet->fresh, greet->file) != 0)
-    log_file (g_strerror (errno), greet->known->len);
+  if (!write_text (greet->new_file, text) || rename (greet->new_file, greet->file) != 0)
+    log_file_problem (g_strerror (errno), greet->known->len);
   greet->changed = false;
   g_string_free (text, TRUE);
 }
@@ -171,7 +172,7 @@
 /* ---- Greeting ---- */
 
 static void
-send_view (const Greet *greet, MeshPeer *peer)
+send_voters (const Greet *greet, MeshPeer *peer)
 {
   MeshMsg msg = { .kind = MESH_VIEW };
   MeshView *view = &msg.MeshMsg_u.view;
@@ -183,34 +184,34 @@
 }
 
 static void
-dial_some (Greet *greet, int64_t now)
+dial_due (Greet *greet, int64_t now)
 {
   unsigned dialled = 0, all = greet->known->len;
 
-  for (unsigned i = 0; i < all && dialled < DIALS_A_TICK; i++)
+  for (unsigned i = 0; i < all && dialled < DIALS_PER_TICK; i++)
     {
       greet->next = (greet->next + 1) % all;
       Known *known = &g_array_index (greet->known, Known, greet->next);
       if (known->linked || now < known->next_try)
         continue;
-      known->next_try = now + AGAIN;
+      known->next_try = now + DIAL_INTERVAL;
       dialled += mesh_dial_once (greet->mesh, known->ip);
     }
 }
 
-/* Addresses at which nobody has answered are not kept. */
+/* Ends the greeting phase and drops the addresses that have not answered. */
 static void
-end (Greet *greet)
+end_greeting (Greet *greet)
 {
   unsigned all = greet->known->len, linked = 0;
 
-  greet->over = true;
+  greet->ended = true;
   for (unsigned i = all; i-- > 0;)
     {
       const Known *known = &g_array_index (greet->known, Known, i);
       linked += known->linked;
       mesh_hang_up (greet->mesh, known->ip);
-      if (!known->met)
+      if (!known->reached)
         {
           g_array_remove_index (greet->known, i);
           greet->changed = true;
@@ -221,11 +222,11 @@
           JL_INT ("linked", linked), JL_INT ("dropped", all - greet->known->len));
 }
 
-/* An entry has dialled this voter. */
+/* Moves an entry that has dialled this voter to the end of the array. */
 static void
 remember (Greet *greet, uint32_t ip)
 {
-  Known *known = find (greet, ip), moved = { .ip = ip, .met = true, .linked = true };
+  Known *known = find (greet, ip), moved = { .ip = ip, .reached = true, .linked = true };
 
   if (known)
     g_array_remove_index (greet->known, (guint) (known - (Known *) greet->known->data));
@@ -248,11 +249,11 @@
   greet->loop = loop;
   greet->mesh = mesh;
   greet->self = self;
-  greet->file = g_build_filename (folder, NAME, NULL);
-  greet->fresh = g_strconcat (greet->file, ".new", NULL);
+  greet->file = g_build_filename (folder, FILE_NAME, NULL);
+  greet->new_file = g_strconcat (greet->file, ".new", NULL);
   greet->known = g_array_new (FALSE, FALSE, sizeof (Known));
-  greet->ends_at = now + GREET_FOR;
-  greet->save_at = now + SAVE_EVERY;
+  greet->ends_at = now + GREETING_TIME;
+  greet->save_at = now + SAVE_INTERVAL;
   load (greet);
   return greet;
 }
@@ -266,7 +267,7 @@
     save (greet);
   g_array_unref (greet->known);
   g_free (greet->file);
-  g_free (greet->fresh);
+  g_free (greet->new_file);
   g_free (greet);
 }
 
@@ -284,15 +285,15 @@
   if (greet_is_greeting_link (peer))
     {
       if (known)
-        known->met = true;
+        known->reached = true;
       greet->greeted++;
-      send_view (greet, peer);
+      send_voters (greet, peer);
       return true;
     }
   if (peer->role == MESH_ENTRY)
     remember (greet, peer->ip);
   else if (peer->dialled)
-    mesh_dial (greet->mesh, peer->ip); /* a voter has an entry's address now: its link is kept */
+    mesh_dial (greet->mesh, peer->ip); /* an entry's address is now a voter's: keep the link */
   return false;
 }
 
@@ -303,13 +304,13 @@
 
   greet->voter_count = MIN (count, MESH_VOTERS_MOST);
   memcpy (greet->voters, voters, greet->voter_count * sizeof *voters);
-  if (!greet->over && now >= greet->ends_at)
-    end (greet);
-  if (!greet->over && count > 0)
-    dial_some (greet, now);
+  if (!greet->ended && now >= greet->ends_at)
+    end_greeting (greet);
+  if (!greet->ended && count > 0)
+    dial_due (greet, now);
   if (greet->changed && now >= greet->save_at)
     {
-      greet->save_at = now + SAVE_EVERY;
+      greet->save_at = now + SAVE_INTERVAL;
       save (greet);
     }
 }
--- a/node/main.c
+++ b/node/main.c
@@ -1,4 +1,4 @@
-/* main.c - foxtailnode: one instance of a deployment whose members are found, not configured. */
+/* main.c - foxtailnode: one instance of a deployment whose members discover each other. */
 #include "count.h"
 #include "hsrv.h"
 #include "instance.h"
@@ -15,9 +15,9 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-#define SETTINGS_VARIABLE "FOXTAILGRADE_CONFIG"
-#define SETTINGS_EVERY    (1 * FT_SECOND) /* a file that changes without a signal is noticed then */
-#define SLOW_TURN         (50 * FT_MS) /* longer turns are logged: grants are awaited for 120 ms */
+#define SETTINGS_VARIABLE       "FOXTAILGRADE_CONFIG"
+#define SETTINGS_CHECK_INTERVAL (1 * FT_SECOND) /* for a change without a signal */
+#define SLOW_ITERATION          (50 * FT_MS) /* longer ones are logged: grants are awaited for 120 ms */
 
 typedef struct
 {
@@ -27,8 +27,8 @@
   Instance *instance;
   HSrv *metrics;
   LoopFd signals;
-  LoopTimer watch;
-  struct timespec changed;
+  LoopTimer settings_timer;
+  struct timespec modified_at;
 } Process;
 
 static void
@@ -45,7 +45,7 @@
 /* ---- Settings that change ---- */
 
 static struct timespec
-changed_at (const char *file)
+modification_time (const char *file)
 {
   struct stat found = { 0 };
 
@@ -60,7 +60,7 @@
   FtError error = { 0 };
   Settings *settings = NULL;
 
-  process->changed = changed_at (process->file);
+  process->modified_at = modification_time (process->file);
   if (settings_read (process->file, &settings, &error) != FT_OK)
     {
       jlog (JLOG_ERROR, "reload-failed", NULL, JL_TEXT ("field", error.field),
@@ -73,14 +73,14 @@
 }
 
 static void
-on_watch (LoopTimer *timer)
+on_settings_timer (LoopTimer *timer)
 {
-  Process *process = (Process *) ((char *) timer - offsetof (Process, watch));
-  struct timespec now = changed_at (process->file);
+  Process *process = (Process *) ((char *) timer - offsetof (Process, settings_timer));
+  struct timespec now = modification_time (process->file);
 
-  if (now.tv_sec != process->changed.tv_sec || now.tv_nsec != process->changed.tv_nsec)
+  if (now.tv_sec != process->modified_at.tv_sec || now.tv_nsec != process->modified_at.tv_nsec)
     reload (process, "the file has changed");
-  loop_timer_set (process->loop, timer, loop_now (process->loop) + SETTINGS_EVERY);
+  loop_timer_set (process->loop, timer, loop_now (process->loop) + SETTINGS_CHECK_INTERVAL);
 }
 
 static void
@@ -128,24 +128,25 @@
 /* ---- Start and end ---- */
 
 static void
-each_turn (void *data)
+flush_log (void *data)
 {
   (void) data;
   jlog_flush (false);
 }
 
-/* What a turn does late, all that waits for this instance gets late. */
+/* Records how long an iteration of the loop took and how late it began, since that delays all who
+ * wait for this instance. */
 static void
-on_turned (void *data, const LoopTurn *turn)
+on_iteration (void *data, const LoopTurn *iteration)
 {
   (void) data;
-  count_observe (TIMED_TURN, turn->took_us);
-  if (turn->late_us >= 0)
-    count_observe (TIMED_LATE, turn->late_us);
-  if (turn->took_us >= SLOW_TURN)
-    jlog (JLOG_INFO, "slow-turn", NULL, JL_MS ("took_ms", turn->took_us),
-          JL_MS ("late_ms", turn->late_us), JL_TEXT ("longest", turn->longest),
-          JL_MS ("longest_ms", turn->longest_us));
+  count_observe (TIMED_TURN, iteration->took_us);
+  if (iteration->late_us >= 0)
+    count_observe (TIMED_LATE, iteration->late_us);
+  if (iteration->took_us >= SLOW_ITERATION)
+    jlog (JLOG_INFO, "slow-turn", NULL, JL_MS ("took_ms", iteration->took_us),
+          JL_MS ("late_ms", iteration->late_us), JL_TEXT ("longest", iteration->longest),
+          JL_MS ("longest_ms", iteration->longest_us));
 }
 
 static bool
@@ -165,7 +166,7 @@
 }
 
 static FtStatus
-open_all (Process *process, FtError *error)
+open_instance (Process *process, FtError *error)
 {
   const Settings *s = process->settings;
   SockAddr metrics = { s->ip, (uint16_t) s->metrics_port };
@@ -205,13 +206,14 @@
       result = 0;
       goto out;
     }
-  if (open_all (&process, &error) != FT_OK)
+  if (open_instance (&process, &error) != FT_OK)
     goto out;
-  process.changed = changed_at (file);
-  process.watch.fire = on_watch;
-  loop_timer_set (process.loop, &process.watch, loop_now (process.loop) + SETTINGS_EVERY);
-  loop_each_turn (process.loop, each_turn, NULL);
-  loop_watch (process.loop, on_turned, NULL);
+  process.modified_at = modification_time (file);
+  process.settings_timer.fire = on_settings_timer;
+  loop_timer_set (process.loop, &process.settings_timer,
+                  loop_now (process.loop) + SETTINGS_CHECK_INTERVAL);
+  loop_each_turn (process.loop, flush_log, NULL);
+  loop_watch (process.loop, on_iteration, NULL);
   loop_run (process.loop);
   jlog (JLOG_INFO, "stopped", NULL, JL_INT ("lines", jlog_written ()),
         JL_INT ("lines_dropped", jlog_dropped ()));
--- a/node/publish.c
+++ b/node/publish.c
@@ -14,8 +14,7 @@
 #define FOLLOWER_VIEW_INTERVAL                                                                     \
   (400 * FT_MS) /* from a voter not in charge, which entries use only if all others are silent */
 #define WAITING_KEEPALIVE                                                                          \
-  (40 * FT_MS) /* keep-alive while an entry waits: a third of the silence after which it           \
-             schedules without the voter */
+  (40 * FT_MS) /* a third of the silence after which a waiting entry does without the voter */
 #define ENTRIES_CHANGE_DIVISOR                                                                     \
   16 /* the number of entries is updated when it has changed by more than 1/16 */
 #define LISTS_PER_TICK                                                                             \
@@ -32,7 +31,7 @@
   (12 * FT_SECOND) /* an entry that is cut off still grants its share of the limits; longer than   \
                       the limits' window of 8 s */
 #define DEPUTIES                                                                                   \
-  3 /* entries that schedule when no voter does; three are unlikely to fail together */
+  3 /* entries that schedule when no voter does: three are unlikely to fail together */
 
 typedef struct
 {
--- a/node/voter.c
+++ b/node/voter.c
@@ -14,10 +14,9 @@
 #include <sys/random.h>
 #include <time.h>
 
-#define TICK_US (20 * 1000) /* a fifth of the log's heartbeat interval */
-#define REOPEN_INTERVAL                                                                            \
-  (500 * FT_MS)           /* retry interval after a write error: space may have been freed */
-#define SNAPSHOT_AFTER 48 /* packed documents of 10 to 100 KB each: the log stays below 10 MB */
+#define TICK_US         (20 * 1000)   /* a fifth of the log's heartbeat interval */
+#define REOPEN_INTERVAL (500 * FT_MS) /* after a write error: space may have been freed */
+#define SNAPSHOT_AFTER  48 /* packed documents of 10 to 100 KB each: the log stays below 10 MB */
 
 typedef enum
 {
