--- a/node/adapter.c
+++ b/node/adapter.c
@@ -1,4 +1,4 @@
-/* adapter_ops.c - frees the records of adapter_ops.h. */
+/* adapter.c - frees the records of adapter.h. */
 #include "adapter.h"
 
 void
--- a/node/adapter.h
+++ b/node/adapter.h
@@ -1,4 +1,4 @@
-/* adapter_ops.h - interface between an instance and the platform that it is deployed on.
+/* adapter.h - interface between an instance and the platform that it is deployed on.
  *
  * Each platform has its own header names, formats and API calls. An adapter translates them to and
  * from the types below and makes no decisions; all other code is independent of the platform.
@@ -112,16 +112,16 @@
   /* Parses an order. On FT_OK the caller frees it with adapter_rollout_clear. Errors name the
    * field. */
   FtStatus (*read_rollout) (const char *text, size_t size, AdapterRollout *out, FtError *error);
-  /* The service that a ADAPTER_CALL_ROLLOUT_STATE names; g_free. */
+  /* The service that an ADAPTER_CALL_ROLLOUT_STATE names; g_free. */
   char *(*rollout_service) (const char *target);
-  /* Appends the answer to a ADAPTER_CALL_ROLLOUT_STATE. */
+  /* Appends the answer to an ADAPTER_CALL_ROLLOUT_STATE. */
   void (*write_rollout) (GString *out, AdapterRolloutState state, const char *target);
   /* ---- documents ---- */
   /* Parses and checks a complete catalogue; the caller owns *out. Errors name the field. */
   FtStatus (*read_catalogue) (const char *text, size_t size, RtCat **out, FtError *error);
   /* The request for one page of the list of servers; page NULL: the first. */
   void (*write_list_request) (GString *out, SockAddr host, const char *page);
-  /* Appends a AdapterServer to servers for each entry of a page; *next is the token of the next
+  /* Appends an AdapterServer to servers for each entry of a page; *next is the token of the next
    * page, g_free, NULL: none. An invalid entry is skipped and counted in *malformed, and error
    * describes the first one; the call fails only if the page itself cannot be parsed. */
   FtStatus (*read_list) (const char *text, size_t size, GArray *servers, char **next,
--- a/node/bcast.c
+++ b/node/bcast.c
@@ -1,7 +1,7 @@
 /* bcast.c - tracks which version of the message each entry was sent. */
 #include "bcast.h"
 
-#define UNSENT_MAX 16384 /* unsent bytes on a link above which nothing is added */
+#define UNSENT_SMALL 16384 /* bytes under way to an entry beyond which nothing is added */
 
 typedef struct
 {
@@ -13,7 +13,7 @@
 {
   GBytes *(*pack) (void *host);
   void *host;
-  GPtrArray *contacts; /* a Contact for each accepted link from an entry */
+  GPtrArray *contacts; /* Contact of each accepted link to an entry */
   unsigned number;     /* of the newest version */
 };
 
@@ -87,7 +87,7 @@
   for (unsigned i = 0; i < bcast->contacts->len; i++)
     {
       Contact *contact = bcast->contacts->pdata[i];
-      if (contact->sent != bcast->number && mesh_unsent (contact->peer) <= UNSENT_MAX)
+      if (contact->sent != bcast->number && mesh_unsent (contact->peer) <= UNSENT_SMALL)
         {
           packed = packed ? packed : bcast->pack (bcast->host);
           send_to (bcast, contact, packed);
--- a/node/docver.c
+++ b/node/docver.c
@@ -24,11 +24,11 @@
 };
 
 static void
-clear_messages (DocumentVersions *docver)
+clear_messages (DocumentVersions *documents)
 {
-  g_clear_pointer (&docver->message, g_bytes_unref);
+  g_clear_pointer (&documents->message, g_bytes_unref);
   for (unsigned i = 0; i < VERSIONS_KEPT; i++)
-    g_clear_pointer (&docver->versions[i].message, g_bytes_unref);
+    g_clear_pointer (&documents->versions[i].message, g_bytes_unref);
 }
 
 DocumentVersions *
@@ -38,30 +38,30 @@
 }
 
 void
-docver_free (DocumentVersions *docver)
+docver_free (DocumentVersions *documents)
 {
-  if (docver == NULL)
+  if (documents == NULL)
     return;
-  clear_messages (docver);
+  clear_messages (documents);
   for (unsigned i = 0; i < VERSIONS_KEPT; i++)
-    g_clear_pointer (&docver->versions[i].text, g_bytes_unref);
-  g_clear_pointer (&docver->packed, g_bytes_unref);
-  g_free (docver);
+    g_clear_pointer (&documents->versions[i].text, g_bytes_unref);
+  g_clear_pointer (&documents->packed, g_bytes_unref);
+  g_free (documents);
 }
 
 void
-docver_set_newest (DocumentVersions *docver, uint64_t number, GBytes *packed, GBytes *text)
+docver_set_newest (DocumentVersions *documents, uint64_t number, GBytes *packed, GBytes *text)
 {
-  Version *version = &docver->versions[number % VERSIONS_KEPT];
+  Version *version = &documents->versions[number % VERSIONS_KEPT];
 
-  if (number <= docver->newest)
+  if (number <= documents->newest)
     return;
-  clear_messages (docver);
-  g_clear_pointer (&docver->packed, g_bytes_unref);
+  clear_messages (documents);
+  g_clear_pointer (&documents->packed, g_bytes_unref);
   g_clear_pointer (&version->text, g_bytes_unref);
   *version = (Version){ .number = number, .text = text ? g_bytes_ref (text) : NULL };
-  docver->newest = number;
-  docver->packed = g_bytes_ref (packed);
+  documents->newest = number;
+  documents->packed = g_bytes_ref (packed);
 }
 
 static GBytes *
@@ -78,29 +78,29 @@
 }
 
 static GBytes *
-whole_message (DocumentVersions *docver)
+whole_message (DocumentVersions *documents)
 {
-  if (docver->message == NULL && docver->packed)
-    docver->message = pack_message (docver->newest, 0, docver->packed);
-  return docver->message;
+  if (documents->message == NULL && documents->packed)
+    documents->message = pack_message (documents->newest, 0, documents->packed);
+  return documents->message;
 }
 
 GBytes *
-docver_message_for (DocumentVersions *docver, uint64_t held)
+docver_message_for (DocumentVersions *documents, uint64_t held)
 {
-  Version *base = &docver->versions[held % VERSIONS_KEPT];
-  const Version *newest = &docver->versions[docver->newest % VERSIONS_KEPT];
+  Version *base = &documents->versions[held % VERSIONS_KEPT];
+  const Version *newest = &documents->versions[documents->newest % VERSIONS_KEPT];
 
-  if (held == 0 || held >= docver->newest || base->number != held || base->text == NULL
+  if (held == 0 || held >= documents->newest || base->number != held || base->text == NULL
       || newest->text == NULL)
-    return whole_message (docver);
+    return whole_message (documents);
   if (base->message == NULL)
     {
       GBytes *changes = delta_make (base->text, newest->text);
-      if (g_bytes_get_size (changes) < g_bytes_get_size (docver->packed))
-        base->message = pack_message (docver->newest, held, changes);
+      if (g_bytes_get_size (changes) < g_bytes_get_size (documents->packed))
+        base->message = pack_message (documents->newest, held, changes);
       else
-        base->message = g_bytes_ref (whole_message (docver));
+        base->message = g_bytes_ref (whole_message (documents));
       g_bytes_unref (changes);
     }
   return base->message;
