--- a/node/settings.h
+++ b/node/settings.h
@@ -35,7 +35,7 @@
 FtStatus settings_read (const char *path, Settings **out, FtError *error);
 FtStatus settings_parse (const char *text, Settings **out, FtError *error);
 void settings_free (Settings *settings);
-/* Prints every field with type, range, default and meaning. */
+/* Prints every field with its type, meaning and default. */
 void settings_help (void);
 
 #endif
