--- a/node/adapter.h
+++ b/node/adapter.h
@@ -96,9 +96,9 @@
   void (*read_request) (const HMsg *msg, AdapterRequest *out);
   /* Appends the complete message for the server: head and body. */
   void (*write_request) (GString *out, const HMsg *msg, const AdapterForward *forward);
-  /* How long callers wait for the first event of a stream before they give up; aim_us: target
+  /* How long callers wait for the first event of a stream before they give up; target_us: target
    * latency of its route, gap_us: the route's longest pause between events. */
-  int64_t (*first_event_timeout) (int64_t aim_us, int64_t gap_us);
+  int64_t (*first_event_timeout) (int64_t target_us, int64_t gap_us);
   void (*read_answer) (const HMsg *msg, AdapterAnswer *out);
   /* Appends the header fields of a server's answer that are forwarded to the caller. */
   void (*write_answer) (GString *out, const HMsg *msg);
--- a/node/control.c
+++ b/node/control.c
@@ -139,7 +139,7 @@
 static void
 on_list_result (Control *control, MeshPeer *peer, ServersResult result)
 {
-  MeshMsg want = { .kind = MESH_WANT_LIST };
+  MeshMsg want = { .kind = MESH_LIST_REQUEST };
 
   if (result == SERVERS_APPLIED && servers_poll_changed (control->servers))
     broker_set_servers (control->broker, control->servers);
@@ -184,7 +184,7 @@
       on_list_result (control, peer,
                       servers_apply_message (control->servers, &msg->MeshMsg_u.list, now));
       break;
-    case MESH_WANT_LIST:
+    case MESH_LIST_REQUEST:
       publish_request_list (peer);
       break;
     case MESH_PACKED_LIST:
@@ -215,7 +215,7 @@
 on_send (void *host, uint32_t to, GByteArray *bytes)
 {
   Control *control = host;
-  MeshPeer *peer = mesh_dialled (control->mesh, to);
+  MeshPeer *peer = mesh_find_dialled (control->mesh, to);
   MeshMsg msg = { .kind = MESH_RAFT };
 
   if (peer)
@@ -477,7 +477,7 @@
       (double) (loop_now (control->loop) - servers_asked_at (control->servers)) / 1e6);
   suspects_describe (control->suspects, out);
   rollouts_describe (control->rollouts, out);
-  mesh_describe (control->mesh, out);
+  mesh_append_metrics (control->mesh, out);
   g_string_append (out, "# servers as this voter sees them\n");
   g_string_append (out, servers);
   g_free (servers);
@@ -512,14 +512,14 @@
 open_voter (Control *control, FtError *error)
 {
   const Settings *s = control->settings;
-  uint32_t seeds[FT_VOTERS_MOST];
+  uint32_t seeds[FT_VOTERS_MAX];
   VoterConf conf = { .self = s->ip,
                      .seeds = seeds,
                      .may_bootstrap = s->first_start,
                      .losses = (unsigned) s->losses,
                      .folder = s->data_folder };
 
-  for (; conf.seed_count < s->seeds->len && conf.seed_count < FT_VOTERS_MOST; conf.seed_count++)
+  for (; conf.seed_count < s->seeds->len && conf.seed_count < FT_VOTERS_MAX; conf.seed_count++)
     seeds[conf.seed_count] = g_array_index (s->seeds, SockAddr, conf.seed_count).ip;
   return voter_new (&conf, control->loop, &voter_ops, control, &control->voter, error);
 }
--- a/node/greet.c
+++ b/node/greet.c
@@ -45,7 +45,7 @@
   char *file, *new_file; /* new_file is written first and renamed to file */
   GArray *known;         /* Known; the most recently linked at the end */
   unsigned next;         /* index of the last one considered for dialling */
-  uint32_t voters[MESH_VOTERS_MOST];
+  uint32_t voters[MESH_VOTERS_MAX];
   unsigned voter_count, greeted;
   int64_t ends_at, save_at;
   bool ended, changed;
@@ -210,7 +210,7 @@
     {
       const Known *known = &g_array_index (greet->known, Known, i);
       linked += known->linked;
-      mesh_hang_up (greet->mesh, known->ip);
+      mesh_undial_once (greet->mesh, known->ip);
       if (!known->reached)
         {
           g_array_remove_index (greet->known, i);
@@ -235,7 +235,7 @@
   g_array_append_val (greet->known, moved);
   if (greet->known->len > GREET_ADDRESSES_MAX)
     g_array_remove_index (greet->known, 0);
-  mesh_hang_up (greet->mesh, ip);
+  mesh_undial_once (greet->mesh, ip);
 }
 
 /* ---- Interface ---- */
@@ -302,7 +302,7 @@
 {
   int64_t now = loop_now (greet->loop);
 
-  greet->voter_count = MIN (count, MESH_VOTERS_MOST);
+  greet->voter_count = MIN (count, MESH_VOTERS_MAX);
   memcpy (greet->voters, voters, greet->voter_count * sizeof *voters);
   if (!greet->ended && now >= greet->ends_at)
     end_greeting (greet);
--- a/node/main.c
+++ b/node/main.c
@@ -137,7 +137,7 @@
 /* Records how long an iteration of the loop took and how late it began, since that delays all who
  * wait for this instance. */
 static void
-on_iteration (void *data, const LoopTurn *iteration)
+on_iteration (void *data, const LoopIteration *iteration)
 {
   (void) data;
   count_observe (TIMED_TURN, iteration->took_us);
@@ -212,8 +212,8 @@
   process.settings_timer.fire = on_settings_timer;
   loop_timer_set (process.loop, &process.settings_timer,
                   loop_now (process.loop) + SETTINGS_CHECK_INTERVAL);
-  loop_each_turn (process.loop, flush_log, NULL);
-  loop_watch (process.loop, on_iteration, NULL);
+  loop_add_before_wait (process.loop, flush_log, NULL);
+  loop_set_iteration_callback (process.loop, on_iteration, NULL);
   loop_run (process.loop);
   jlog (JLOG_INFO, "stopped", NULL, JL_INT ("lines", jlog_written ()),
         JL_INT ("lines_dropped", jlog_dropped ()));
--- a/node/operators.c
+++ b/node/operators.c
@@ -11,7 +11,7 @@
 #include "operators.h"
 #include "content.h"
 #include "jlog.h"
-#include "rollcalls.h"
+#include "rollapi.h"
 #include "compress.h"
 
 #include <string.h>
@@ -24,8 +24,8 @@
 typedef struct
 {
   uint64_t ticket;
-  uint64_t number;   /* version of a catalogue; 0: not a catalogue */
-  RollReply rollout; /* service is NULL: not a roll-out */
+  uint64_t number;      /* version of a catalogue; 0: not a catalogue */
+  RollApiReply rollout; /* service is NULL: not a roll-out */
   HCall *call;
   int64_t deadline;
 } Change;
@@ -213,7 +213,7 @@
 /* ---- Roll-outs ---- */
 
 static void
-reply_rollout (HCall *call, RollReply *reply)
+reply_rollout (HCall *call, RollApiReply *reply)
 {
   const char *text = reply->body ? reply->body->str : "{}\n";
 
@@ -221,7 +221,7 @@
     reply_text (call, 200, g_string_new (NULL), text, strlen (text));
   else
     reply_error (call, reply->status, reply->field, reply->why);
-  rollcall_clear (reply);
+  rollapi_reply_clear (reply);
 }
 
 /* Handles a call on roll-outs; false: it is another call. */
@@ -229,18 +229,19 @@
 handle_rollout_call (Operators *operators, HCall *call)
 {
   const HMsg *msg = hcall_msg (call);
-  RollCall kind = rollcall_of (operators->adapter_ops, hmsg_method (msg), hmsg_target (msg));
+  RollApiCall kind
+      = rollapi_classify (operators->adapter_ops, hmsg_method (msg), hmsg_target (msg));
   Change change = { .call = call, .deadline = loop_now (operators->loop) + CHANGE_TIMEOUT };
 
-  if (kind == ROLLCALL_NONE)
+  if (kind == ROLLAPI_NONE)
     return false;
   if (!in_charge (operators))
     {
       redirect_to_leader (operators, call);
       return true;
     }
-  rollcall_answer (operators->adapter_ops, operators->rollouts, operators->cat, kind, msg,
-                   hcall_body (call), &change.rollout);
+  rollapi_handle (operators->adapter_ops, operators->rollouts, operators->cat, kind, msg,
+                  hcall_body (call), &change.rollout);
   change.ticket = change.rollout.ticket;
   if (change.rollout.status)
     reply_rollout (call, &change.rollout);
@@ -288,7 +289,7 @@
   for (unsigned i = 0; i < operators->changes->len; i++)
     if (g_array_index (operators->changes, Change, i).call == call)
       {
-        rollcall_clear (&g_array_index (operators->changes, Change, i).rollout);
+        rollapi_reply_clear (&g_array_index (operators->changes, Change, i).rollout);
         remove_change (operators, i);
         return;
       }
@@ -311,11 +312,11 @@
               JL_INT ("term", operators->status.term));
       if (status == FT_OK && change.rollout.service)
         {
-          rollcall_committed (operators->rollouts, &change.rollout);
+          rollapi_order_committed (operators->rollouts, &change.rollout);
           reply_rollout (change.call, &change.rollout);
           return;
         }
-      rollcall_clear (&change.rollout);
+      rollapi_reply_clear (&change.rollout);
       if (status == FT_OK)
         reply_text (change.call, 200, g_string_new (NULL), "{}\n", 3);
       else
@@ -334,7 +335,7 @@
       Change change = g_array_index (operators->changes, Change, i);
       if (now < change.deadline)
         continue;
-      rollcall_clear (&change.rollout);
+      rollapi_reply_clear (&change.rollout);
       remove_change (operators, i);
       reply_error (change.call, 503, "", "it is not known whether the change was accepted");
     }
@@ -346,7 +347,7 @@
 operators_new (const OperatorsConf *conf)
 {
   Operators *operators = g_new0 (Operators, 1);
-  HSrvLimits limits = { 65536, FT_TEXT_MOST, 10 * FT_SECOND, 30 * FT_SECOND };
+  HSrvLimits limits = { 65536, FT_TEXT_MAX, 10 * FT_SECOND, 30 * FT_SECOND };
 
   operators->loop = conf->loop;
   operators->adapter_ops = conf->adapter_ops;
@@ -362,7 +363,7 @@
       g_free (operators);
       return NULL;
     }
-  hsrv_limits (operators->srv, &limits);
+  hsrv_set_limits (operators->srv, &limits);
   return operators;
 }
 
@@ -373,7 +374,7 @@
     return;
   hsrv_free (operators->srv);
   for (unsigned i = 0; i < operators->changes->len; i++)
-    rollcall_clear (&g_array_index (operators->changes, Change, i).rollout);
+    rollapi_reply_clear (&g_array_index (operators->changes, Change, i).rollout);
   g_array_unref (operators->changes);
   g_free (operators);
 }
--- a/node/voter.c
+++ b/node/voter.c
@@ -80,7 +80,7 @@
   Raft *raft;
   GArray *pending; /* Pending, in order of index */
   RaftConf conf;
-  uint32_t seeds[FT_VOTERS_MOST];
+  uint32_t seeds[FT_VOTERS_MAX];
   int64_t reopen_at;
   pthread_t thread;
   pthread_mutex_t lock;
@@ -261,21 +261,29 @@
 static void
 store_crashes (Voter *voter)
 {
-  const Blame *crashes = state_blame (voter->state);
-  MsgBlame captured = { 0 };
+  const CrashTable *crashes = state_blame (voter->state);
+  MsgCrashTable captured = { 0 };
 
+<<<<<<< ours
   if (blame_index (crashes) == voter->crashes.index)
     return;
-  blame_capture (crashes, 0, &captured);
+  crashes_capture (crashes, 0, &captured);
   store_table (voter, &voter->crashes, blame_index (crashes),
-               codec_pack (CODEC (MsgBlame), &captured), REPORT_CRASHES);
+               codec_pack (CODEC (MsgCrashTable), &captured), REPORT_CRASHES);
+=======
+  if (crashes_index (blame) == voter->blame.index)
+    return;
+  crashes_capture (blame, 0, &captured);
+  keep_account (voter, &voter->blame, crashes_index (blame),
+                codec_pack (CODEC (MsgBlame), &captured), REPORT_BLAME);
+>>>>>>> theirs
   g_free (captured.suspects.suspects_val);
 }
 
 static void
 store_rollouts (Voter *voter)
 {
-  const RollAccount *table = state_rollouts (voter->state);
+  const RolloutTable *table = state_rollouts (voter->state);
   MsgRollouts captured = { 0 };
 
   if (roll_index (table) == voter->rollouts.index)
--- a/node/voter.h
+++ b/node/voter.h
@@ -62,7 +62,7 @@
   bool broken;     /* its storage failed: it takes no part until the log is reloaded */
   bool member;     /* it is in the log's configuration */
   unsigned count;  /* voters in the log's configuration */
-  uint32_t voters[FT_VOTERS_MOST];
+  uint32_t voters[FT_VOTERS_MAX];
 } VoterStatus;
 
 /* To be called from the loop's thread; never waits for the disk. */
@@ -76,8 +76,8 @@
 RtCat *voter_catalogue (Voter *voter, uint64_t *number, FtError *error);
 /* The number of that document; 0: none. */
 uint64_t voter_newest_number (Voter *voter);
-/* The committed table of server crashes that this voter knows, a packed MsgBlame; NULL: none yet.
- * The caller unrefs it. */
+/* The committed table of server crashes that this voter knows, a packed MsgCrashTable; NULL: none
+ * yet. The caller unrefs it. */
 GBytes *voter_crash_table (Voter *voter);
 /* The same for roll-outs, a packed MsgRollouts. */
 GBytes *voter_rollouts (Voter *voter);
