--- a/node/squeeze.c
+++ b/node/compress.c
@@ -1,24 +1,25 @@
-/* squeeze.c - a length and a zlib stream.
+/* compress.c - the compressed form is the length of the text (32 bits, little-endian) and a zlib
+ * stream.
  *
- * A catalogue of several hundred routes is 100 to 200 KB of JSON that says the same names over and
- * over; it shrinks to a tenth. One goes to every entry at each change, and the log keeps many.
+ * A catalogue of several hundred routes is 100 to 200 KB of JSON that repeats the same names, and
+ * compresses to a tenth. Each change is sent to every entry, and the log keeps many versions.
  */
-#include "squeeze.h"
+#include "compress.h"
 
 #include <string.h>
 #include <zlib.h>
 
-#define LEVEL 3 /* a third of the time of the default for a few per cent more bytes */
+#define ZLIB_LEVEL 3 /* a third of the default level's CPU time for a few per cent more bytes */
 
 GBytes *
-squeeze_pack (const void *text, size_t size)
+compress_pack (const void *text, size_t size)
 {
   uLongf bound = compressBound ((uLong) size);
   guint8 *out = g_malloc (sizeof (uint32_t) + bound);
   uint32_t length = GUINT32_TO_LE ((uint32_t) size);
 
   memcpy (out, &length, sizeof length);
-  if (compress2 (out + sizeof length, &bound, text, (uLong) size, LEVEL) != Z_OK)
+  if (compress2 (out + sizeof length, &bound, text, (uLong) size, ZLIB_LEVEL) != Z_OK)
     {
       g_free (out);
       return NULL;
@@ -27,7 +28,7 @@
 }
 
 GBytes *
-squeeze_unpack (const void *packed, size_t size)
+compress_unpack (const void *packed, size_t size)
 {
   uint32_t length;
 
@@ -35,7 +36,7 @@
     return NULL;
   memcpy (&length, packed, sizeof length);
   length = GUINT32_FROM_LE (length);
-  if (length > FT_DOCUMENT_MOST)
+  if (length > FT_DOCUMENT_MAX)
     return NULL;
   guint8 *out = g_malloc (length + 1);
   uLongf got = length;
--- a/node/documents.c
+++ b/node/docver.c
@@ -1,57 +1,58 @@
-/* documents.c - what changed since one of the latest versions, worked out once for all who hold it.
+/* docver.c - deltas from each of the latest versions to the newest, computed once and shared by all
+ * receivers.
  */
-#include "documents.h"
+#include "docver.h"
 #include "delta.h"
 
 #include <string.h>
 
-#define KEPT 8 /* versions: those of a burst of changes that a slow link has not taken yet */
+#define VERSIONS_KEPT 8 /* enough for a burst of changes that a slow link has not delivered yet */
 
 typedef struct
 {
   uint64_t number; /* 0: unused */
-  GBytes *text;    /* NULL: it cannot be read */
-  GBytes *message; /* from this version to the newest; NULL: not asked for yet */
+  GBytes *text;    /* NULL: it cannot be unpacked */
+  GBytes *message; /* update from this version to the newest; NULL: not built yet */
 } Version;
 
-struct Documents
+struct DocumentVersions
 {
-  Version versions[KEPT]; /* by number modulo KEPT */
+  Version versions[VERSIONS_KEPT]; /* indexed by number modulo VERSIONS_KEPT */
   uint64_t newest;
   GBytes *packed;  /* the newest */
-  GBytes *message; /* the whole; NULL likewise */
+  GBytes *message; /* with the whole document; NULL: not built yet */
 };
 
 static void
-clear_messages (Documents *documents)
+clear_messages (DocumentVersions *documents)
 {
   g_clear_pointer (&documents->message, g_bytes_unref);
-  for (unsigned i = 0; i < KEPT; i++)
+  for (unsigned i = 0; i < VERSIONS_KEPT; i++)
     g_clear_pointer (&documents->versions[i].message, g_bytes_unref);
 }
 
-Documents *
-documents_new (void)
+DocumentVersions *
+docver_new (void)
 {
-  return g_new0 (Documents, 1);
+  return g_new0 (DocumentVersions, 1);
 }
 
 void
-documents_free (Documents *documents)
+docver_free (DocumentVersions *documents)
 {
   if (documents == NULL)
     return;
   clear_messages (documents);
-  for (unsigned i = 0; i < KEPT; i++)
+  for (unsigned i = 0; i < VERSIONS_KEPT; i++)
     g_clear_pointer (&documents->versions[i].text, g_bytes_unref);
   g_clear_pointer (&documents->packed, g_bytes_unref);
   g_free (documents);
 }
 
 void
-documents_take (Documents *documents, uint64_t number, GBytes *packed, GBytes *text)
+docver_set_newest (DocumentVersions *documents, uint64_t number, GBytes *packed, GBytes *text)
 {
-  Version *version = &documents->versions[number % KEPT];
+  Version *version = &documents->versions[number % VERSIONS_KEPT];
 
   if (number <= documents->newest)
     return;
@@ -64,7 +65,7 @@
 }
 
 static GBytes *
-pack (uint64_t number, uint64_t base, GBytes *text)
+pack_message (uint64_t number, uint64_t base, GBytes *text)
 {
   MeshMsg msg = { .kind = MESH_DOCUMENT };
   gsize size;
@@ -77,29 +78,29 @@
 }
 
 static GBytes *
-whole (Documents *documents)
+whole_message (DocumentVersions *documents)
 {
   if (documents->message == NULL && documents->packed)
-    documents->message = pack (documents->newest, 0, documents->packed);
+    documents->message = pack_message (documents->newest, 0, documents->packed);
   return documents->message;
 }
 
 GBytes *
-documents_message (Documents *documents, uint64_t held)
+docver_message_for (DocumentVersions *documents, uint64_t held)
 {
-  Version *base = &documents->versions[held % KEPT];
-  const Version *newest = &documents->versions[documents->newest % KEPT];
+  Version *base = &documents->versions[held % VERSIONS_KEPT];
+  const Version *newest = &documents->versions[documents->newest % VERSIONS_KEPT];
 
   if (held == 0 || held >= documents->newest || base->number != held || base->text == NULL
       || newest->text == NULL)
-    return whole (documents);
+    return whole_message (documents);
   if (base->message == NULL)
     {
       GBytes *changes = delta_make (base->text, newest->text);
       if (g_bytes_get_size (changes) < g_bytes_get_size (documents->packed))
-        base->message = pack (documents->newest, held, changes);
+        base->message = pack_message (documents->newest, held, changes);
       else
-        base->message = g_bytes_ref (whole (documents));
+        base->message = g_bytes_ref (whole_message (documents));
       g_bytes_unref (changes);
     }
   return base->message;
--- a/node/ends.h
+++ b/node/ends.h
@@ -4,7 +4,7 @@
 #define ENDS_H
 
 #include "hcli.h"
-#include "seam.h"
+#include "adapter.h"
 
 typedef struct CrashDetector CrashDetector;
 
@@ -12,7 +12,7 @@
 typedef struct
 {
   uint64_t content;
-  char request[SEAM_ID_MOST];
+  char request[ADAPTER_ID_MAX];
 } CrashRun;
 
 /* Called when the server process has crashed. at: the time of detection; runs: the requests that
--- a/node/operators.c
+++ b/node/operators.c
@@ -1,38 +1,39 @@
-/* operators.c - what operators hand in is checked, proposed to the log and acknowledged once it is
- * committed; what they read is proved to be the newest. Both are the voter's in charge; another
- * voter sends the operator on to it.
+/* operators.c - the HTTP API for operators.
  *
- * A change whose number is not above the newest changes nothing and is acknowledged: it is in
- * force, or something newer is. So a change that is sent again, to whatever voter, is never
+ * A change is checked, proposed to the log and acknowledged once it is committed. Reads return the
+ * newest committed state. Both need the voter in charge; another voter redirects the operator to
+ * it.
+ *
+ * A catalogue whose version is not above the newest one changes nothing but is acknowledged, as it
+ * or a newer one is already in force. So a change that is sent again, to any voter, is never
  * refused.
  */
 #include "operators.h"
 #include "content.h"
 #include "jlog.h"
 #include "rollapi.h"
-#include "squeeze.h"
+#include "compress.h"
 
 #include <string.h>
 
-/* Tuning; each row with its reason. */
-#define CHANGE_MOST (2500 * FT_MS) /* operators ask another voter after a second */
+#define CHANGE_TIMEOUT (2500 * FT_MS) /* operators retry at another voter after a second */
 
 #define SUSPECTS_PATH                                                                              \
-  "/v1/suspects" /* GET: all; DELETE with /CONTENT behind it: lets that one go */
+  "/v1/suspects" /* GET lists all; DELETE of SUSPECTS_PATH/CONTENT releases one */
 
 typedef struct
 {
   uint64_t ticket;
-  uint64_t number;      /* of a catalogue; 0: it is none */
-  RollApiReply rollout; /* its service NULL: it is none */
+  uint64_t number;      /* version of a catalogue; 0: not a catalogue */
+  RollApiReply rollout; /* service is NULL: not a roll-out */
   HCall *call;
-  int64_t until;
+  int64_t deadline;
 } Change;
 
 struct Operators
 {
   Loop *loop;
-  const Seam *seam;
+  const AdapterOps *adapter_ops;
   Voter *voter;
   Suspects *suspects;
   Rollouts *rollouts;
@@ -65,9 +66,9 @@
   g_free (safe_why);
 }
 
-/* Sends the operator on to the voter in charge, or says that none is known. */
+/* Redirects the operator to the voter in charge, or answers 503 if none is known. */
 static void
-pass_on (Operators *operators, HCall *call)
+redirect_to_leader (Operators *operators, HCall *call)
 {
   GString *fields;
   SockAddr to = { operators->status.leader, operators->address.port };
@@ -78,7 +79,7 @@
       return;
     }
   fields = g_string_new (NULL);
-  operators->seam->write_redirect (fields, to, hmsg_target (hcall_msg (call)));
+  operators->adapter_ops->write_redirect (fields, to, hmsg_target (hcall_msg (call)));
   reply_text (call, 307, fields, "{}\n", 3);
 }
 
@@ -97,7 +98,8 @@
   RtCat *cat = NULL;
   Change change = { 0 };
 
-  if (operators->seam->read_catalogue ((const char *) body->data, body->len, &cat, &error) != FT_OK)
+  if (operators->adapter_ops->read_catalogue ((const char *) body->data, body->len, &cat, &error)
+      != FT_OK)
     {
       jlog (JLOG_WARN, "change-invalid", NULL, JL_TEXT ("field", error.field),
             JL_TEXT ("why", error.text), JL_INT ("bytes", body->len));
@@ -108,22 +110,22 @@
   rt_cat_unref (cat);
   if (!in_charge (operators))
     {
-      pass_on (operators, call);
+      redirect_to_leader (operators, call);
       return;
     }
-  if (change.number <= voter_newest (operators->voter))
+  if (change.number <= voter_newest_number (operators->voter))
     {
       jlog (JLOG_INFO, "change-known", NULL, JL_INT ("version", change.number),
-            JL_INT ("newest", voter_newest (operators->voter)));
+            JL_INT ("newest", voter_newest_number (operators->voter)));
       reply_text (call, 200, g_string_new (NULL), "{}\n", 3);
       return;
     }
   change.call = call;
-  change.until = loop_now (operators->loop) + CHANGE_MOST;
-  GBytes *packed = squeeze_pack (body->data, body->len);
+  change.deadline = loop_now (operators->loop) + CHANGE_TIMEOUT;
+  GBytes *packed = compress_pack (body->data, body->len);
   if (packed == NULL)
     {
-      reply_error (call, 503, "", "there is no memory for the change");
+      reply_error (call, 503, "", "not enough memory for the change");
       return;
     }
   change.ticket = voter_propose (operators->voter, change.number, packed);
@@ -138,7 +140,7 @@
 
   if (!in_charge (operators))
     {
-      pass_on (operators, call);
+      redirect_to_leader (operators, call);
       return;
     }
   GBytes *document = voter_document (operators->voter, &number);
@@ -149,7 +151,7 @@
     }
   gsize size;
   const void *packed = g_bytes_get_data (document, &size);
-  GBytes *text = squeeze_unpack (packed, size);
+  GBytes *text = compress_unpack (packed, size);
   if (text)
     reply_text (call, 200, g_string_new (NULL), g_bytes_get_data (text, NULL),
                 g_bytes_get_size (text));
@@ -160,7 +162,7 @@
   g_bytes_unref (document);
 }
 
-/* ---- Contents that end servers: calls of the product's own ---- */
+/* ---- Contents suspected of crashing servers: calls in addition to the platform's ---- */
 
 static void
 list_suspects (Operators *operators, HCall *call)
@@ -174,24 +176,24 @@
 static void
 release_suspect (Operators *operators, HCall *call, const char *text)
 {
-  Change change = { .call = call, .until = loop_now (operators->loop) + CHANGE_MOST };
+  Change change = { .call = call, .deadline = loop_now (operators->loop) + CHANGE_TIMEOUT };
   uint64_t content;
 
   if (!content_parse (text, &content))
     {
-      reply_error (call, 400, "content", "16 hexadecimal digits are wanted");
+      reply_error (call, 400, "content", "must be 16 hexadecimal digits");
       return;
     }
   change.ticket = suspects_release (operators->suspects, content);
   if (change.ticket == 0)
-    reply_error (call, 404, "content", "nothing is said against it");
+    reply_error (call, 404, "content", "is not a suspect");
   else
     g_array_append_val (operators->changes, change);
 }
 
-/* False: it is no such call. */
+/* Handles a call on suspects; false: it is another call. */
 static bool
-take_suspects_call (Operators *operators, HCall *call)
+handle_suspects_call (Operators *operators, HCall *call)
 {
   const char *method = hmsg_method (hcall_msg (call)), *target = hmsg_target (hcall_msg (call));
   bool lists = strcmp (method, "GET") == 0 && strcmp (target, SUSPECTS_PATH) == 0;
@@ -200,7 +202,7 @@
   if (!lists && !releases)
     return false;
   if (!in_charge (operators))
-    pass_on (operators, call);
+    redirect_to_leader (operators, call);
   else if (lists)
     list_suspects (operators, call);
   else
@@ -222,22 +224,23 @@
   rollapi_reply_clear (reply);
 }
 
-/* False: it is no such call. */
+/* Handles a call on roll-outs; false: it is another call. */
 static bool
-take_rollout_call (Operators *operators, HCall *call)
+handle_rollout_call (Operators *operators, HCall *call)
 {
   const HMsg *msg = hcall_msg (call);
-  RollApiCall kind = rollapi_classify (operators->seam, hmsg_method (msg), hmsg_target (msg));
-  Change change = { .call = call, .until = loop_now (operators->loop) + CHANGE_MOST };
+  RollApiCall kind
+      = rollapi_classify (operators->adapter_ops, hmsg_method (msg), hmsg_target (msg));
+  Change change = { .call = call, .deadline = loop_now (operators->loop) + CHANGE_TIMEOUT };
 
   if (kind == ROLLAPI_NONE)
     return false;
   if (!in_charge (operators))
     {
-      pass_on (operators, call);
+      redirect_to_leader (operators, call);
       return true;
     }
-  rollapi_handle (operators->seam, operators->rollouts, operators->cat, kind, msg,
+  rollapi_handle (operators->adapter_ops, operators->rollouts, operators->cat, kind, msg,
                   hcall_body (call), &change.rollout);
   change.ticket = change.rollout.ticket;
   if (change.rollout.status)
@@ -248,38 +251,38 @@
 }
 
 static void
-on_operator (void *owner, HCall *call)
+on_call (void *owner, HCall *call)
 {
   Operators *operators = owner;
   const HMsg *msg = hcall_msg (call);
 
-  if (take_suspects_call (operators, call) || take_rollout_call (operators, call))
+  if (handle_suspects_call (operators, call) || handle_rollout_call (operators, call))
     return;
-  switch (operators->seam->call (hmsg_method (msg), hmsg_target (msg)))
+  switch (operators->adapter_ops->call (hmsg_method (msg), hmsg_target (msg)))
     {
-    case SEAM_CALL_PUT:
+    case ADAPTER_CALL_PUT:
       put_catalogue (operators, call);
       break;
-    case SEAM_CALL_GET:
+    case ADAPTER_CALL_GET:
       get_catalogue (operators, call);
       break;
-    case SEAM_CALL_READY:
+    case ADAPTER_CALL_READY:
       hcall_reply (call, operators->leaving ? 503 : 200, NULL, "", 0);
       break;
     default:
-      reply_error (call, 404, "", "there is no such call");
+      reply_error (call, 404, "", "no such call");
       break;
     }
 }
 
 static void
-drop_change (Operators *operators, unsigned index)
+remove_change (Operators *operators, unsigned index)
 {
   g_array_remove_index_fast (operators->changes, index);
 }
 
 static void
-on_operator_gone (void *owner, HCall *call)
+on_caller_gone (void *owner, HCall *call)
 {
   Operators *operators = owner;
 
@@ -287,22 +290,22 @@
     if (g_array_index (operators->changes, Change, i).call == call)
       {
         rollapi_reply_clear (&g_array_index (operators->changes, Change, i).rollout);
-        drop_change (operators, i);
+        remove_change (operators, i);
         return;
       }
 }
 
-static const HSrvOps operator_ops = { on_operator, on_operator_gone, NULL };
+static const HSrvOps operator_ops = { on_call, on_caller_gone, NULL };
 
 void
-operators_verdict (Operators *operators, uint64_t ticket, FtStatus status)
+operators_on_verdict (Operators *operators, uint64_t ticket, FtStatus status)
 {
   for (unsigned i = 0; i < operators->changes->len; i++)
     {
       Change change = g_array_index (operators->changes, Change, i);
       if (change.ticket != ticket)
         continue;
-      drop_change (operators, i);
+      remove_change (operators, i);
       if (change.number)
         jlog (JLOG_INFO, "change", NULL, JL_INT ("version", change.number),
               JL_TEXT ("verdict", status == FT_OK ? "committed" : ft_strerror (status)),
@@ -330,10 +333,10 @@
   for (unsigned i = operators->changes->len; i-- > 0;)
     {
       Change change = g_array_index (operators->changes, Change, i);
-      if (now < change.until)
+      if (now < change.deadline)
         continue;
       rollapi_reply_clear (&change.rollout);
-      drop_change (operators, i);
+      remove_change (operators, i);
       reply_error (change.call, 503, "", "it is not known whether the change was accepted");
     }
 }
@@ -347,7 +350,7 @@
   HSrvLimits limits = { 65536, FT_TEXT_MAX, 10 * FT_SECOND, 30 * FT_SECOND };
 
   operators->loop = conf->loop;
-  operators->seam = conf->seam;
+  operators->adapter_ops = conf->adapter_ops;
   operators->voter = conf->voter;
   operators->suspects = conf->suspects;
   operators->rollouts = conf->rollouts;
@@ -377,19 +380,19 @@
 }
 
 void
-operators_catalogue (Operators *operators, const RtCat *cat)
+operators_set_catalogue (Operators *operators, const RtCat *cat)
 {
   operators->cat = cat;
 }
 
 void
-operators_leave (Operators *operators)
+operators_start_leaving (Operators *operators)
 {
   operators->leaving = true;
 }
 
 unsigned
-operators_open (const Operators *operators)
+operators_open_count (const Operators *operators)
 {
   return operators->changes->len;
 }
--- a/node/rollapi.c
+++ b/node/rollapi.c
@@ -14,15 +14,15 @@
 #define NAME_MAX_BYTES 100    /* bytes, the same as for versions in the list of servers */
 
 RollApiCall
-rollapi_classify (const Seam *seam, const char *method, const char *target)
+rollapi_classify (const AdapterOps *adapter_ops, const char *method, const char *target)
 {
   bool has_service = g_str_has_prefix (target, OWN_PATH "/");
 
-  switch (seam->call (method, target))
+  switch (adapter_ops->call (method, target))
     {
-    case SEAM_CALL_ROLLOUT_START:
+    case ADAPTER_CALL_ROLLOUT_START:
       return ROLLAPI_START;
-    case SEAM_CALL_ROLLOUT_STATE:
+    case ADAPTER_CALL_ROLLOUT_STATE:
       return ROLLAPI_STATE;
     default:
       break;
@@ -58,7 +58,7 @@
 };
 
 static FtStatus
-parse_own_order (const GByteArray *body, SeamRollout *out, FtError *error)
+parse_own_order (const GByteArray *body, AdapterRollout *out, FtError *error)
 {
   char *text = g_strndup ((const char *) body->data, body->len);
   OwnOrder own = { 0 };
@@ -68,7 +68,8 @@
   if (status == FT_OK)
     status = ft_json_fields (doc, ft_json_root (doc), "", own_order_fields, NULL, &own, error);
   if (status == FT_OK)
-    *out = (SeamRollout){ g_strdup (own.service), g_strdup (own.target), own.limit_s * FT_SECOND };
+    *out = (AdapterRollout){ g_strdup (own.service), g_strdup (own.target),
+                             own.limit_s * FT_SECOND };
   ft_json_fields_clear (own_order_fields, &own);
   ft_json_free (doc);
   g_free (text);
@@ -76,7 +77,8 @@
 }
 
 static void
-submit_order (Rollouts *rollouts, const RtCat *cat, const SeamRollout *order, RollApiReply *reply)
+submit_order (Rollouts *rollouts, const RtCat *cat, const AdapterRollout *order,
+              RollApiReply *reply)
 {
   if (cat == NULL)
     {
@@ -107,13 +109,14 @@
 }
 
 static void
-handle_start (const Seam *seam, Rollouts *rollouts, const RtCat *cat, bool own,
+handle_start (const AdapterOps *adapter_ops, Rollouts *rollouts, const RtCat *cat, bool own,
               const GByteArray *body, RollApiReply *reply)
 {
-  SeamRollout order = { 0 };
+  AdapterRollout order = { 0 };
   FtError error = { 0 };
-  FtStatus status = own ? parse_own_order (body, &order, &error)
-                        : seam->read_rollout ((const char *) body->data, body->len, &order, &error);
+  FtStatus status
+      = own ? parse_own_order (body, &order, &error)
+            : adapter_ops->read_rollout ((const char *) body->data, body->len, &order, &error);
 
   if (status != FT_OK)
     {
@@ -123,7 +126,7 @@
       return;
     }
   submit_order (rollouts, cat, &order, reply);
-  seam_rollout_clear (&order);
+  adapter_rollout_clear (&order);
 }
 
 void
@@ -138,18 +141,18 @@
 
 /* ---- State and abort ---- */
 
-static SeamRolloutState
+static AdapterRolloutState
 seam_state (const MsgRollout *rollout)
 {
   if (roll_is_active (rollout))
-    return SEAM_ROLLOUT_ACTIVE;
-  return rollout->phase == MSG_ROLLOUT_COMPLETED ? SEAM_ROLLOUT_COMPLETED
-                                                 : SEAM_ROLLOUT_ROLLED_BACK;
+    return ADAPTER_ROLLOUT_ACTIVE;
+  return rollout->phase == MSG_ROLLOUT_COMPLETED ? ADAPTER_ROLLOUT_COMPLETED
+                                                 : ADAPTER_ROLLOUT_ROLLED_BACK;
 }
 
 static void
-handle_state (const Seam *seam, const Rollouts *rollouts, bool own, const char *service,
-              RollApiReply *reply)
+handle_state (const AdapterOps *adapter_ops, const Rollouts *rollouts, bool own,
+              const char *service, RollApiReply *reply)
 {
   const MsgRollout *rollout = rollouts_find (rollouts, service);
 
@@ -163,7 +166,7 @@
   if (own)
     rollouts_append_json (rollout, reply->body);
   else
-    seam->write_rollout (reply->body, seam_state (rollout), rollout->target);
+    adapter_ops->write_rollout (reply->body, seam_state (rollout), rollout->target);
 }
 
 static void
@@ -190,8 +193,8 @@
 }
 
 void
-rollapi_handle (const Seam *seam, Rollouts *rollouts, const RtCat *cat, RollApiCall kind,
-                const HMsg *msg, const GByteArray *body, RollApiReply *reply)
+rollapi_handle (const AdapterOps *adapter_ops, Rollouts *rollouts, const RtCat *cat,
+                RollApiCall kind, const HMsg *msg, const GByteArray *body, RollApiReply *reply)
 {
   const char *target = hmsg_target (msg);
   char *service = NULL;
@@ -199,16 +202,17 @@
   *reply = (RollApiReply){ .field = "" };
   if (kind == ROLLAPI_START || kind == ROLLAPI_OWN_START)
     {
-      handle_start (seam, rollouts, cat, kind == ROLLAPI_OWN_START, body, reply);
+      handle_start (adapter_ops, rollouts, cat, kind == ROLLAPI_OWN_START, body, reply);
       return;
     }
-  service = kind == ROLLAPI_STATE ? seam->rollout_service (target) : service_from_path (target);
+  service
+      = kind == ROLLAPI_STATE ? adapter_ops->rollout_service (target) : service_from_path (target);
   if (service == NULL)
     set_error (reply, 400, "service", "the service name cannot be decoded");
   else if (kind == ROLLAPI_OWN_ABORT)
     handle_abort (rollouts, service, reply);
   else
-    handle_state (seam, rollouts, kind == ROLLAPI_OWN_STATE, service, reply);
+    handle_state (adapter_ops, rollouts, kind == ROLLAPI_OWN_STATE, service, reply);
   g_free (service);
 }
 
--- a/node/rollapi.h
+++ b/node/rollapi.h
@@ -16,7 +16,8 @@
   ROLLAPI_OWN_ABORT
 } RollApiCall;
 
-RollApiCall rollapi_classify (const Seam *seam, const char *method, const char *target);
+RollApiCall rollapi_classify (const AdapterOps *adapter_ops, const char *method,
+                              const char *target);
 
 /* The reply to an operator. status 0: not known yet; it depends on the result of the proposal
  * ticket. */
@@ -31,8 +32,9 @@
 } RollApiReply;
 
 /* Handles a call at the voter in charge. cat: the catalogue in force; NULL: none. */
-void rollapi_handle (const Seam *seam, Rollouts *rollouts, const RtCat *cat, RollApiCall kind,
-                     const HMsg *msg, const GByteArray *body, RollApiReply *reply);
+void rollapi_handle (const AdapterOps *adapter_ops, Rollouts *rollouts, const RtCat *cat,
+                     RollApiCall kind, const HMsg *msg, const GByteArray *body,
+                     RollApiReply *reply);
 /* To be called when an order's proposal has been committed: sets the reply, depending on whether
  * the committed roll-out has this order's target. */
 void rollapi_order_committed (const Rollouts *rollouts, RollApiReply *reply);
--- a/node/rollouts.h
+++ b/node/rollouts.h
@@ -33,7 +33,7 @@
 
 /* Checks an order. If the result is ROLL_NEW, it has been proposed, and *ticket identifies the
  * proposal whose result is reported later. */
-RollCheck rollouts_order (Rollouts *rollouts, const SeamRollout *order, uint64_t *ticket);
+RollCheck rollouts_order (Rollouts *rollouts, const AdapterRollout *order, uint64_t *ticket);
 /* Rolls back the active roll-out of the service. Returns the ticket of the proposal, or 0 if no
  * roll-out is active. */
 uint64_t rollouts_abort (Rollouts *rollouts, const char *service);
--- a/node/rollpriv.h
+++ b/node/rollpriv.h
@@ -5,7 +5,7 @@
 
 #include "judge.h"
 #include "rollouts.h"
-#include "tell.h"
+#include "bcast.h"
 
 /* Latest committed step of a roll-out that this voter has seen, whether it is in charge or not. */
 typedef struct
@@ -41,7 +41,7 @@
   GHashTable *progress;  /* service name -> Progress */
   GPtrArray *active;     /* ActiveRollout */
   unsigned lost_entries; /* entries lost recently */
-  Tell *tell;
+  Broadcast *tell;
   uint64_t published_digest; /* digest of the phases that schedulers and entries were last told */
 };
 
