--- a/cli/access.c
+++ b/cli/access.c
@@ -1,4 +1,4 @@
-/* access.c - one call after the other, over HTTP. */
+/* access.c - blocking HTTP calls to the operators' interface. */
 #include "access.h"
 #include "http.h"
 
@@ -22,7 +22,7 @@
   request.http_verb = o_strdup (method);
   request.http_url = msprintf ("%s%s", access->server, path);
   request.timeout = TIMEOUT_S;
-  request.follow_redirect = 1; /* a voter that is not in charge names the one that is */
+  request.follow_redirect = 1; /* a voter that is not the leader redirects to the leader */
   if (access->ca_folder)
     request.ca_path = o_strdup (access->ca_folder);
   u_map_put (request.map_header, "Authorization", bearer);
--- a/cli/access.h
+++ b/cli/access.h
@@ -1,9 +1,10 @@
-/* access.h - calls of the operators' interface and what is printed of them. */
+/* access.h - HTTP calls to the operators' interface, and printing of their replies. */
 #ifndef ACCESS_H
 #define ACCESS_H
 
 #include "body.h"
 
+/* Where and how to reach the operators' interface. */
 typedef struct
 {
   const char *server, *key, *ca_folder;
@@ -11,16 +12,19 @@
 
 typedef struct
 {
-  long status; /* HTTP; 0: the server was not reached */
+  long status; /* HTTP status; 0: the server was not reached */
   char *text;
-  uint64_t revision; /* X-Revision */
+  uint64_t revision; /* from the X-Revision header; 0: none */
 } Reply;
 
-/* False: the server was not reached, which has been printed. reply->text: g_free. */
+/* Sends one request and waits for the reply. Prints an error and returns false when the server was
+ * not reached. Free reply->text with g_free. */
 bool access_call (const Access *access, const char *method, const char *path, const char *author,
                   const char *body, Reply *reply);
-/* Prints a JSON reply in readable form and frees it; the exit code follows its HTTP status. */
+/* Prints a reply, indented if it is JSON, and frees its text. Returns the exit code: 0 for HTTP
+ * status 200. */
 int access_print (Reply *reply);
+/* Gets path and prints the reply. Returns the exit code. */
 int access_show (const Access *access, const char *path);
 
 #endif
--- a/cli/main.c
+++ b/cli/main.c
@@ -1,5 +1,5 @@
-/* main.c - foxtailgrade: the operators' command line. Everything that changes the system is a
- * change of the catalogue, or lets a content go that was held; the other commands only read. */
+/* main.c - foxtailgrade: the operators' command line. Only apply, release and rollout change the
+ * system; all other commands just read. */
 #include "body.h"
 #include "http.h"
 #include "access.h"
@@ -11,8 +11,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#define WAIT_POLL (200 * FT_MS)
-#define WAIT_MOST (30 * FT_SECOND)
+#define POLL_INTERVAL (200 * FT_MS)
+#define WAIT_MAX      (30 * FT_SECOND)
 
 typedef struct
 {
@@ -22,6 +22,7 @@
   struct arg_end *end;
 } Args;
 
+/* Reads and checks a catalogue file; prints an error and returns false if it is not valid. */
 static bool
 read_catalogue (const char *file, char **text, FtCat **cat)
 {
@@ -42,8 +43,9 @@
   return false;
 }
 
+/* Fetches the catalogue in force; *cat is NULL and *revision 0 if there is none yet. */
 static bool
-current (const Access *access, FtCat **cat, uint64_t *revision)
+fetch_catalogue (const Access *access, FtCat **cat, uint64_t *revision)
 {
   Reply reply;
 
@@ -69,7 +71,7 @@
   uint64_t revision = 0;
   int result = 1;
 
-  if (!read_catalogue (file, &text, &next) || !current (access, &now, &revision))
+  if (!read_catalogue (file, &text, &next) || !fetch_catalogue (access, &now, &revision))
     goto out;
   char *diff = ft_cat_diff (now, next);
   printf ("against revision %" G_GUINT64_FORMAT ":\n%s", revision, *diff ? diff : "no change\n");
@@ -82,12 +84,13 @@
   return result;
 }
 
-/* Until the revision is in force on every instance; names those that lack it. */
+/* Waits until the revision is in force on every instance; after WAIT_MAX prints those that lack
+ * it. */
 static int
 wait_in_force (const Access *access, uint64_t revision)
 {
   char *path = g_strdup_printf ("/v1/in_force/%" G_GUINT64_FORMAT, revision);
-  int64_t until = g_get_monotonic_time () + WAIT_MOST;
+  int64_t until = g_get_monotonic_time () + WAIT_MAX;
   char *last = NULL;
   bool in_force = false;
 
@@ -104,7 +107,7 @@
         }
       g_free (reply.text);
       if (!in_force)
-        g_usleep (WAIT_POLL);
+        g_usleep (POLL_INTERVAL);
     }
   if (in_force)
     printf ("revision %" G_GUINT64_FORMAT " is in force on every instance\n", revision);
@@ -124,11 +127,12 @@
   int result = 1;
   Reply reply;
 
-  if (!read_catalogue (file, &text, &next) || !current (access, &now, &revision))
+  if (!read_catalogue (file, &text, &next) || !fetch_catalogue (access, &now, &revision))
     goto out;
   if (args->base->count)
     revision = (uint64_t) args->base->ival[0];
-  /* Without --id the text itself names the change, so that sending it again is the same one. */
+  /* Without --id the id is a hash of the text, so that sending the same text again repeats the same
+   * change. */
   id = args->change_id->count ? g_strdup (args->change_id->sval[0])
                               : g_compute_checksum_for_string (G_CHECKSUM_SHA1, text, -1);
   path = g_strdup_printf ("/v1/changes/%s?base=%" G_GUINT64_FORMAT, id, revision);
@@ -163,7 +167,7 @@
 }
 
 static int
-check (const char *file)
+check_file (const char *file)
 {
   char *text = NULL;
   FtCat *cat = NULL;
@@ -186,9 +190,9 @@
   return 0;
 }
 
-/* The figures that an operator on call looks at first, out of /metrics. */
+/* Prints the metrics that are not zero, without histogram buckets. */
 static int
-top (const Access *access)
+print_nonzero_metrics (const Access *access)
 {
   Reply reply;
 
@@ -204,7 +208,7 @@
   return reply.status == 200 ? 0 : 1;
 }
 
-/* For members.c: another instance's metrics, without a key. */
+/* A MembersFetch: gets another instance's metrics. */
 static char *
 fetch_metrics (const void *data, const char *url)
 {
@@ -221,7 +225,7 @@
 }
 
 static int
-show_one (const Access *access, const char *prefix, const char *id)
+show_by_id (const Access *access, const char *prefix, const char *id)
 {
   char *escaped = g_uri_escape_string (id, NULL, FALSE);
   char *path = g_strconcat (prefix, escaped, NULL);
@@ -233,7 +237,7 @@
 }
 
 static int
-release (const Access *access, const char *content)
+release_content (const Access *access, const char *content)
 {
   char *path = g_strconcat ("/v1/suspects/", content, NULL);
   Reply reply;
@@ -256,7 +260,7 @@
   if (strcmp (command, "catalogue") == 0)
     return access_show (access, "/v1/catalogue");
   if (strcmp (command, "top") == 0)
-    return top (access);
+    return print_nonzero_metrics (access);
   if (strcmp (command, "suspects") == 0)
     return access_show (access, "/v1/suspects");
   if (argument == NULL)
@@ -268,22 +272,22 @@
     return rollout_command (access, args->arguments->sval, args->arguments->count,
                             args->wait->count > 0);
   if (strcmp (command, "check") == 0)
-    return check (argument);
+    return check_file (argument);
   if (strcmp (command, "plan") == 0)
     return plan (access, argument);
   if (strcmp (command, "apply") == 0)
     return apply (access, args, argument);
   if (strcmp (command, "explain") == 0)
-    return show_one (access, "/v1/refusals/", argument);
+    return show_by_id (access, "/v1/refusals/", argument);
   if (strcmp (command, "release") == 0)
-    return release (access, argument);
+    return release_content (access, argument);
   if (strcmp (command, "members") == 0)
     return members_print (argument, fetch_metrics, access);
   if (strcmp (command, "servers") == 0)
     return members_servers (argument, fetch_metrics, access);
   if (strcmp (command, "digest") == 0)
     return print_digest (argument);
-  fprintf (stderr, "foxtailgrade: no command %s; try --help\n", command);
+  fprintf (stderr, "foxtailgrade: unknown command %s; try --help\n", command);
   return 2;
 }
 
@@ -306,23 +310,23 @@
   arg_print_syntax (stdout, (void **) args, "\n");
   printf (
       "Commands:\n"
-      "  check FILE    check a catalogue without sending it\n"
-      "  plan FILE     what a change to FILE would change\n"
-      "  apply FILE    make the change; --wait: until it is in force everywhere\n"
-      "  history       verdicts on changes, newest first\n"
+      "  check FILE    check a catalogue file without sending it\n"
+      "  plan FILE     show what applying FILE would change\n"
+      "  apply FILE    apply the catalogue; --wait: until it is in force everywhere\n"
+      "  history       accepted and rejected changes, newest first\n"
       "  catalogue     the catalogue in force\n"
-      "  status        the instance that was asked\n"
-      "  top           its counters that are not zero\n"
+      "  status        state of the instance\n"
+      "  top           metrics of the instance that are not zero\n"
       "  explain ID    why a request was refused\n"
-      "  suspects      contents that ran on servers as these ended; also of a foxtailnode's\n"
-      "                voter (--server http://IP:CONTROL-PORT)\n"
-      "  release C     lets the content C go: it is sent again\n"
+      "  suspects      contents that were running on servers that crashed; also of a\n"
+      "                foxtailnode's voter (--server http://IP:CONTROL-PORT)\n"
+      "  release C     allow the content C to be dispatched again\n"
       "  rollout start SERVICE VERSION SECONDS | status SERVICE | abort SERVICE\n"
-      "                a foxtailnode's voter: moves the service to servers of another version;\n"
-      "                --wait: until it has ended\n"
-      "  members URLS  foxtailnode: the instances at these metrics addresses, by commas\n"
-      "  servers URL   foxtailnode: what the instance believes of backend servers\n"
-      "  digest KEY    the SHA-256 of a key as the catalogue wants it\n"
+      "                foxtailnode's voter: move the service to servers of another version;\n"
+      "                --wait: until the roll-out has ended\n"
+      "  members URLS  foxtailnode: the instances at these metrics addresses, separated by commas\n"
+      "  servers URL   foxtailnode: what the instance assumes about backend servers\n"
+      "  digest KEY    print the SHA-256 of a key in the form that the catalogue uses\n"
       "Options:\n");
   arg_print_glossary (stdout, (void **) args, "  %-22s %s\n");
 }
@@ -332,13 +336,13 @@
 {
   Args args
       = { arg_str0 (NULL, NULL, "COMMAND", "what to do"),
-          arg_str0 ("s", "server", "URL", "operators' port, else FOXTAILGRADE_SERVER"),
-          arg_str0 ("k", "key-file", "FILE", "operators' key, else FOXTAILGRADE_KEY_FILE"),
-          arg_str0 (NULL, "ca-folder", "FOLDER", "with certificates to trust with https"),
-          arg_str0 (NULL, "id", "ID", "apply: the change's id"),
-          arg_str0 (NULL, "author", "NAME", "apply: who makes the change"),
+          arg_str0 ("s", "server", "URL", "operators' port; default: FOXTAILGRADE_SERVER"),
+          arg_str0 ("k", "key-file", "FILE", "operators' key; default: FOXTAILGRADE_KEY_FILE"),
+          arg_str0 (NULL, "ca-folder", "FOLDER", "certificates to trust with https"),
+          arg_str0 (NULL, "id", "ID", "apply: id of the change"),
+          arg_str0 (NULL, "author", "NAME", "apply: author of the change"),
           arg_strn (NULL, NULL, "ARGUMENT", 0, 4, "file, id, key, address or words"),
-          arg_int0 (NULL, "base", "N", "apply: the revision it was made against"),
+          arg_int0 (NULL, "base", "N", "apply: revision on which the change is based"),
           arg_lit0 (NULL, "wait",
                     "apply: return when in force everywhere; rollout start: when it has ended"),
           arg_lit0 ("h", "help", "print this help"),
--- a/cli/members.c
+++ b/cli/members.c
@@ -1,4 +1,4 @@
-/* members.c - reads the metrics of instances; see docs/OPERATIONS.md for their meaning. */
+/* members.c - reads the metrics of instances; docs/OPERATIONS.md explains each metric. */
 #include "members.h"
 
 #include <glib.h>
@@ -7,12 +7,12 @@
 
 typedef struct
 {
-  char *version, *charge, *term, *ready, *open, *by;
+  char *version, *is_leader, *term, *ready, *open_requests, *scheduled_by;
 } Member;
 
-/* The value of a line "name value"; "-" when the page has none. g_free. */
+/* Returns the value of the line "name value", or "-" if the page has none. Free with g_free. */
 static char *
-value_of (const char *page, const char *name)
+metric_value (const char *page, const char *name)
 {
   char *start = g_strdup_printf ("\n%s ", name);
   const char *at = strstr (page, start);
@@ -22,9 +22,9 @@
   return value ? value : g_strdup ("-");
 }
 
-/* The label of foxtail_scheduler{by="..."}. */
+/* Returns the label of foxtail_scheduler{by="..."}, or "-". Free with g_free. */
 static char *
-scheduler_of (const char *page)
+scheduler_label (const char *page)
 {
   static const char start[] = "foxtail_scheduler{by=\"";
   const char *at = strstr (page, start);
@@ -34,34 +34,34 @@
 }
 
 static void
-print_member (const char *url, const char *page, char **newest, int *result)
+print_row (const char *url, const char *page, char **first_version, int *result)
 {
-  Member member = { value_of (page, "foxtail_catalogue_version"),
-                    value_of (page, "foxtail_in_charge"),
-                    value_of (page, "foxtail_term"),
-                    value_of (page, "foxtail_ready"),
-                    value_of (page, "foxtail_requests_open"),
-                    scheduler_of (page) };
+  Member member = { metric_value (page, "foxtail_catalogue_version"),
+                    metric_value (page, "foxtail_in_charge"),
+                    metric_value (page, "foxtail_term"),
+                    metric_value (page, "foxtail_ready"),
+                    metric_value (page, "foxtail_requests_open"),
+                    scheduler_label (page) };
 
   printf ("%-32s %-6s %9s %6s %6s %5s %6s %s\n", url,
           strcmp (member.term, "-") == 0 ? "entry" : "voter", member.version, member.term,
-          member.charge, member.ready, member.open, member.by);
-  if (*newest == NULL)
-    *newest = g_strdup (member.version);
-  else if (strcmp (*newest, member.version) != 0)
+          member.is_leader, member.ready, member.open_requests, member.scheduled_by);
+  if (*first_version == NULL)
+    *first_version = g_strdup (member.version);
+  else if (strcmp (*first_version, member.version) != 0)
     *result = 1;
   g_free (member.version);
-  g_free (member.charge);
+  g_free (member.is_leader);
   g_free (member.term);
   g_free (member.ready);
-  g_free (member.open);
-  g_free (member.by);
+  g_free (member.open_requests);
+  g_free (member.scheduled_by);
 }
 
 int
 members_print (const char *urls, MembersFetch fetch, const void *access)
 {
-  char **list = g_strsplit (urls, ",", -1), *newest = NULL;
+  char **list = g_strsplit (urls, ",", -1), *first_version = NULL;
   int result = 0;
 
   printf ("%-32s %-6s %9s %6s %6s %5s %6s %s\n", "instance", "role", "catalogue", "term", "charge",
@@ -70,7 +70,7 @@
     {
       char *page = fetch (access, *url);
       if (page)
-        print_member (*url, page, &newest, &result);
+        print_row (*url, page, &first_version, &result);
       else
         {
           printf ("%-32s does not answer\n", *url);
@@ -78,7 +78,7 @@
         }
       g_free (page);
     }
-  g_free (newest);
+  g_free (first_version);
   g_strfreev (list);
   return result;
 }
--- a/cli/members.h
+++ b/cli/members.h
@@ -1,14 +1,15 @@
-/* members.h - the instances of a deployment whose members are found, as one table. */
+/* members.h - commands that read the metrics of foxtailnode instances. */
 #ifndef MEMBERS_H
 #define MEMBERS_H
 
-/* One metrics page; text NULL: the instance was not reached. text is the caller's to g_free. */
+/* Returns an instance's metrics page, or NULL if it was not reached. Free with g_free. */
 typedef char *(*MembersFetch) (const void *access, const char *url);
 
-/* urls: addresses of metrics, separated by commas. Prints who is in charge, which version of the
- * catalogue each has in force, and what each is doing. Returns 0 when all answer and agree. */
+/* Prints a table with one row per instance: role, leadership, version of the catalogue in force and
+ * open requests. urls: metrics addresses, separated by commas. Returns 0 if all instances answer
+ * and have the same catalogue in force, else 1. */
 int members_print (const char *urls, MembersFetch fetch, const void *access);
-/* What one instance believes of each backend server, and why. */
+/* Prints what one instance assumes about each backend server, and why. */
 int members_servers (const char *url, MembersFetch fetch, const void *access);
 
 #endif
