--- a/daemon/answer.c
+++ b/daemon/answer.c
@@ -1,4 +1,4 @@
-/* answer.c - what a caller gets: a stream as it comes, a whole answer, or one that is kept. */
+/* answer.c - answers callers: by a stream, a complete answer, or one that was kept. */
 #include "edgeint.h"
 #include "body.h"
 #include "http.h"
@@ -6,34 +6,36 @@
 
 #include <string.h>
 
-#define BLOCK 16384 /* bytes handed to the HTTP server at once */
+#define BLOCK 16384 /* most bytes handed to the HTTP server at once */
 
+/* How much of a call's stream one connection has sent. */
 typedef struct
 {
   Edge *edge;
   Call *call;
   size_t sent;
-  char *tail; /* what follows the last piece */
+  char *tail; /* sent after the last piece: [DONE] or an error event */
   size_t tail_sent;
-} Cursor;
+} StreamCursor;
 
 static char *
 make_tail (Call *call)
 {
   if (call->failure == FT_REASON_NONE)
     return g_strdup_printf ("id: %u\ndata: [DONE]\n\n", ft_req_next (call->req));
-  Problem problem = { call->failure, call->id, "the stream broke", call->tier, call->revision, 0 };
-  char *text = http_problem_text (&problem);
+  Problem problem
+      = { call->failure, call->id, "the stream was interrupted", call->tier, call->revision, 0 };
+  char *text = http_problem_format (&problem);
   char *tail = g_strdup_printf ("event: error\ndata: %s\n\n", text);
   g_free (text);
   return tail;
 }
 
 static ssize_t
-send_tail (Cursor *cursor, char *out, size_t most)
+send_tail (StreamCursor *cursor, char *out, size_t capacity)
 {
   size_t left = strlen (cursor->tail) - cursor->tail_sent;
-  size_t count = MIN (left, most);
+  size_t count = MIN (left, capacity);
 
   if (count == 0)
     return U_STREAM_END;
@@ -42,9 +44,9 @@
   return (ssize_t) count;
 }
 
-/* False: nothing came for a third of the time after which silence ends a connection. */
+/* Waits for news of the call. False: none within a third of the idle timeout (idle_s). */
 static bool
-wait_a_while (Edge *edge, Call *call)
+wait_for_news (Edge *edge, Call *call)
 {
   int64_t until = g_get_monotonic_time () + core_conf (edge->core)->idle_s * FT_SECOND / 3;
   struct timespec at = { until / FT_SECOND, (until % FT_SECOND) * 1000 };
@@ -52,54 +54,54 @@
   return pthread_cond_clockwait (&call->cond, &call->lock, CLOCK_MONOTONIC, &at) == 0;
 }
 
-/* Failure: a stream is paused, or its engine slow, for longer than idle timeouts of this server, of
- * a balancer or of the caller. Symptom: the connection is closed in the middle of an answer. A
- * comment, which readers of events skip, keeps all three from seeing an idle connection. */
+/* Sends an SSE comment, which clients ignore, to keep the connection from being idle. Without it, a
+ * stream that is paused or whose engine is slow was closed in the middle of an answer by the idle
+ * timeout of this server, a load balancer or the caller. */
 static ssize_t
-send_comment (char *out, size_t most)
+send_comment (char *out, size_t capacity)
 {
   static const char comment[] = ": waiting\n\n";
-  size_t size = MIN (sizeof comment - 1, most);
+  size_t size = MIN (sizeof comment - 1, capacity);
 
   memcpy (out, comment, size);
   return (ssize_t) size;
 }
 
 static ssize_t
-on_stream (void *user, uint64_t offset, char *out, size_t most)
+on_stream (void *user, uint64_t offset, char *out, size_t capacity)
 {
-  Cursor *cursor = user;
+  StreamCursor *cursor = user;
   Call *call = cursor->call;
   size_t size, count = 0;
 
   (void) offset;
   if (cursor->tail)
-    return send_tail (cursor, out, most);
+    return send_tail (cursor, out, capacity);
   pthread_mutex_lock (&call->lock);
   for (;;)
     {
       const char *bytes = ft_req_bytes (call->req, &size);
-      count = MIN (size - cursor->sent, most);
+      count = MIN (size - cursor->sent, capacity);
       memcpy (out, bytes + cursor->sent, count);
       cursor->sent += count;
       if (count > 0 || call->finished)
         break;
-      if (!wait_a_while (cursor->edge, call))
+      if (!wait_for_news (cursor->edge, call))
         {
           pthread_mutex_unlock (&call->lock);
-          return send_comment (out, most);
+          return send_comment (out, capacity);
         }
     }
   if (count == 0)
     cursor->tail = make_tail (call);
   pthread_mutex_unlock (&call->lock);
-  return count ? (ssize_t) count : send_tail (cursor, out, most);
+  return count ? (ssize_t) count : send_tail (cursor, out, capacity);
 }
 
 static void
 on_stream_free (void *user)
 {
-  Cursor *cursor = user;
+  StreamCursor *cursor = user;
 
   g_atomic_int_add (&cursor->edge->busy, -1);
   call_unref (cursor->call);
@@ -110,7 +112,7 @@
 void
 answer_stream (Edge *edge, Call *call, struct _u_response *response)
 {
-  Cursor *cursor = g_new0 (Cursor, 1);
+  StreamCursor *cursor = g_new0 (StreamCursor, 1);
 
   cursor->edge = edge;
   cursor->call = call_ref (call);
@@ -128,12 +130,12 @@
   Problem problem = { call->failure, call->id,       "the backend server did not complete it",
                       call->tier,    call->revision, 0 };
 
-  stat_refused (call->failure, call->tier);
-  http_problem (response, &problem);
+  stat_inc_refused (call->failure, call->tier);
+  http_set_problem (response, &problem);
 }
 
 void
-answer_whole (Call *call, struct _u_response *response)
+answer_complete (Call *call, struct _u_response *response)
 {
   size_t size;
 
@@ -144,14 +146,15 @@
     {
       const char *bytes = ft_req_bytes (call->req, &size);
       ulfius_set_binary_body_response (response, (unsigned) call->answer_status, bytes, size);
-      if (call->answer_type)
-        u_map_put (response->map_header, "Content-Type", call->answer_type);
+      if (call->answer_content_type)
+        u_map_put (response->map_header, "Content-Type", call->answer_content_type);
       u_map_put (response->map_header, "X-Request-Id", call->id);
     }
   else
     {
-      char *text = body_whole (call->id, call->pool, call->content->str, ft_req_next (call->req));
-      http_json (response, 200, text);
+      char *text = body_complete_answer (call->id, call->pool, call->content->str,
+                                         ft_req_next (call->req));
+      http_set_json (response, 200, text);
       u_map_put (response->map_header, "X-Request-Id", call->id);
       g_free (text);
     }
@@ -168,7 +171,7 @@
 }
 
 bool
-answer_wait_first (Call *call)
+answer_wait_first_piece (Call *call)
 {
   size_t size = 0;
 
@@ -196,7 +199,7 @@
   FtStatus status = back_kept_answer (edge->back, id, &body);
 
   if (status == FT_NOT_FOUND)
-    status = core_find (edge->core, FT_FIND_ANSWER, id, &body);
+    status = core_query (edge->core, FT_FIND_ANSWER, id, &body);
   Problem problem = { FT_REASON_OUTCOME_UNKNOWN,   id, "", asker ? asker->tier : 0,
                       asker ? asker->revision : 0, 0 };
   if (status == FT_OK && body
@@ -211,19 +214,19 @@
     {
       problem.reason = FT_REASON_CLAIM_ELSEWHERE;
       problem.retry_after_ms = 1000;
-      http_problem (response, &problem);
+      http_set_problem (response, &problem);
     }
   else if (status == FT_STALE)
-    http_problem (response, &problem);
+    http_set_problem (response, &problem);
   else if (asker)
     {
-      problem.rule = "it was answered, and the answer is not kept any more";
-      http_problem (response, &problem);
+      problem.rule = "it was answered, but the answer is no longer kept";
+      http_set_problem (response, &problem);
     }
   else
     {
       problem.reason = FT_REASON_NO_SUCH_REQUEST;
-      http_problem (response, &problem);
+      http_set_problem (response, &problem);
     }
   g_free (type);
   g_free (owner);
--- a/daemon/back.c
+++ b/daemon/back.c
@@ -1,13 +1,13 @@
-/* back.c - dispatches to backend servers, and the answers that come back.
+/* back.c - dispatches calls to backend servers and receives their answers.
  *
- * Dispatch. Before anything is sent a connection is tried: a refused one is not a dispatch, and
- * the call may be granted elsewhere. Then the call is marked dispatched, and from there on only
- * two things can happen: its answer, from that server, or an unknown outcome.
+ * Dispatch. A connection is opened and closed first as a test: if it fails, the call has not been
+ * dispatched and may be granted another server. Otherwise the call is marked dispatched, and it
+ * can only end with an answer from that server or with an unknown outcome.
  *
- * Streams. One connection at a time carries the answer. When it ends early or goes silent, another
- * one resumes the stream at the next piece that is missing; bytes that the old connection still
- * brings are dropped by its attempt number, and pieces by their offset. The engine that dispatches
- * the request never changes, so a resumed stream is the same dispatch.
+ * Streams. One connection at a time carries the answer. When it ends early or goes silent, a new
+ * one resumes the stream at the first missing piece. Data that still arrives on an old connection
+ * is dropped because of its attempt number, repeated pieces because of their offset. The stream is
+ * always resumed at the same engine, so the request runs only once.
  */
 #include "back.h"
 #include "body.h"
@@ -25,22 +25,23 @@
 #include <ulfius.h>
 #include <unistd.h>
 
-#define WATCH_EVERY   (100 * FT_MS)
-#define TELL_EVERY    (250 * FT_MS) /* progress reports of one stream; windows adapt in a second */
-#define RESUME_WAIT   (100 * FT_MS) /* between two connections that ended early */
-#define RESUME_MOST   200           /* connections for one answer */
-#define LATE_SILENCES 3             /* past the deadline, silent this many bounds: given up */
-#define ANSWER_MOST   (16u << 20)
+#define WATCH_INTERVAL    (100 * FT_MS)
+#define PROGRESS_INTERVAL (250 * FT_MS) /* windows adapt within a second */
+#define RECONNECT_DELAY   (100 * FT_MS)
+#define RECONNECTS_MAX    200 /* for one answer */
+/* A call past its deadline is given up after this many times silence_ms without data. */
+#define LATE_SILENCE_FACTOR 3
+#define ANSWER_MAX          (16u << 20)
 
 struct Back
 {
   Core *core;
   Plat *plat;
-  Book *book;
+  CallTable *calls;
   GThreadPool *workers;
   char *instance;
   pthread_mutex_t notices_lock;
-  Notices *notices; /* servers that asked this instance to back off */
+  Notices *notices; /* servers that asked this instance to back off; under notices_lock */
 };
 
 typedef enum
@@ -57,20 +58,20 @@
   unsigned attempt;
 } Work;
 
-/* One connection's reading state. */
+/* State of reading one connection. */
 typedef struct
 {
   Back *back;
   Call *call;
   unsigned attempt;
   Sse sse;
-  GString *plain; /* services */
+  GString *plain; /* services: the body received so far; NULL for streams */
 } Reader;
 
-Book *
-back_book (Back *back)
+CallTable *
+back_calls (Back *back)
 {
-  return back->book;
+  return back->calls;
 }
 
 static void
@@ -82,26 +83,26 @@
   g_thread_pool_push (back->workers, work, NULL);
 }
 
-/* ---- Ends ---- */
+/* ---- Completion ---- */
 
 static void
-count_end (const Call *call, bool whole)
+count_outcome (const Call *call, bool complete)
 {
-  if (!whole)
-    stat_tier (STAT_UNKNOWN, call->tier);
+  if (!complete)
+    stat_inc_tier (STAT_UNKNOWN, call->tier);
   else
     {
-      stat_tier (STAT_ANSWERED, call->tier);
-      if (call->last_at > call->due)
-        stat_tier (STAT_LATE, call->tier);
+      stat_inc_tier (STAT_ANSWERED, call->tier);
+      if (call->last_token_at > call->deadline)
+        stat_inc_tier (STAT_LATE, call->tier);
     }
 }
 
-/* Ends the call once; failure FT_REASON_NONE: its answer is whole. */
+/* Ends the call unless it has ended. failure: FT_REASON_NONE if its answer is complete. */
 static void
 finish (Back *back, Call *call, FtReason failure)
 {
-  bool whole = failure == FT_REASON_NONE;
+  bool complete = failure == FT_REASON_NONE;
   int64_t now = core_now (back->core);
 
   pthread_mutex_lock (&call->lock);
@@ -113,50 +114,51 @@
   call->finished = true;
   call->failure = failure;
   call->attempt++;
-  ft_req_move (call->req, whole ? FT_REQ_ANSWERED : FT_REQ_UNKNOWN);
+  ft_req_move (call->req, complete ? FT_REQ_ANSWERED : FT_REQ_UNKNOWN);
   unsigned tokens = ft_req_next (call->req);
   pthread_cond_broadcast (&call->cond);
   pthread_mutex_unlock (&call->lock);
-  core_claim_end (back->core, call, whole ? FT_CLAIM_ANSWERED : FT_CLAIM_UNKNOWN);
-  core_done (back->core, call, whole ? FT_DONE_WHOLE : FT_DONE_FAILED, tokens);
-  count_end (call, whole);
-  span_end (call, "backend", call->decided, now, call->server);
-  span_end (call, "request", call->started, now, ft_reason_info (failure)->code);
-  dlog (whole ? DLOG_DEBUG : DLOG_WARN, call->id, whole ? "answered" : "unknown",
+  core_end_claim (back->core, call, complete ? FT_CLAIM_ANSWERED : FT_CLAIM_UNKNOWN);
+  core_end_request (back->core, call, complete ? FT_DONE_WHOLE : FT_DONE_FAILED, tokens);
+  count_outcome (call, complete);
+  span_end (call, "backend", call->decided_at, now, call->server);
+  span_end (call, "request", call->started_at, now, ft_reason_info (failure)->code);
+  dlog (complete ? DLOG_DEBUG : DLOG_WARN, call->id, complete ? "answered" : "unknown",
         "server %s, %u pieces, %u reconnects", call->server, tokens, call->reconnects);
-  book_finished (back->book, call, now);
+  calls_finish (back->calls, call, now);
 }
 
 /* ---- Reading ---- */
 
 static void
-note_piece (Reader *reader, int64_t now)
+on_piece (Reader *reader, int64_t now)
 {
   Call *call = reader->call;
   unsigned tokens = ft_req_next (call->req);
 
-  if (call->first_at == 0)
+  if (call->first_token_at == 0)
     {
-      call->first_at = now;
+      call->first_token_at = now;
       ft_req_move (call->req, FT_REQ_STREAMING);
-      stat_sample (STAT_FIRST_TOKEN, call->tier, now - call->started);
+      stat_observe (STAT_FIRST_TOKEN, call->tier, now - call->started_at);
     }
   else
-    stat_sample (STAT_INTER_TOKEN, call->tier, now - call->last_at);
-  call->last_at = now;
-  if (now - call->told_at >= TELL_EVERY || tokens == 1)
+    stat_observe (STAT_INTER_TOKEN, call->tier, now - call->last_token_at);
+  call->last_token_at = now;
+  if (now - call->reported_at >= PROGRESS_INTERVAL || tokens == 1)
     {
-      call->told_at = now;
+      call->reported_at = now;
       core_progress (reader->back->core, call, tokens);
     }
 }
 
+/* Handles an event of a stream. False: the connection is not needed any more. */
 static bool
 on_event (void *user, gint64 id, const char *event, const char *data)
 {
   Reader *reader = user;
   Call *call = reader->call;
-  bool current, whole = false;
+  bool current, complete = false;
 
   if (event != NULL && strcmp (event, "error") == 0)
     return false;
@@ -166,7 +168,7 @@
     {
       if (id >= 0 && id <= G_MAXINT)
         ft_req_end (call->req, (unsigned) id);
-      whole = ft_req_whole (call->req);
+      complete = ft_req_whole (call->req);
       current = false;
     }
   else if (current && id >= 0 && id <= G_MAXINT)
@@ -175,15 +177,16 @@
       unsigned before = ft_req_next (call->req);
       if (ft_req_piece (call->req, (unsigned) id, line, strlen (line)) == FT_OK)
         {
-          if (ft_req_next (call->req) == before + 1) /* engines send in order on one connection */
+          /* Engines send pieces in order on a connection; one more means that none is missing. */
+          if (ft_req_next (call->req) == before + 1)
             body_append_delta (data, call->content);
-          note_piece (reader, core_now (reader->back->core));
+          on_piece (reader, core_now (reader->back->core));
           pthread_cond_broadcast (&call->cond);
         }
       g_free (line);
     }
   pthread_mutex_unlock (&call->lock);
-  if (whole)
+  if (complete)
     finish (reader->back, call, FT_REASON_NONE);
   return current;
 }
@@ -201,7 +204,7 @@
 {
   Reader *reader = user;
 
-  if (reader->plain->len + size * count > ANSWER_MOST)
+  if (reader->plain->len + size * count > ANSWER_MAX)
     return 0;
   g_string_append_len (reader->plain, contents, (gssize) (size * count));
   return size * count;
@@ -215,17 +218,17 @@
   char traceparent[56];
 
   (void) back;
-  span_header (call, traceparent);
+  span_traceparent (call, traceparent);
   u_map_put (request->map_header, "X-Request-Id", call->id);
   u_map_put (request->map_header, "traceparent", traceparent);
-  if (call->type)
-    u_map_put (request->map_header, "Content-Type", call->type);
+  if (call->content_type)
+    u_map_put (request->map_header, "Content-Type", call->content_type);
 }
 
 static unsigned long
 seconds_left (Back *back, const Call *call)
 {
-  int64_t left = call->due - core_now (back->core);
+  int64_t left = call->deadline - core_now (back->core);
 
   return (unsigned long) (MAX (0, left) / FT_SECOND + 60);
 }
@@ -241,10 +244,11 @@
   return true;
 }
 
-/* ---- Servers that ask for a backoff ---- */
+/* ---- Servers that ask to back off ---- */
 
+/* Records the Retry-After of a 429 or 503 response. */
 static void
-note_backoff (Back *back, const Call *call, int status, const struct _u_map *fields)
+record_backoff (Back *back, const Call *call, int status, const struct _u_map *fields)
 {
   const char *text = u_map_get_case (fields, "Retry-After");
   char lifetime[192];
@@ -255,12 +259,12 @@
     return;
   bool readable = notice_read_backoff (text, &notice.backoff_us);
   pthread_mutex_lock (&back->notices_lock);
-  bool news = notices_take (back->notices, lifetime, &notice) == NOTICES_NEW;
+  bool is_new = notices_take (back->notices, lifetime, &notice) == NOTICES_NEW;
   pthread_mutex_unlock (&back->notices_lock);
-  if (news)
-    dlog (DLOG_INFO, call->id, "server-notice", "server %s of %s wants nothing for %d ms%s",
+  if (is_new)
+    dlog (DLOG_INFO, call->id, "server-notice", "server %s of %s asked to back off for %d ms%s",
           call->server, call->pool, (int) (notice.backoff_us / FT_MS),
-          readable ? "" : " (its Retry-After cannot be read)");
+          readable ? "" : " (default, its Retry-After is not valid)");
 }
 
 static bool
@@ -272,15 +276,17 @@
   if (!plat_lifetime (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
     return false;
   pthread_mutex_lock (&back->notices_lock);
-  bool forbidden = notices_forbid (back->notices, lifetime, &notice) != NULL;
+  bool blocked = notices_forbid (back->notices, lifetime, &notice) != NULL;
   pthread_mutex_unlock (&back->notices_lock);
-  if (forbidden)
-    dlog (DLOG_INFO, call->id, "grant-returned", "server %s of %s wants nothing for %d ms",
-          call->server, call->pool, (int) (notice.backoff_us / FT_MS));
-  return forbidden;
+  if (blocked)
+    dlog (DLOG_INFO, call->id, "grant-returned",
+          "server %s of %s asked to back off, for another %d ms", call->server, call->pool,
+          (int) (notice.backoff_us / FT_MS));
+  return blocked;
 }
 
-/* HTTP status of the exchange; 0: it did not come to its end. */
+/* Sends one HTTP request and reads the response. Returns the HTTP status, 0 if the response is not
+ * complete. Frees url. */
 static int
 exchange (Back *back, const Call *call, const char *method, char *url, const char *body,
           size_t size, Reader *reader, char **type)
@@ -302,7 +308,7 @@
   if (done == U_OK)
     {
       status = (int) response.status;
-      note_backoff (back, call, status, response.map_header);
+      record_backoff (back, call, status, response.map_header);
     }
   if (done == U_OK && type)
     *type = g_strdup (u_map_get_case (response.map_header, "Content-Type"));
@@ -314,13 +320,13 @@
 
 typedef enum
 {
-  PROBE_MADE,
-  PROBE_REFUSED, /* the machine is there, and nobody listens */
-  PROBE_NONE     /* no answer, or no such address */
-} Probe;
+  PROBE_CONNECTED, /* connected */
+  PROBE_REFUSED,   /* the host answers, but no process listens on the port */
+  PROBE_FAILED     /* timeout, other error or invalid address */
+} ProbeResult;
 
-/* Tries a connection and closes it. */
-static Probe
+/* Opens a connection to "IP:port" and closes it. */
+static ProbeResult
 probe_server (const char *text, int64_t wait_ms)
 {
   struct sockaddr_in address = { .sin_family = AF_INET };
@@ -349,20 +355,22 @@
     close (probe);
   g_free (host);
   if (failed == 0)
-    return PROBE_MADE;
-  return failed == ECONNREFUSED ? PROBE_REFUSED : PROBE_NONE;
+    return PROBE_CONNECTED;
+  return failed == ECONNREFUSED ? PROBE_REFUSED : PROBE_FAILED;
 }
 
-/* Failure: a call ends the server that runs it, and its caller sends it again. Symptom: server
- * after server ends. A process that is gone listens no more: then its end is charged to the call's
- * content, once. known: the server says itself that it has started anew. */
+/* Reports the crash of the call's server, once a call, if nothing listens on its port any more or
+ * known (it answered that it does not know the stream, so it has restarted). The crash counts
+ * against the call's content: a request that crashes its server, sent again and again by its
+ * caller, would otherwise take down one server after another. */
 static void
-note_end (Back *back, Call *call, unsigned attempt, bool known)
+report_crash (Back *back, Call *call, unsigned attempt, bool known)
 {
   char address[64];
 
   pthread_mutex_lock (&call->lock);
-  bool current = !call->finished && !call->paused && !call->end_told && call->attempt == attempt;
+  bool current
+      = !call->finished && !call->paused && !call->crash_reported && call->attempt == attempt;
   pthread_mutex_unlock (&call->lock);
   if (!current
       || (!known
@@ -370,34 +378,34 @@
               || probe_server (address, core_conf (back->core)->connect_ms) != PROBE_REFUSED)))
     return;
   pthread_mutex_lock (&call->lock);
-  bool first = !call->end_told;
-  call->end_told = true;
+  bool first = !call->crash_reported;
+  call->crash_reported = true;
   pthread_mutex_unlock (&call->lock);
   if (!first)
     return;
-  dlog (DLOG_WARN, call->id, "server-ended", "server %s of %s, %s", call->server, call->pool,
-        known ? "which has started anew" : "where nobody listens");
-  stat_plain (STAT_SERVER_ENDS, 1);
-  core_server_ended (back->core, call);
+  dlog (DLOG_WARN, call->id, "server-ended", "server %s of %s crashed: %s", call->server,
+        call->pool, known ? "it has restarted" : "no process listens on its port");
+  stat_add (STAT_SERVER_ENDS, 1);
+  core_report_crash (back->core, call);
 }
 
 static void
-resume_later (Back *back, Call *call, unsigned attempt)
+reconnect_or_give_up (Back *back, Call *call, unsigned attempt)
 {
   bool again = false, give_up = false;
 
-  g_usleep (RESUME_WAIT);
+  g_usleep (RECONNECT_DELAY);
   pthread_mutex_lock (&call->lock);
   if (!call->finished && !call->paused && call->attempt == attempt)
     {
-      give_up = ++call->reconnects > RESUME_MOST;
+      give_up = ++call->reconnects > RECONNECTS_MAX;
       again = !give_up;
       attempt = ++call->attempt;
     }
   pthread_mutex_unlock (&call->lock);
   if (again)
     {
-      stat_plain (STAT_STREAM_RECONNECTS, 1);
+      stat_add (STAT_STREAM_RECONNECTS, 1);
       queue_work (back, WORK_RESUME, call, attempt);
     }
   if (give_up)
@@ -418,7 +426,7 @@
   if (work->kind == WORK_SEND)
     {
       path = g_strdup ("/v1/chat/completions");
-      body = body_as_stream (call->body);
+      body = body_with_stream (call->body);
     }
   else
     path = g_strdup_printf ("/v1/streams/%s?offset=%u", call->id, next);
@@ -430,13 +438,14 @@
   g_free (body);
   bool restarted = status == 404 && work->kind == WORK_RESUME;
   if (status == 0 || restarted)
-    note_end (back, call, work->attempt, restarted);
-  /* 404: the engine restarted and knows nothing of the stream; others: it refused the request. */
+    report_crash (back, call, work->attempt, restarted);
+  /* 404 to a resumption: the engine restarted and does not know the stream. Other errors: it
+   * rejected the request. */
   if (status >= 400 && status < 600)
     finish (back, call,
             work->kind == WORK_SEND ? FT_REASON_BACKEND_FAILED : FT_REASON_OUTCOME_UNKNOWN);
   else
-    resume_later (back, call, work->attempt);
+    reconnect_or_give_up (back, call, work->attempt);
 }
 
 static void
@@ -450,7 +459,7 @@
     status = exchange (back, call, call->method, url, call->body, call->body_size, &reader, &type);
   if (status == 0)
     {
-      note_end (back, call, work->attempt, false);
+      report_crash (back, call, work->attempt, false);
       finish (back, call, FT_REASON_OUTCOME_UNKNOWN);
     }
   else
@@ -458,10 +467,10 @@
       int64_t now = core_now (back->core);
       pthread_mutex_lock (&call->lock);
       call->answer_status = status;
-      call->answer_type = g_steal_pointer (&type);
+      call->answer_content_type = g_steal_pointer (&type);
       ft_req_piece (call->req, 0, reader.plain->str, reader.plain->len);
       ft_req_end (call->req, 1);
-      note_piece (&reader, now);
+      on_piece (&reader, now);
       pthread_mutex_unlock (&call->lock);
       finish (back, call, FT_REASON_NONE);
     }
@@ -483,7 +492,8 @@
       request.http_verb = o_strdup ("POST");
       request.http_url = o_strdup (url);
       request.timeout = 2;
-      ulfius_send_http_request (&request, &response); /* lost: it goes on, and we drop its bytes */
+      /* If this is lost, the server goes on and its data is dropped. */
+      ulfius_send_http_request (&request, &response);
       ulfius_clean_request (&request);
       ulfius_clean_response (&response);
     }
@@ -517,20 +527,20 @@
   if (in_backoff (back, call))
     return FT_NOT_FOUND;
   if (!plat_address (back->plat, call->pool, call->server, address, sizeof address)
-      || probe_server (address, core_conf (back->core)->connect_ms) != PROBE_MADE)
+      || probe_server (address, core_conf (back->core)->connect_ms) != PROBE_CONNECTED)
     {
-      stat_plain (STAT_CONNECT_REFUSED, 1);
+      stat_add (STAT_CONNECT_REFUSED, 1);
       return FT_NOT_FOUND;
     }
   pthread_mutex_lock (&call->lock);
   FtStatus status = ft_req_move (call->req, FT_REQ_DISPATCHED);
   call->back = back;
-  call->last_at = core_now (back->core);
+  call->last_token_at = core_now (back->core);
   unsigned attempt = ++call->attempt;
   pthread_mutex_unlock (&call->lock);
   if (status != FT_OK)
     return status;
-  stat_plain (STAT_DISPATCHES, 1);
+  stat_add (STAT_DISPATCHES, 1);
   queue_work (back, WORK_SEND, call, attempt);
   return FT_OK;
 }
@@ -545,14 +555,14 @@
   if (back == NULL)
     return;
   pthread_mutex_lock (&call->lock);
-  bool stop = !call->finished && !call->paused;
+  bool do_pause = !call->finished && !call->paused;
   call->paused = true;
-  if (stop)
+  if (do_pause)
     call->attempt++;
   pthread_mutex_unlock (&call->lock);
-  if (!stop)
+  if (!do_pause)
     return;
-  stat_tier (STAT_PAUSED, call->tier);
+  stat_inc_tier (STAT_PAUSED, call->tier);
   queue_work (back, WORK_PAUSE, call, 0);
 }
 
@@ -564,19 +574,21 @@
   if (back == NULL)
     return;
   pthread_mutex_lock (&call->lock);
-  bool go = !call->finished && call->paused;
+  bool do_resume = !call->finished && call->paused;
   call->paused = false;
-  call->last_at = core_now (back->core);
+  call->last_token_at = core_now (back->core);
   unsigned attempt = ++call->attempt;
   pthread_mutex_unlock (&call->lock);
-  if (!go)
+  if (!do_resume)
     return;
-  stat_tier (STAT_RESUMED, call->tier);
+  stat_inc_tier (STAT_RESUMED, call->tier);
   queue_work (back, WORK_RESUME, call, attempt);
 }
 
-/* ---- Silence ---- */
+/* ---- Silent streams ---- */
 
+/* Opens a new connection for a stream without data for silence_ms, and gives up a call that is
+ * silent after its deadline. */
 static void
 watch_call (Back *back, Call *call, int64_t now)
 {
@@ -585,22 +597,23 @@
   unsigned attempt = 0;
 
   pthread_mutex_lock (&call->lock);
-  bool open = ft_req_was_dispatched (call->req) && !call->finished && !call->paused;
-  /* Counted from the last connection too, so that each gets its time. */
-  int64_t quiet = now - MAX (call->last_at, call->told_at);
-  if (open && now > call->due && now - call->last_at > LATE_SILENCES * silence)
+  bool is_active = ft_req_was_dispatched (call->req) && !call->finished && !call->paused;
+  /* A reconnection counts as activity, so that each new connection gets the full time. */
+  int64_t idle_us = now - MAX (call->last_token_at, call->reported_at);
+  if (is_active && now > call->deadline
+      && now - call->last_token_at > LATE_SILENCE_FACTOR * silence)
     give_up = true;
-  else if (open && !call->service && quiet > silence)
+  else if (is_active && !call->service && idle_us > silence)
     {
       resume = true;
-      call->told_at = now;
+      call->reported_at = now;
       call->reconnects++;
       attempt = ++call->attempt;
     }
   pthread_mutex_unlock (&call->lock);
   if (resume)
     {
-      stat_plain (STAT_STREAM_RECONNECTS, 1);
+      stat_add (STAT_STREAM_RECONNECTS, 1);
       queue_work (back, WORK_RESUME, call, attempt);
     }
   if (give_up)
@@ -608,17 +621,17 @@
 }
 
 static void *
-watch (void *data)
+watch_thread (void *data)
 {
   Back *back = data;
 
   for (;;)
     {
-      GPtrArray *calls = book_unfinished (back->book);
+      GPtrArray *calls = calls_unfinished (back->calls);
       for (unsigned i = 0; i < calls->len; i++)
         watch_call (back, calls->pdata[i], core_now (back->core));
       g_ptr_array_unref (calls);
-      g_usleep (WATCH_EVERY);
+      g_usleep (WATCH_INTERVAL);
     }
   return NULL;
 }
@@ -626,29 +639,31 @@
 FtStatus
 back_kept_answer (Back *back, const char *id, GBytes **body)
 {
-  Call *call = back ? book_find (back->book, id) : NULL;
+  Call *call = back ? calls_find (back->calls, id) : NULL;
   FtStatus status = FT_NOT_FOUND;
 
   if (call == NULL)
     return FT_NOT_FOUND;
   pthread_mutex_lock (&call->lock);
   if (!call->finished)
-    status = FT_CONFLICT; /* still running there */
+    status = FT_CONFLICT; /* still running */
   else if (call->failure != FT_REASON_NONE)
     status = FT_STALE; /* its outcome is unknown */
   else if (call->service)
     {
       size_t size;
       const char *bytes = ft_req_bytes (call->req, &size);
-      *body = body_pack_answer (call->answer_status, call->answer_type ? call->answer_type : "",
+      *body = body_pack_answer (call->answer_status,
+                                call->answer_content_type ? call->answer_content_type : "",
                                 call->org, bytes, size);
       status = FT_OK;
     }
   else
     {
-      char *whole = body_whole (call->id, call->pool, call->content->str, ft_req_next (call->req));
-      *body = body_pack_answer (200, "application/json", call->org, whole, strlen (whole));
-      g_free (whole);
+      char *complete = body_complete_answer (call->id, call->pool, call->content->str,
+                                             ft_req_next (call->req));
+      *body = body_pack_answer (200, "application/json", call->org, complete, strlen (complete));
+      g_free (complete);
       status = FT_OK;
     }
   pthread_mutex_unlock (&call->lock);
@@ -664,11 +679,11 @@
 
   back->core = core;
   back->plat = plat;
-  back->book = book_new (conf->answer_keep_s * FT_SECOND, conf->answer_keep_bytes);
+  back->calls = calls_new (conf->answer_keep_s * FT_SECOND, conf->answer_keep_bytes);
   pthread_mutex_init (&back->notices_lock, NULL);
   back->notices = notices_new (core_clock (core));
   back->workers = g_thread_pool_new (run_work, back, -1, FALSE, NULL);
-  g_thread_unref (g_thread_new ("watch", watch, back));
-  core_attach (core, back);
+  g_thread_unref (g_thread_new ("watch", watch_thread, back));
+  core_set_back (core, back);
   return back;
 }
--- a/daemon/back.h
+++ b/daemon/back.h
@@ -1,4 +1,4 @@
-/* back.h - dispatches to backend servers and the streams that come back. */
+/* back.h - dispatches calls to backend servers and receives their answers. */
 #ifndef BACK_H
 #define BACK_H
 
@@ -8,14 +8,17 @@
 typedef struct Back Back;
 
 Back *back_new (Core *core, Plat *plat);
-Book *back_book (Back *back);
-/* Sends a granted call to its server: once, whatever happens. FT_NOT_FOUND: the connection was
- * refused, the server has no address or wants nothing from this instance now; no byte was sent. */
+/* Table of all calls of this instance. */
+CallTable *back_calls (Back *back);
+/* Sends a granted call to its server, never more than once. FT_NOT_FOUND: nothing was sent, since
+ * the connection failed, the server has no address or it has asked this instance to back off. */
 FtStatus back_dispatch (Back *back, Call *call);
-/* From the loop thread; do not block. back is call->back. */
+/* Pause and resume the stream of a call. Called from the loop thread, must not block. back:
+ * call->back, NULL if the call has not been dispatched. */
 void back_pause (void *back, Call *call);
 void back_resume (void *back, Call *call);
-/* A finished answer kept here as it goes between instances: organisation, status, type, body. */
+/* Finds a finished answer kept here and encodes it by body_pack_answer. FT_NOT_FOUND: not known;
+ * FT_CONFLICT: the call still runs; FT_STALE: its outcome is unknown. */
 FtStatus back_kept_answer (Back *back, const char *id, GBytes **body);
 
 #endif
--- a/daemon/body.c
+++ b/daemon/body.c
@@ -1,15 +1,15 @@
-/* body.c - JSON bodies, through json-c. */
+/* body.c - parses and builds JSON bodies with json-c. */
 #include "body.h"
 
 #include <json-c/json.h>
 #include <string.h>
 
-#define DEPTH 32
+#define MAX_DEPTH 32
 
 static struct json_object *
 parse (const char *text)
 {
-  struct json_tokener *tokener = json_tokener_new_ex (DEPTH);
+  struct json_tokener *tokener = json_tokener_new_ex (MAX_DEPTH);
   struct json_object *root = NULL;
 
   json_tokener_set_flags (tokener, JSON_TOKENER_STRICT);
@@ -45,7 +45,7 @@
 }
 
 static FtStatus
-read_messages (struct json_object *messages, BodyChat *chat, FtError *error)
+parse_messages (struct json_object *messages, BodyChat *chat, FtError *error)
 {
   if (!json_object_is_type (messages, json_type_array) || json_object_array_length (messages) == 0)
     return ft_error_set (error, FT_INVALID, 0, "messages", "must be an array of messages");
@@ -69,7 +69,7 @@
 }
 
 FtStatus
-body_read_chat (const char *text, BodyChat *chat, FtError *error)
+body_parse_chat (const char *text, BodyChat *chat, FtError *error)
 {
   FtStatus status = FT_OK;
   struct json_object *value = NULL, *root = parse (text);
@@ -99,18 +99,18 @@
     }
   if (json_object_object_get_ex (root, "max_tokens", &value))
     {
-      int64_t most = json_object_get_int64 (value);
-      if (!json_object_is_type (value, json_type_int) || most < 1 || most > 1000000)
+      int64_t limit = json_object_get_int64 (value);
+      if (!json_object_is_type (value, json_type_int) || limit < 1 || limit > 1000000)
         {
           status = ft_error_set (error, FT_INVALID, 0, "max_tokens",
                                  "must be a whole number from 1 to 1000000");
           goto out;
         }
-      chat->most_tokens = (unsigned) most;
+      chat->most_tokens = (unsigned) limit;
     }
   value = NULL;
   json_object_object_get_ex (root, "messages", &value);
-  status = read_messages (value, chat, error);
+  status = parse_messages (value, chat, error);
 out:
   json_object_put (root);
   return status;
@@ -125,7 +125,7 @@
 }
 
 char *
-body_as_stream (const char *text)
+body_with_stream (const char *text)
 {
   struct json_object *root = parse (text);
 
@@ -154,22 +154,22 @@
 }
 
 char *
-body_whole (const char *id, const char *model, const char *content, unsigned tokens)
+body_complete_answer (const char *id, const char *model, const char *content, unsigned tokens)
 {
   GString *out = g_string_new ("{\"id\":");
 
-  body_string (out, id);
+  body_append_string (out, id);
   g_string_append (out, ",\"object\":\"chat.completion\",\"model\":");
-  body_string (out, model);
+  body_append_string (out, model);
   g_string_append (out, ",\"choices\":[{\"index\":0,\"finish_reason\":\"stop\",\"message\":"
                         "{\"role\":\"assistant\",\"content\":");
-  body_string (out, content);
+  body_append_string (out, content);
   g_string_append_printf (out, "}}],\"usage\":{\"completion_tokens\":%u}}", tokens);
   return g_string_free (out, FALSE);
 }
 
 void
-body_string (GString *out, const char *text)
+body_append_string (GString *out, const char *text)
 {
   struct json_object *value = json_object_new_string (text);
 
--- a/daemon/body.h
+++ b/daemon/body.h
@@ -7,23 +7,26 @@
 typedef struct
 {
   char *model;
-  GString *prompt; /* all messages' text in order */
+  GString *prompt; /* role and text of all messages in order */
   bool stream;
   unsigned most_tokens;
 } BodyChat;
 
-/* FT_INVALID with the field's name and what is allowed. */
-FtStatus body_read_chat (const char *text, BodyChat *chat, FtError *error);
+/* Parses and checks a request. FT_INVALID: error names the field and what is allowed. Call
+ * body_clear_chat in either case. */
+FtStatus body_parse_chat (const char *text, BodyChat *chat, FtError *error);
 void body_clear_chat (BodyChat *chat);
-/* The same body with "stream": true; g_free. */
-char *body_as_stream (const char *text);
-/* Appends the text of one streamed piece to out. */
+/* Returns the same body with "stream": true. Free with g_free. */
+char *body_with_stream (const char *text);
+/* Appends the text of one streamed chunk (a JSON object) to out. */
 void body_append_delta (const char *piece, GString *out);
-/* A whole answer in one object; g_free. */
-char *body_whole (const char *id, const char *model, const char *content, unsigned tokens);
-/* Adds text as a JSON string, quotes included. */
-void body_string (GString *out, const char *text);
-/* {"status":n,"type":"...","organisation":"...","body":"..."} and back, for kept answers. */
+/* Returns a complete, not streamed answer as one object. Free with g_free. */
+char *body_complete_answer (const char *id, const char *model, const char *content,
+                            unsigned tokens);
+/* Appends text as a JSON string, quotes included. */
+void body_append_string (GString *out, const char *text);
+/* Encode and decode a kept answer as it is sent between instances: status, type and organisation on
+ * a line each, then the body. */
 GBytes *body_pack_answer (int status, const char *type, const char *org, const char *body,
                           gsize size);
 bool body_unpack_answer (GBytes *bytes, int *status, char **type, char **org, char **body,
--- a/daemon/call.c
+++ b/daemon/call.c
@@ -1,4 +1,4 @@
-/* call.c - requests of callers, and the book in which they are found again by id. */
+/* call.c - callers' requests and the table that finds them by id. */
 #include "call.h"
 
 #include <string.h>
@@ -36,10 +36,10 @@
   g_free (call->class_name);
   g_free (call->method);
   g_free (call->path);
-  g_free (call->type);
+  g_free (call->content_type);
   g_free (call->body);
   g_free (call->claim_key);
-  g_free (call->answer_type);
+  g_free (call->answer_content_type);
   pthread_cond_destroy (&call->cond);
   pthread_mutex_destroy (&call->lock);
   g_free (call);
@@ -49,7 +49,7 @@
 call_wait_decision (Call *call)
 {
   pthread_mutex_lock (&call->lock);
-  while (call->decision == CALL_ASKING)
+  while (call->decision == CALL_PENDING)
     pthread_cond_wait (&call->cond, &call->lock);
   CallDecision decision = call->decision;
   pthread_mutex_unlock (&call->lock);
@@ -57,7 +57,7 @@
 }
 
 size_t
-call_size (Call *call)
+call_memory_size (Call *call)
 {
   size_t size;
 
@@ -65,123 +65,123 @@
   return sizeof *call + size + call->content->len + call->body_size;
 }
 
-struct Book
+struct CallTable
 {
   pthread_mutex_t lock;
   GHashTable *by_id;
   GQueue finished; /* Call, oldest first */
-  int64_t keep, bytes_most, bytes;
+  int64_t keep, bytes_max, bytes;
   unsigned running;
 };
 
-Book *
-book_new (int64_t keep, int64_t bytes)
+CallTable *
+calls_new (int64_t keep, int64_t bytes)
 {
-  Book *book = g_new0 (Book, 1);
-
-  pthread_mutex_init (&book->lock, NULL);
-  book->by_id = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) call_unref);
-  g_queue_init (&book->finished);
-  book->keep = keep;
-  book->bytes_most = bytes;
-  return book;
+  CallTable *calls = g_new0 (CallTable, 1);
+
+  pthread_mutex_init (&calls->lock, NULL);
+  calls->by_id = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) call_unref);
+  g_queue_init (&calls->finished);
+  calls->keep = keep;
+  calls->bytes_max = bytes;
+  return calls;
 }
 
 void
-book_free (Book *book)
+calls_free (CallTable *calls)
 {
-  g_hash_table_unref (book->by_id);
-  g_queue_clear (&book->finished);
-  pthread_mutex_destroy (&book->lock);
-  g_free (book);
+  g_hash_table_unref (calls->by_id);
+  g_queue_clear (&calls->finished);
+  pthread_mutex_destroy (&calls->lock);
+  g_free (calls);
 }
 
 FtStatus
-book_add (Book *book, Call *call)
+calls_add (CallTable *calls, Call *call)
 {
   FtStatus status = FT_CONFLICT;
 
-  pthread_mutex_lock (&book->lock);
-  if (!g_hash_table_contains (book->by_id, call->id))
+  pthread_mutex_lock (&calls->lock);
+  if (!g_hash_table_contains (calls->by_id, call->id))
     {
-      g_hash_table_insert (book->by_id, call->id, call_ref (call));
-      book->running++;
+      g_hash_table_insert (calls->by_id, call->id, call_ref (call));
+      calls->running++;
       status = FT_OK;
     }
-  pthread_mutex_unlock (&book->lock);
+  pthread_mutex_unlock (&calls->lock);
   return status;
 }
 
 Call *
-book_find (Book *book, const char *id)
+calls_find (CallTable *calls, const char *id)
 {
-  pthread_mutex_lock (&book->lock);
-  Call *call = g_hash_table_lookup (book->by_id, id);
+  pthread_mutex_lock (&calls->lock);
+  Call *call = g_hash_table_lookup (calls->by_id, id);
   if (call)
     call_ref (call);
-  pthread_mutex_unlock (&book->lock);
+  pthread_mutex_unlock (&calls->lock);
   return call;
 }
 
 static void
-drop_old (Book *book, int64_t now)
+drop_expired (CallTable *calls, int64_t now)
 {
   Call *oldest;
 
-  while ((oldest = g_queue_peek_head (&book->finished)) != NULL
-         && (book->bytes > book->bytes_most || now - oldest->finished_at > book->keep))
+  while ((oldest = g_queue_peek_head (&calls->finished)) != NULL
+         && (calls->bytes > calls->bytes_max || now - oldest->finished_at > calls->keep))
     {
-      g_queue_pop_head (&book->finished);
-      book->bytes -= (int64_t) call_size (oldest);
-      g_hash_table_remove (book->by_id, oldest->id);
+      g_queue_pop_head (&calls->finished);
+      calls->bytes -= (int64_t) call_memory_size (oldest);
+      g_hash_table_remove (calls->by_id, oldest->id);
     }
 }
 
 void
-book_finished (Book *book, Call *call, int64_t now)
+calls_finish (CallTable *calls, Call *call, int64_t now)
 {
-  pthread_mutex_lock (&book->lock);
-  book->running--;
+  pthread_mutex_lock (&calls->lock);
+  calls->running--;
   call->finished_at = now;
-  /* The request's own bytes are not needed any more, only its answer. */
+  /* The request's body is not needed any more, only its answer. */
   g_clear_pointer (&call->body, g_free);
   call->body_size = 0;
-  book->bytes += (int64_t) call_size (call);
-  g_queue_push_tail (&book->finished, call);
-  drop_old (book, now);
-  pthread_mutex_unlock (&book->lock);
+  calls->bytes += (int64_t) call_memory_size (call);
+  g_queue_push_tail (&calls->finished, call);
+  drop_expired (calls, now);
+  pthread_mutex_unlock (&calls->lock);
 }
 
 void
-book_remove (Book *book, Call *call)
+calls_remove (CallTable *calls, Call *call)
 {
-  pthread_mutex_lock (&book->lock);
-  book->running--;
-  g_hash_table_remove (book->by_id, call->id);
-  pthread_mutex_unlock (&book->lock);
+  pthread_mutex_lock (&calls->lock);
+  calls->running--;
+  g_hash_table_remove (calls->by_id, call->id);
+  pthread_mutex_unlock (&calls->lock);
 }
 
 unsigned
-book_running (Book *book)
+calls_running (CallTable *calls)
 {
-  pthread_mutex_lock (&book->lock);
-  unsigned running = book->running;
-  pthread_mutex_unlock (&book->lock);
+  pthread_mutex_lock (&calls->lock);
+  unsigned running = calls->running;
+  pthread_mutex_unlock (&calls->lock);
   return running;
 }
 
 GPtrArray *
-book_unfinished (Book *book)
+calls_unfinished (CallTable *calls)
 {
   GPtrArray *all = g_ptr_array_new_with_free_func ((GDestroyNotify) call_unref);
   GHashTableIter iter;
   void *call;
 
-  pthread_mutex_lock (&book->lock);
-  g_hash_table_iter_init (&iter, book->by_id);
+  pthread_mutex_lock (&calls->lock);
+  g_hash_table_iter_init (&iter, calls->by_id);
   while (g_hash_table_iter_next (&iter, NULL, &call))
     if (((Call *) call)->finished_at == 0)
       g_ptr_array_add (all, call_ref (call));
-  pthread_mutex_unlock (&book->lock);
+  pthread_mutex_unlock (&calls->lock);
   return all;
 }
--- a/daemon/call.h
+++ b/daemon/call.h
@@ -1,15 +1,16 @@
-/* call.h - one request of a caller on its way through this instance. */
+/* call.h - one caller's request while this instance handles it, and the table of all of them. */
 #ifndef CALL_H
 #define CALL_H
 
 #include "foxtail.h"
 
-/* Locks on a request's path are those of POSIX: the thread sanitizer knows them, not GLib's. */
+/* Locks used for requests are POSIX ones, because the thread sanitizer does not know GLib's. */
 #include <pthread.h>
 
+/* The scheduler's decision on a call. */
 typedef enum
 {
-  CALL_ASKING,
+  CALL_PENDING,
   CALL_GRANTED,
   CALL_REFUSED
 } CallDecision;
@@ -17,62 +18,67 @@
 typedef struct
 {
   gint refs;
-  pthread_mutex_t lock; /* of all below the line */
+  pthread_mutex_t lock; /* protects everything below the line */
   pthread_cond_t cond;
   uint64_t number;
   char *id; /* shown to the caller, sent to the backend server */
   char *pool, *org, *class_name;
   unsigned tier;
-  bool service, stream;
-  char *method, *path, *type; /* services */
+  bool service;                       /* for a plain service, not a model */
+  bool stream;                        /* the caller wants a streamed answer */
+  char *method, *path, *content_type; /* of the HTTP request */
   char *body;
   size_t body_size;
-  unsigned prompt_tokens, most_tokens, block_count;
+  unsigned prompt_tokens, max_tokens, block_count;
   uint64_t blocks[FT_BLOCKS_MOST];
-  int64_t started, first_by, due;
-  uint64_t revision; /* of the catalogue that it was taken under */
-  char *claim_key;   /* NULL: idempotent */
+  int64_t started_at, first_token_deadline, deadline;
+  uint64_t revision; /* of the catalogue in force when it was accepted */
+  char *claim_key;   /* organisation/Idempotency-Key; NULL: it may run more than once */
   char trace_id[33], span_id[17], parent_id[17];
   /* ---- */
   FtReq *req;
   CallDecision decision;
   char server[64];
   FtRefusal refusal;
-  GString *content; /* model answers: the text of all pieces in order */
-  unsigned attempt; /* connection in use; bytes of older ones are dropped */
+  GString *content; /* models: text of all pieces received in order */
+  unsigned attempt; /* number of the connection in use; data from older ones is dropped */
   unsigned reconnects;
   bool paused, finished;
-  bool end_told;     /* that its server has ended */
-  FtReason failure;  /* finished without a whole answer */
-  int answer_status; /* services: HTTP status of the backend server */
-  char *answer_type;
-  int64_t decided, first_at, last_at, told_at, finished_at;
+  bool crash_reported; /* the crash of its server was reported */
+  FtReason failure;    /* finished without a complete answer */
+  int answer_status;   /* services: HTTP status of the backend server */
+  char *answer_content_type;
+  int64_t decided_at, first_token_at, last_token_at;
+  int64_t reported_at; /* last progress report or reconnection after silence */
+  int64_t finished_at;
   void *core, *back;
 } Call;
 
 Call *call_new (const char *id);
 Call *call_ref (Call *call);
 void call_unref (Call *call);
-/* Blocks until the scheduler has decided. */
+/* Blocks until the scheduler has granted or refused the call. */
 CallDecision call_wait_decision (Call *call);
-/* Bytes that the finished answer holds. */
-size_t call_size (Call *call);
+/* Bytes of memory that the call with its request and answer takes. */
+size_t call_memory_size (Call *call);
 
-/* ---- Calls by id, for a stated time and within a stated bound ---- */
+/* ---- Table of calls by id; finished ones are kept for a limited time and size ---- */
 
-typedef struct Book Book;
-Book *book_new (int64_t keep, int64_t bytes);
-void book_free (Book *book);
-/* FT_CONFLICT: an id that is known. */
-FtStatus book_add (Book *book, Call *call);
-/* A new reference, or NULL. */
-Call *book_find (Book *book, const char *id);
-/* The call ended: from now on its time and bytes count. */
-void book_finished (Book *book, Call *call, int64_t now);
-void book_remove (Book *book, Call *call);
-/* Calls that have not finished. */
-unsigned book_running (Book *book);
-/* New references to all unfinished calls. */
-GPtrArray *book_unfinished (Book *book);
+typedef struct CallTable CallTable;
+/* keep: microseconds; bytes: memory for all finished calls, the oldest are dropped first. */
+CallTable *calls_new (int64_t keep, int64_t bytes);
+void calls_free (CallTable *calls);
+/* FT_CONFLICT: a call with this id is in the table. */
+FtStatus calls_add (CallTable *calls, Call *call);
+/* Returns a new reference, or NULL. */
+Call *calls_find (CallTable *calls, const char *id);
+/* Marks the call finished; from now on the limits on time and bytes apply to it. */
+void calls_finish (CallTable *calls, Call *call, int64_t now);
+/* Removes a call that did not finish: it was refused. */
+void calls_remove (CallTable *calls, Call *call);
+/* Number of calls that have not finished. */
+unsigned calls_running (CallTable *calls);
+/* Returns new references to all unfinished calls. */
+GPtrArray *calls_unfinished (CallTable *calls);
 
 #endif
--- a/daemon/conf.c
+++ b/daemon/conf.c
@@ -88,7 +88,7 @@
 }
 
 const ConfInstance *
-conf_instance (const Conf *conf, uint32_t id)
+conf_find_instance (const Conf *conf, uint32_t id)
 {
   for (unsigned i = 0; i < conf->instances->len; i++)
     if (((ConfInstance *) conf->instances->pdata[i])->id == id)
@@ -158,7 +158,7 @@
 static FtStatus
 check (FtJson *doc, const Conf *conf, FtError *error)
 {
-  const ConfInstance *self = conf_instance (conf, (uint32_t) conf->id);
+  const ConfInstance *self = conf_find_instance (conf, (uint32_t) conf->id);
   unsigned voters = count_voters (conf);
 
   if (!is_ip (conf->address))
@@ -244,7 +244,7 @@
 }
 
 void
-conf_help (void)
+conf_print_help (void)
 {
   help_rows (fields, "");
   printf ("instances: array, required\n    every instance, this one among them, each with:\n");
--- a/daemon/conf.h
+++ b/daemon/conf.h
@@ -29,7 +29,7 @@
 FtStatus conf_parse (const char *text, Conf **conf, FtError *error);
 void conf_free (Conf *conf);
 /* Prints every field with type, range, default and meaning. */
-void conf_help (void);
-const ConfInstance *conf_instance (const Conf *conf, uint32_t id);
+void conf_print_help (void);
+const ConfInstance *conf_find_instance (const Conf *conf, uint32_t id);
 
 #endif
--- a/daemon/core.c
+++ b/daemon/core.c
@@ -19,7 +19,7 @@
 
 typedef struct
 {
-  CoreFn fn;
+  CoreFunc fn;
   void *data;
 } Posted;
 
@@ -73,7 +73,7 @@
 static const FtRandomOps random_ops = { random_next };
 
 void
-core_attach (Core *core, Back *back)
+core_set_back (Core *core, Back *back)
 {
   core->back = back;
 }
@@ -133,7 +133,7 @@
     return;
   pthread_mutex_lock (&call->lock);
   call->decision = CALL_GRANTED;
-  call->decided = g_get_monotonic_time ();
+  call->decided_at = g_get_monotonic_time ();
   g_strlcpy (call->server, server, sizeof call->server);
   ft_req_move (call->req, FT_REQ_GRANTED);
   pthread_cond_broadcast (&call->cond);
@@ -151,7 +151,7 @@
     return;
   pthread_mutex_lock (&call->lock);
   call->decision = CALL_REFUSED;
-  call->decided = g_get_monotonic_time ();
+  call->decided_at = g_get_monotonic_time ();
   call->refusal = *refusal;
   ft_req_move (call->req, FT_REQ_REFUSED);
   pthread_cond_broadcast (&call->cond);
@@ -273,7 +273,7 @@
 }
 
 void
-core_post (Core *core, CoreFn fn, void *data)
+core_post (Core *core, CoreFunc fn, void *data)
 {
   Posted *posted = g_new (Posted, 1);
 
@@ -326,7 +326,7 @@
   core->waiters = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   core->next_number = 1;
   *out = core;
-  if (conf_instance (conf, (uint32_t) conf->id)->voter)
+  if (conf_find_instance (conf, (uint32_t) conf->id)->voter)
     status = disk_new (conf->data_folder, &core->disk, error);
   if (status == FT_OK)
     status = make_node (core, error);
@@ -351,7 +351,7 @@
 }
 
 bool
-core_fresh (Core *core)
+core_is_fresh (Core *core)
 {
   return core_now (core) < __atomic_load_n (&core->fresh_until, __ATOMIC_ACQUIRE);
 }
@@ -367,7 +367,7 @@
 } CallEvent;
 
 static void
-post_call (Core *core, CoreFn fn, Call *call, FtDone how, unsigned tokens)
+post_call (Core *core, CoreFunc fn, Call *call, FtDone how, unsigned tokens)
 {
   CallEvent *event = g_new (CallEvent, 1);
 
@@ -405,9 +405,9 @@
                     .org = call->org,
                     .class_name = call->class_name,
                     .prompt_tokens = call->prompt_tokens,
-                    .most_tokens = call->most_tokens,
-                    .first_in = call->first_by - now,
-                    .due_in = call->due - now,
+                    .most_tokens = call->max_tokens,
+                    .first_in = call->first_token_deadline - now,
+                    .due_in = call->deadline - now,
                     .blocks = call->blocks,
                     .block_count = call->block_count,
                     .content = content_of (call) };
@@ -418,7 +418,7 @@
 }
 
 void
-core_ask (Core *core, Call *call)
+core_submit (Core *core, Call *call)
 {
   call->number = __atomic_fetch_add (&core->next_number, 1, __ATOMIC_RELAXED);
   call->core = core;
@@ -435,10 +435,10 @@
 }
 
 void
-core_ask_again (Core *core, Call *call)
+core_resubmit (Core *core, Call *call)
 {
   pthread_mutex_lock (&call->lock);
-  call->decision = CALL_ASKING;
+  call->decision = CALL_PENDING;
   ft_req_ask_again (call->req);
   pthread_mutex_unlock (&call->lock);
   post_call (core, do_ask_again, call, 0, 0);
@@ -471,7 +471,7 @@
 }
 
 void
-core_done (Core *core, Call *call, FtDone how, unsigned tokens)
+core_end_request (Core *core, Call *call, FtDone how, unsigned tokens)
 {
   post_call (core, do_done, call, how, tokens);
 }
@@ -486,7 +486,7 @@
 }
 
 void
-core_server_ended (Core *core, Call *call)
+core_report_crash (Core *core, Call *call)
 {
   post_call (core, do_server_ended, call, 0, 0);
 }
@@ -504,7 +504,7 @@
 }
 
 void
-core_note_refusal (Core *core, const Call *call)
+core_record_refusal (Core *core, const Call *call)
 {
   post_call (core, do_note_refusal, (Call *) call, 0, 0);
 }
@@ -539,7 +539,7 @@
 }
 
 static void
-wait_for (Core *core, CoreFn fn, Request *request, Waiter *waiter)
+wait_for (Core *core, CoreFunc fn, Request *request, Waiter *waiter)
 {
   memset (waiter, 0, sizeof *waiter);
   pthread_mutex_init (&waiter->lock, NULL);
@@ -565,8 +565,8 @@
 }
 
 FtStatus
-core_change (Core *core, const char *change_id, const char *author, uint64_t base,
-             const char *catalogue, uint64_t *revision, char *text)
+core_propose_catalogue (Core *core, const char *change_id, const char *author, uint64_t base,
+                        const char *catalogue, uint64_t *revision, char *text)
 {
   Request *request = g_new0 (Request, 1);
   Waiter waiter;
@@ -591,7 +591,7 @@
 }
 
 FtStatus
-core_release (Core *core, uint64_t content)
+core_release_content (Core *core, uint64_t content)
 {
   Request *request = g_new0 (Request, 1);
   Waiter waiter;
@@ -619,7 +619,7 @@
   request->b = g_strdup (digest);
   request->c = g_strdup (call->id);
   wait_for (core, do_claim, request, &waiter);
-  stat_plain (STAT_CLAIMS, 1);
+  stat_add (STAT_CLAIMS, 1);
   g_strlcpy (owner_id, waiter.text, 64);
   return waiter.status;
 }
@@ -634,7 +634,7 @@
 }
 
 void
-core_claim_end (Core *core, const Call *call, FtClaimEnd end)
+core_end_claim (Core *core, const Call *call, FtClaimEnd end)
 {
   if (call->claim_key == NULL)
     return;
@@ -655,7 +655,7 @@
 }
 
 FtStatus
-core_find (Core *core, FtFindKind kind, const char *id, GBytes **body)
+core_query (Core *core, FtFindKind kind, const char *id, GBytes **body)
 {
   Request *request = g_new0 (Request, 1);
   Waiter waiter;
--- a/daemon/disk.c
+++ b/daemon/disk.c
@@ -89,7 +89,7 @@
   Disk *disk = (Disk *) base;
   FtStatus status = use_file (disk, name);
 
-  stat_plain (STAT_DISK_SYNCS, 1);
+  stat_add (STAT_DISK_SYNCS, 1);
   if (status != FT_OK)
     return status;
   return fdatasync (disk->open_file) == 0 ? FT_OK : FT_IO;
--- a/daemon/dlog.c
+++ b/daemon/dlog.c
@@ -32,7 +32,7 @@
 static const log4c_appender_type_t line_appender = { "foxtail_stderr", NULL, append_line, NULL };
 
 bool
-dlog_open (const char *level, unsigned instance)
+dlog_init (const char *level, unsigned instance)
 {
   instance_id = instance;
   if (log4c_init () != 0)
@@ -52,7 +52,7 @@
 }
 
 void
-dlog_close (void)
+dlog_fini (void)
 {
   if (category)
     log4c_fini ();
--- a/daemon/dlog.h
+++ b/daemon/dlog.h
@@ -13,8 +13,8 @@
 } DlogLevel;
 
 /* level: "error", "warn", "info" or "debug". instance goes into each line. False: log4c failed. */
-bool dlog_open (const char *level, unsigned instance);
-void dlog_close (void);
+bool dlog_init (const char *level, unsigned instance);
+void dlog_fini (void);
 /* request may be NULL. event is a short constant name, format its details. Any thread. */
 void dlog (DlogLevel level, const char *request, const char *event, const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
--- a/daemon/edge.c
+++ b/daemon/edge.c
@@ -29,11 +29,12 @@
   call->refusal.retry_after_ms = retry_ms;
   if (rule != call->refusal.rule)
     g_strlcpy (call->refusal.rule, rule, sizeof call->refusal.rule);
-  stat_refused (reason, call->tier);
+  stat_inc_refused (reason, call->tier);
   dlog (DLOG_INFO, call->id, "refused", "%s: %s", ft_reason_info (reason)->code, rule);
-  span_end (call, "request", call->started, core_now (edge->core), ft_reason_info (reason)->code);
-  core_note_refusal (edge->core, call);
-  http_problem (response, &problem);
+  span_end (call, "request", call->started_at, core_now (edge->core),
+            ft_reason_info (reason)->code);
+  core_record_refusal (edge->core, call);
+  http_set_problem (response, &problem);
 }
 
 /* Whether this instance may take a request now; if not, refuses it. */
@@ -46,7 +47,7 @@
                    response);
       return false;
     }
-  if (!core_fresh (edge->core))
+  if (!core_is_fresh (edge->core))
     {
       refuse_call (edge, call, FT_REASON_STALE_CATALOGUE,
                    "no voter in charge has been heard for 3 s", 2000, response);
@@ -90,7 +91,7 @@
     g_snprintf (id, sizeof id, "r%d-%016" G_GINT64_MODIFIER "x", (int) core_conf (edge->core)->id,
                 core_random (edge->core));
   Call *call = call_new (id);
-  call->started = core_now (edge->core);
+  call->started_at = core_now (edge->core);
   call->req = ft_req_new (id, on_transition, NULL);
   span_begin (call, u_map_get_case (request->map_header, "traceparent"));
   return call;
@@ -105,7 +106,7 @@
 
   (void) edge;
   if (org == NULL)
-    stat_plain (STAT_AUTH_FAILED, 1);
+    stat_add (STAT_AUTH_FAILED, 1);
   return org;
 }
 
@@ -145,8 +146,8 @@
   call->pool = g_strdup (pool->name);
   call->class_name = g_strdup (class->name);
   call->tier = (unsigned) class->tier;
-  call->first_by = call->started + class->first_token_ms * FT_MS;
-  call->due = call->started + most * FT_MS;
+  call->first_token_deadline = call->started_at + class->first_token_ms * FT_MS;
+  call->deadline = call->started_at + most * FT_MS;
   return true;
 }
 
@@ -198,7 +199,7 @@
       return false;
     default:
       /* It may have become durable after all; this call has not run, so the key is free. */
-      core_claim_end (edge->core, call, FT_CLAIM_RELEASED);
+      core_end_claim (edge->core, call, FT_CLAIM_RELEASED);
       refuse_call (edge, call, FT_REASON_CLAIM_UNAVAILABLE, "no majority of voters answered", 2000,
                    response);
       return false;
@@ -240,28 +241,28 @@
   int64_t asked = core_now (edge->core);
 
   ft_req_move (call->req, FT_REQ_ASKED);
-  stat_tier (STAT_OFFERED, call->tier);
-  core_ask (edge->core, call);
+  stat_inc_tier (STAT_OFFERED, call->tier);
+  core_submit (edge->core, call);
   for (unsigned tries = 1;; tries++)
     {
       CallDecision decision = call_wait_decision (call);
-      stat_sample (STAT_WAIT, call->tier, call->decided - asked);
-      span_end (call, "schedule", asked, call->decided, call->server);
+      stat_observe (STAT_WAIT, call->tier, call->decided_at - asked);
+      span_end (call, "schedule", asked, call->decided_at, call->server);
       if (decision == CALL_REFUSED)
         {
-          core_claim_end (edge->core, call, FT_CLAIM_RELEASED);
+          core_end_claim (edge->core, call, FT_CLAIM_RELEASED);
           refuse_call (edge, call, call->refusal.reason, call->refusal.rule,
                        call->refusal.retry_after_ms, response);
           return false;
         }
       if (back_dispatch (edge->back, call) == FT_OK)
         return true;
-      if (tries == CONNECT_TRIES || core_now (edge->core) > call->due)
+      if (tries == CONNECT_TRIES || core_now (edge->core) > call->deadline)
         break;
-      core_ask_again (edge->core, call);
+      core_resubmit (edge->core, call);
     }
-  core_done (edge->core, call, FT_DONE_REFUSED, 0);
-  core_claim_end (edge->core, call, FT_CLAIM_RELEASED);
+  core_end_request (edge->core, call, FT_DONE_REFUSED, 0);
+  core_end_claim (edge->core, call, FT_CLAIM_RELEASED);
   pthread_mutex_lock (&call->lock);
   ft_req_move (call->req, FT_REQ_REFUSED);
   pthread_mutex_unlock (&call->lock);
@@ -275,7 +276,7 @@
 static void
 serve (Edge *edge, Call *call, struct _u_response *response)
 {
-  if (book_add (back_book (edge->back), call) != FT_OK)
+  if (calls_add (back_calls (edge->back), call) != FT_OK)
     {
       refuse_call (edge, call, FT_REASON_DUPLICATE_ID, "GET /v1/requests/ID tells its answer", 0,
                    response);
@@ -283,16 +284,16 @@
     }
   if ((call->claim_key && !claim (edge, call, response)) || !schedule (edge, call, response))
     {
-      book_remove (back_book (edge->back), call);
+      calls_remove (back_calls (edge->back), call);
       return;
     }
-  if (call->stream && !call->service && answer_wait_first (call))
+  if (call->stream && !call->service && answer_wait_first_piece (call))
     {
       answer_stream (edge, call, response);
       return;
     }
   answer_wait_end (call);
-  answer_whole (call, response);
+  answer_complete (call, response);
 }
 
 static bool
@@ -314,7 +315,8 @@
   char *text = http_body (request);
   const FtPoolEntry *pool = NULL;
 
-  if (strlen (text) != request->binary_body_length || body_read_chat (text, &chat, &error) != FT_OK)
+  if (strlen (text) != request->binary_body_length
+      || body_parse_chat (text, &chat, &error) != FT_OK)
     {
       g_snprintf (rule, sizeof rule, "%s %s", error.field, error.text);
       refuse_call (edge, call, FT_REASON_BAD_REQUEST,
@@ -330,9 +332,9 @@
     }
   call->method = g_strdup ("POST");
   call->path = g_strdup ("/v1/chat/completions");
-  call->type = g_strdup ("application/json");
+  call->content_type = g_strdup ("application/json");
   call->stream = chat.stream;
-  call->most_tokens = chat.most_tokens;
+  call->max_tokens = chat.most_tokens;
   call->prompt_tokens = (unsigned) (chat.prompt->len / 4 + 1);
   call->block_count
       = ft_prefix_hash (chat.prompt->str, chat.prompt->len, 0, call->blocks, FT_BLOCKS_MOST);
@@ -361,7 +363,7 @@
   call->service = true;
   call->method = g_strdup (request->http_verb);
   call->path = g_strdup (request->http_url);
-  call->type = g_strdup (type ? type : "application/octet-stream");
+  call->content_type = g_strdup (type ? type : "application/octet-stream");
   call->body = g_memdup2 (request->binary_body, request->binary_body_length);
   call->body_size = request->binary_body_length;
   if (classify (edge, call, cat, org, pool, request, response)
@@ -421,17 +423,17 @@
   response->timeout = ANSWER_WAIT_S;
   const FtOrg *org = cat ? authenticate (edge, cat, request) : NULL;
   Problem no_key = { FT_REASON_NO_KEY, id, "Authorization: Bearer KEY", 0, 0, 0 };
-  Call *call = org ? book_find (back_book (edge->back), id) : NULL;
+  Call *call = org ? calls_find (back_calls (edge->back), id) : NULL;
 
   g_atomic_int_inc (&edge->busy);
   if (org == NULL)
-    http_problem (response, &no_key);
+    http_set_problem (response, &no_key);
   else if (call && strcmp (call->org, org->name) == 0 && call->stream && !call->service)
     answer_stream (edge, call, response); /* from the first piece on, also while it runs */
   else if (call && strcmp (call->org, org->name) == 0)
     {
       answer_wait_end (call);
-      answer_whole (call, response);
+      answer_complete (call, response);
     }
   else
     answer_by_id (edge, id, org->name, NULL, response);
@@ -451,7 +453,7 @@
   g_snprintf (text, sizeof text,
               "{\"status\":\"alive\",\"incarnation\":\"%016" G_GINT64_MODIFIER "x\"}",
               edge->incarnation);
-  http_json (response, 200, text);
+  http_set_json (response, 200, text);
   return U_CALLBACK_COMPLETE;
 }
 
@@ -462,11 +464,11 @@
 
   (void) request;
   if (g_atomic_int_get (&edge->closing))
-    http_json (response, 503, "{\"status\":\"shutting down\"}");
-  else if (!core_fresh (edge->core))
-    http_json (response, 503, "{\"status\":\"catalogue not proved to be in force\"}");
+    http_set_json (response, 503, "{\"status\":\"shutting down\"}");
+  else if (!core_is_fresh (edge->core))
+    http_set_json (response, 503, "{\"status\":\"catalogue not proved to be in force\"}");
   else
-    http_json (response, 200, "{\"status\":\"ready\"}");
+    http_set_json (response, 200, "{\"status\":\"ready\"}");
   return U_CALLBACK_COMPLETE;
 }
 
@@ -492,15 +494,15 @@
 }
 
 void
-edge_close (Edge *edge)
+edge_stop_accepting (Edge *edge)
 {
   g_atomic_int_set (&edge->closing, 1);
 }
 
 unsigned
-edge_busy (Edge *edge)
+edge_open_count (Edge *edge)
 {
-  return (unsigned) g_atomic_int_get (&edge->busy) + book_running (back_book (edge->back));
+  return (unsigned) g_atomic_int_get (&edge->busy) + calls_running (back_calls (edge->back));
 }
 
 void
--- a/daemon/http.c
+++ b/daemon/http.c
@@ -73,7 +73,7 @@
 }
 
 char *
-http_problem_text (const Problem *problem)
+http_problem_format (const Problem *problem)
 {
   const FtReasonInfo *info = ft_reason_info (problem->reason);
   GString *out = g_string_new (NULL);
@@ -85,18 +85,18 @@
       "\"revision\":%" G_GUINT64_FORMAT ",\"retry_after_ms\":%" G_GINT64_FORMAT ",\"id\":",
       info->code, info->message, info->http_status, info->code, ft_ran_name (info->ran),
       problem->tier, problem->revision, problem->retry_after_ms);
-  body_string (out, problem->id ? problem->id : "");
+  body_append_string (out, problem->id ? problem->id : "");
   g_string_append (out, ",\"rule\":");
-  body_string (out, problem->rule ? problem->rule : "");
+  body_append_string (out, problem->rule ? problem->rule : "");
   g_string_append_c (out, '}');
   return g_string_free (out, FALSE);
 }
 
 void
-http_problem (struct _u_response *response, const Problem *problem)
+http_set_problem (struct _u_response *response, const Problem *problem)
 {
   const FtReasonInfo *info = ft_reason_info (problem->reason);
-  char *text = http_problem_text (problem), seconds[32];
+  char *text = http_problem_format (problem), seconds[32];
   /* 499 has no place in the standard; the caller that it is about is gone anyway. */
   unsigned status = info->http_status == 499 ? 408 : (unsigned) info->http_status;
 
@@ -132,7 +132,7 @@
 }
 
 void
-http_json (struct _u_response *response, unsigned status, const char *text)
+http_set_json (struct _u_response *response, unsigned status, const char *text)
 {
   ulfius_set_string_body_response (response, status, text);
   u_map_put (response->map_header, "Content-Type", "application/json");
@@ -152,7 +152,7 @@
 }
 
 bool
-http_same_digest (const char *a, const char *b)
+http_digest_equal (const char *a, const char *b)
 {
   volatile unsigned char differ = 0;
 
--- a/daemon/http.h
+++ b/daemon/http.h
@@ -25,17 +25,17 @@
 
 /* application/problem+json (RFC 9457) with the members id, reason, rule, revision, tier, ran and
  * retry_after_ms. */
-void http_problem (struct _u_response *response, const Problem *problem);
+void http_set_problem (struct _u_response *response, const Problem *problem);
 /* The same object as text; g_free. */
-char *http_problem_text (const Problem *problem);
+char *http_problem_format (const Problem *problem);
 /* The body as a string, "" when there is none; g_free. */
 char *http_body (const struct _u_request *request);
 /* A variable of the path or query; "" when it is absent. */
 const char *http_url_value (const struct _u_request *request, const char *name);
-void http_json (struct _u_response *response, unsigned status, const char *text);
+void http_set_json (struct _u_response *response, unsigned status, const char *text);
 /* SHA-256 of the bearer key in Authorization as 64 hex digits; false: there is none. */
 bool http_key_digest (const struct _u_request *request, char *digest);
 /* Same time for equal and different digests. */
-bool http_same_digest (const char *a, const char *b);
+bool http_digest_equal (const char *a, const char *b);
 
 #endif
--- a/daemon/link.c
+++ b/daemon/link.c
@@ -231,13 +231,13 @@
   memset (&batch, 0, sizeof batch);
   if (!svc_getargs (transport, (xdrproc_t) xdr_LinkBatch, (char *) &batch))
     {
-      stat_plain (STAT_LINK_REJECTED, 1);
+      stat_add (STAT_LINK_REJECTED, 1);
       svcerr_decode (transport);
     }
   else
     {
       if (!accept_batch (the_link, &batch, &ack))
-        stat_plain (STAT_LINK_REJECTED, 1);
+        stat_add (STAT_LINK_REJECTED, 1);
       ack_mac (the_link, &ack, batch.incarnation, batch.first, mac);
       ack.mac.mac_len = ack.accepted ? MAC_SIZE : 0;
       ack.mac.mac_val = (char *) mac;
@@ -400,8 +400,8 @@
   if (done)
     {
       take_ack (peer, batch.incarnation, ack.next);
-      stat_plain (STAT_LINK_MESSAGES_OUT, count);
-      stat_plain (STAT_LINK_BYTES_OUT, bytes->len + 120);
+      stat_add (STAT_LINK_MESSAGES_OUT, count);
+      stat_add (STAT_LINK_BYTES_OUT, bytes->len + 120);
     }
   xdr_free ((xdrproc_t) xdr_LinkAck, (char *) &ack);
   g_byte_array_unref (bytes);
@@ -469,7 +469,7 @@
         }
       if (!call_peer (peer))
         {
-          stat_plain (STAT_LINK_RECONNECTS, 1);
+          stat_add (STAT_LINK_RECONNECTS, 1);
           disconnect (peer);
           reset_if_lost (peer);
           g_usleep ((gulong) RETRY_FIRST);
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -48,18 +48,19 @@
 {
   int64_t until = core_now (core) + core_conf (core)->shutdown_s * FT_SECOND;
 
-  edge_close (edge);
+  edge_stop_accepting (edge);
   g_usleep (READY_NOTICE);
   bool left = core_leave (core);
   int64_t handed_by = core_now (core) + HANDOVER;
-  while ((edge_busy (edge) > 0 || (!left && core_now (core) < handed_by))
+  while ((edge_open_count (edge) > 0 || (!left && core_now (core) < handed_by))
          && core_now (core) < until)
     {
       g_usleep (POLL);
       left = core_leave (core);
     }
-  if (edge_busy (edge) > 0)
-    dlog (DLOG_ERROR, NULL, "shutdown", "%u requests were cut at the bound", edge_busy (edge));
+  if (edge_open_count (edge) > 0)
+    dlog (DLOG_ERROR, NULL, "shutdown", "%u requests were cut at the bound",
+          edge_open_count (edge));
 }
 
 static int
@@ -72,7 +73,7 @@
   int result = 1;
 
   ulfius_global_init ();
-  if (!dlog_open (conf->log_level, (unsigned) conf->id))
+  if (!dlog_init (conf->log_level, (unsigned) conf->id))
     {
       fprintf (stderr, "foxtailgraded: the log cannot be opened\n");
       return 1;
@@ -99,7 +100,7 @@
 out:
   if (result != 0)
     print_error (file, &error);
-  dlog_close ();
+  dlog_fini ();
   return result;
 }
 
@@ -162,7 +163,7 @@
     }
   else if (args.help_settings->count)
     {
-      conf_help ();
+      conf_print_help ();
       result = 0;
     }
   else if (errors || args.settings->count == 0)
--- a/daemon/oper.c
+++ b/daemon/oper.c
@@ -33,12 +33,12 @@
   Problem problem = { FT_REASON_NO_KEY, NULL, "Authorization: Bearer OPERATOR-KEY", 0, 0, 0 };
 
   if (http_key_digest (request, digest)
-      && http_same_digest (digest, core_conf (oper->core)->operator_key_sha256))
+      && http_digest_equal (digest, core_conf (oper->core)->operator_key_sha256))
     handler (oper, request, response);
   else
     {
-      stat_plain (STAT_AUTH_FAILED, 1);
-      http_problem (response, &problem);
+      stat_add (STAT_AUTH_FAILED, 1);
+      http_set_problem (response, &problem);
     }
   return U_CALLBACK_COMPLETE;
 }
@@ -51,9 +51,9 @@
 
   g_string_append_printf (out, "{\"status\":\"%s\",\"revision\":%" G_GUINT64_FORMAT ",\"text\":",
                           ft_strerror (status), revision);
-  body_string (out, text);
+  body_append_string (out, text);
   g_string_append_c (out, '}');
-  http_json (response, http_status, out->str);
+  http_set_json (response, http_status, out->str);
   g_string_free (out, TRUE);
 }
 
@@ -92,7 +92,8 @@
       g_free (body);
       return;
     }
-  status = core_change (oper->core, id, author ? author : "unnamed", number, body, &revision, text);
+  status = core_propose_catalogue (oper->core, id, author ? author : "unnamed", number, body,
+                                   &revision, text);
   g_free (body);
   dlog (DLOG_INFO, NULL, "change", "%s by %s: %s", id, author ? author : "unnamed",
         ft_strerror (status));
@@ -108,14 +109,14 @@
 find (Oper *oper, struct _u_response *response, FtFindKind kind, const char *id)
 {
   GBytes *body = NULL;
-  FtStatus status = core_find (oper->core, kind, id, &body);
+  FtStatus status = core_query (oper->core, kind, id, &body);
   gsize size = 0;
   const char *data = body ? g_bytes_get_data (body, &size) : NULL;
 
   if (status == FT_OK)
     {
       char *text = g_strndup (data, size);
-      http_json (response, 200, text);
+      http_set_json (response, 200, text);
       g_free (text);
     }
   else
@@ -159,7 +160,7 @@
       answer_status (response, 400, FT_INVALID, 0, "content: 16 hexadecimal digits are wanted");
       return;
     }
-  FtStatus status = core_release (oper->core, content);
+  FtStatus status = core_release_content (oper->core, content);
   dlog (DLOG_INFO, NULL, "released", "content %s: %s", text, ft_strerror (status));
   answer_status (response, status == FT_OK ? 200 : 503, status, 0, text);
 }
@@ -179,7 +180,7 @@
   (void) request;
   g_snprintf (revision, sizeof revision, "%" G_GUINT64_FORMAT, cat ? ft_cat_revision (cat) : 0);
   u_map_put (response->map_header, "X-Revision", revision);
-  http_json (response, 200, cat ? ft_cat_text (cat) : "");
+  http_set_json (response, 200, cat ? ft_cat_text (cat) : "");
   ft_cat_unref (cat);
 }
 
@@ -199,14 +200,14 @@
               now.revision, now.leader, now.voter ? "true" : "false", now.member ? "true" : "false",
               now.broken ? "true" : "false", now.term, now.commit, now.pools_held, now.requests,
               now.live);
-  http_json (response, 200, text);
+  http_set_json (response, 200, text);
 }
 
 static void
 metrics (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
   char *pools = core_pool_metrics (oper->core);
-  char *text = stat_text (pools);
+  char *text = stat_format (pools);
 
   (void) request;
   ulfius_set_string_body_response (response, 200, text);
--- a/daemon/span.c
+++ b/daemon/span.c
@@ -51,7 +51,7 @@
 }
 
 void
-span_header (const Call *call, char *out)
+span_traceparent (const Call *call, char *out)
 {
   g_snprintf (out, 56, "00-%s-%s-01", call->trace_id, call->span_id);
 }
--- a/daemon/sse.c
+++ b/daemon/sse.c
@@ -34,7 +34,7 @@
 }
 
 static bool
-end_event (Sse *sse, SseEvent fn, void *user)
+end_event (Sse *sse, SseEventFunc fn, void *user)
 {
   bool go_on = true;
 
@@ -47,7 +47,7 @@
 }
 
 static bool
-take_line (Sse *sse, SseEvent fn, void *user)
+take_line (Sse *sse, SseEventFunc fn, void *user)
 {
   const char *line = sse->line->str, *value;
 
@@ -70,7 +70,7 @@
 }
 
 bool
-sse_feed (Sse *sse, const char *bytes, gsize size, SseEvent fn, void *user)
+sse_feed (Sse *sse, const char *bytes, gsize size, SseEventFunc fn, void *user)
 {
   for (gsize i = 0; i < size; i++)
     {
--- a/daemon/stat.c
+++ b/daemon/stat.c
@@ -34,25 +34,25 @@
 }
 
 void
-stat_tier (StatTier counter, unsigned tier)
+stat_inc_tier (StatTier counter, unsigned tier)
 {
   add (&tier_counters[counter][MIN (tier, FT_TIERS)], 1);
 }
 
 void
-stat_plain (StatPlain counter, uint64_t by)
+stat_add (StatPlain counter, uint64_t by)
 {
   add (&plain_counters[counter], by);
 }
 
 void
-stat_refused (FtReason reason, unsigned tier)
+stat_inc_refused (FtReason reason, unsigned tier)
 {
   add (&refused[reason][MIN (tier, FT_TIERS)], 1);
 }
 
 void
-stat_sample (StatDistribution distribution, unsigned tier, int64_t us)
+stat_observe (StatDistribution distribution, unsigned tier, int64_t us)
 {
   unsigned bucket = 0;
 
@@ -90,7 +90,7 @@
 }
 
 char *
-stat_text (const char *extra)
+stat_format (const char *extra)
 {
   GString *out = g_string_new (NULL);
 
--- a/daemon/stat.h
+++ b/daemon/stat.h
@@ -39,12 +39,12 @@
   STAT_DISTRIBUTIONS
 } StatDistribution;
 
-void stat_tier (StatTier counter, unsigned tier);
-void stat_plain (StatPlain counter, uint64_t add);
-void stat_refused (FtReason reason, unsigned tier);
+void stat_inc_tier (StatTier counter, unsigned tier);
+void stat_add (StatPlain counter, uint64_t add);
+void stat_inc_refused (FtReason reason, unsigned tier);
 /* us: microseconds. */
-void stat_sample (StatDistribution distribution, unsigned tier, int64_t us);
+void stat_observe (StatDistribution distribution, unsigned tier, int64_t us);
 /* All counters in the usual text format for metrics; g_free. extra is appended. */
-char *stat_text (const char *extra);
+char *stat_format (const char *extra);
 
 #endif
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -270,10 +270,10 @@
   FtError error;
 
   (void) user;
-  if (id == NULL || body_read_chat (text, &chat, &error) != FT_OK)
+  if (id == NULL || body_parse_chat (text, &chat, &error) != FT_OK)
     {
       g_free (text);
-      http_json (response, 400, "{\"error\":\"bad request\"}");
+      http_set_json (response, 400, "{\"error\":\"bad request\"}");
       return U_CALLBACK_COMPLETE;
     }
   g_mutex_lock (&engine.lock);
@@ -285,7 +285,7 @@
       engine.turned_away++;
       g_mutex_unlock (&engine.lock);
       u_map_put (response->map_header, "Retry-After", seconds);
-      http_json (response, 503, "{\"error\":\"busy\"}");
+      http_set_json (response, 503, "{\"error\":\"busy\"}");
       body_clear_chat (&chat);
       g_free (text);
       return U_CALLBACK_COMPLETE;
@@ -321,7 +321,7 @@
       answer (stream, offset ? (unsigned) atoi (offset) : 0, response);
     }
   else
-    http_json (response, 404, "{\"error\":\"no such stream\"}");
+    http_set_json (response, 404, "{\"error\":\"no such stream\"}");
   g_mutex_unlock (&engine.lock);
   return U_CALLBACK_COMPLETE;
 }
@@ -336,7 +336,7 @@
     stream->paused = true;
   g_cond_broadcast (&engine.cond);
   g_mutex_unlock (&engine.lock);
-  http_json (response, stream ? 200 : 404, "{}");
+  http_set_json (response, stream ? 200 : 404, "{}");
   return U_CALLBACK_COMPLETE;
 }
 
@@ -368,7 +368,7 @@
     }
   g_mutex_unlock (&engine.lock);
   g_string_append (out, "]}");
-  http_json (response, 200, out->str);
+  http_set_json (response, 200, out->str);
   g_string_free (out, TRUE);
   return U_CALLBACK_COMPLETE;
 }
@@ -384,7 +384,7 @@
   bool old = engine.conf.fencing && fencing < engine.fencing;
   engine.fencing = MAX (engine.fencing, fencing);
   g_mutex_unlock (&engine.lock);
-  http_json (response, old ? 409 : 200, old ? "{\"error\":\"old fencing number\"}" : "{}");
+  http_set_json (response, old ? 409 : 200, old ? "{\"error\":\"old fencing number\"}" : "{}");
   return U_CALLBACK_COMPLETE;
 }
 
@@ -401,7 +401,7 @@
               "\"turned_away\":%u}",
               engine.dispatches, engine.doubled, engine.finished, engine.turned_away);
   g_mutex_unlock (&engine.lock);
-  http_json (response, 200, text);
+  http_set_json (response, 200, text);
   return U_CALLBACK_COMPLETE;
 }
 
@@ -425,7 +425,7 @@
     engine.backoff = (unsigned) atoi (backoff);
   g_cond_broadcast (&engine.cond);
   g_mutex_unlock (&engine.lock);
-  http_json (response, 200, "{}");
+  http_set_json (response, 200, "{}");
   return U_CALLBACK_COMPLETE;
 }
 
--- a/test/text.c
+++ b/test/text.c
@@ -147,29 +147,29 @@
 static void
 test_book (void)
 {
-  Book *book = book_new (600 * FT_SECOND, 2000);
+  CallTable *book = calls_new (600 * FT_SECOND, 2000);
   Call *running = call_new ("running");
 
   running->req = ft_req_new ("running", NULL, NULL);
-  g_assert_cmpint (book_add (book, running), ==, FT_OK);
-  g_assert_cmpint (book_add (book, running), ==, FT_CONFLICT);
+  g_assert_cmpint (calls_add (book, running), ==, FT_OK);
+  g_assert_cmpint (calls_add (book, running), ==, FT_CONFLICT);
   for (unsigned i = 0; i < 50; i++)
     {
       char id[16];
       g_snprintf (id, sizeof id, "c%u", i);
       Call *call = call_new (id);
       call->req = ft_req_new (id, NULL, NULL);
-      g_assert_cmpint (book_add (book, call), ==, FT_OK);
-      book_finished (book, call, FT_SECOND);
+      g_assert_cmpint (calls_add (book, call), ==, FT_OK);
+      calls_finish (book, call, FT_SECOND);
       call_unref (call);
     }
-  g_assert_null (book_find (book, "c0"));
-  Call *found = book_find (book, "running");
+  g_assert_null (calls_find (book, "c0"));
+  Call *found = calls_find (book, "running");
   g_assert_true (found == running);
   call_unref (found);
-  g_assert_cmpuint (book_running (book), ==, 1);
+  g_assert_cmpuint (calls_running (book), ==, 1);
   call_unref (running);
-  book_free (book);
+  calls_free (book);
 }
 
 /* ---- Malformed input ---- */
@@ -215,7 +215,7 @@
       g_assert_cmpint (conf_parse (text, &conf, &error), ==, FT_INVALID);
       g_free (text);
       text = spoil (random, chat, sizeof chat - 1);
-      if (body_read_chat (text, &body, &error) != FT_OK)
+      if (body_parse_chat (text, &body, &error) != FT_OK)
         g_assert_true (*error.field && *error.text);
       body_clear_chat (&body);
       g_free (text);
--- a/test/threads.c
+++ b/test/threads.c
@@ -13,7 +13,7 @@
       "\"0000000000000000000000000000000000000000000000000000000000000001\",\"limits\":{}}],"
       "\"classes\":[{\"name\":\"c\",\"owner\":\"w\",\"tier\":1,\"limits\":{}}],\"pools\":[]}";
 
-static Book *book;
+static CallTable *book;
 static FtCat *cat;
 static gint found;
 
@@ -28,14 +28,14 @@
       Call *call = call_new (id);
       call->req = ft_req_new (id, NULL, NULL);
       g_assert_nonnull (ft_cat_org (mine, "o"));
-      g_assert_cmpint (book_add (book, call), ==, FT_OK);
-      Call *again = book_find (book, id);
+      g_assert_cmpint (calls_add (book, call), ==, FT_OK);
+      Call *again = calls_find (book, id);
       if (again)
         g_atomic_int_inc (&found);
       call_unref (again);
-      stat_tier (STAT_OFFERED, 1);
-      stat_sample (STAT_WAIT, 1, i);
-      book_finished (book, call, FT_SECOND + i);
+      stat_inc_tier (STAT_OFFERED, 1);
+      stat_observe (STAT_WAIT, 1, i);
+      calls_finish (book, call, FT_SECOND + i);
       call_unref (call);
       ft_cat_unref (mine);
     }
@@ -48,18 +48,18 @@
 {
   GThread *threads[THREADS];
 
-  book = book_new (600 * FT_SECOND, 100000);
+  book = calls_new (600 * FT_SECOND, 100000);
   g_assert_cmpint (ft_cat_new (text, 1, &cat, NULL), ==, FT_OK);
   for (unsigned i = 0; i < THREADS; i++)
     threads[i] = g_thread_new ("work", work, GUINT_TO_POINTER (i));
   for (unsigned i = 0; i < THREADS; i++)
     g_thread_join (threads[i]);
   g_assert_cmpint (found, ==, THREADS * ROUNDS);
-  g_assert_cmpuint (book_running (book), ==, 0);
-  char *metrics = stat_text (NULL);
+  g_assert_cmpuint (calls_running (book), ==, 0);
+  char *metrics = stat_format (NULL);
   g_assert_nonnull (strstr (metrics, "foxtail_requests_offered_total{tier=\"1\"} 8000\n"));
   g_free (metrics);
-  book_free (book);
+  calls_free (book);
   ft_cat_unref (cat);
 }
 
