--- a/daemon/back.c
+++ b/daemon/back.c
@@ -255,7 +255,7 @@
   Notice notice = { 0 };
 
   if ((status != 503 && status != 429) || text == NULL
-      || !plat_lifetime (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
+      || !plat_incarnation (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
     return;
   bool readable = notice_read_backoff (text, &notice.backoff_us);
   pthread_mutex_lock (&back->notices_lock);
@@ -273,7 +273,7 @@
   char lifetime[192];
   Notice notice;
 
-  if (!plat_lifetime (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
+  if (!plat_incarnation (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
     return false;
   pthread_mutex_lock (&back->notices_lock);
   bool blocked = notices_forbid (back->notices, lifetime, &notice) != NULL;
@@ -384,8 +384,8 @@
   if (!first)
     return;
   dlog (DLOG_WARN, call->id, "server-ended", "server %s of %s crashed: %s", call->server,
-        call->pool, known ? "it has restarted" : "no process listens on its port");
-  stat_add (STAT_SERVER_ENDS, 1);
+        call->pool, known ? "it has restarted" : "its address refuses connections");
+  stat_add (STAT_SERVER_CRASHES, 1);
   core_report_crash (back->core, call);
 }
 
--- a/daemon/conf.c
+++ b/daemon/conf.c
@@ -1,4 +1,4 @@
-/* conf.c - settings: one table says what there is, checks it and prints the help. */
+/* conf.c - settings. One table describes them for parsing, checking and the help text. */
 #include "conf.h"
 
 #include <arpa/inet.h>
@@ -9,64 +9,66 @@
 #define AT(field) offsetof (Conf, field)
 
 static const FtField fields[] = {
-  { "id", FT_FIELD_INTEGER, true, 1, 100000, NULL, AT (id), "number of this instance" },
+  { "id", FT_FIELD_INTEGER, true, 1, 100000, NULL, AT (id),
+    "number of this instance, unique in the deployment" },
   { "region", FT_FIELD_STRING, false, 0, 63, "", AT (region), "region of this instance" },
   { "failure_domain", FT_FIELD_STRING, true, 1, 63, NULL, AT (failure_domain),
     "failure domain of this instance" },
   { "address", FT_FIELD_STRING, true, 2, 45, NULL, AT (address),
-    "IP number on which all ports listen" },
+    "IPv4 address on which all ports listen" },
   { "caller_port", FT_FIELD_INTEGER, true, 1, 65535, NULL, AT (caller_port), "port for callers" },
   { "operator_port", FT_FIELD_INTEGER, true, 1, 65535, NULL, AT (operator_port),
     "port for operators" },
   { "link_port", FT_FIELD_INTEGER, true, 1, 65535, NULL, AT (link_port),
     "port for other instances" },
   { "link_key_file", FT_FIELD_STRING, true, 1, 4095, NULL, AT (link_key_file),
-    "file with the key that all instances share, 16 bytes or more" },
+    "file with the key that all instances share, at least 16 bytes" },
   { "operator_key_sha256", FT_FIELD_STRING, true, 64, 64, NULL, AT (operator_key_sha256),
     "SHA-256 of the operators' key, 64 lower-case hex digits" },
   { "platform_address", FT_FIELD_STRING, true, 1, 255, NULL, AT (platform_address),
     "URL of the platform's list of backend servers" },
   { "data_folder", FT_FIELD_STRING, false, 0, 4095, "", AT (data_folder),
-    "folder for a voter's state" },
+    "folder for the state of a voter; required for voters" },
   { "log_level", FT_FIELD_STRING, false, 4, 5, "info", AT (log_level),
     "error, warn, info or debug" },
   { "span_file", FT_FIELD_STRING, false, 0, 4095, "", AT (span_file),
-    "file to which spans are appended; empty: none" },
+    "file to which trace spans are appended; empty: none" },
   { "tls_certificate_file", FT_FIELD_STRING, false, 0, 4095, "", AT (tls_certificate_file),
     "PEM certificate for both HTTP ports; empty: no TLS" },
   { "tls_key_file", FT_FIELD_STRING, false, 0, 4095, "", AT (tls_key_file),
-    "PEM key of the certificate" },
+    "PEM private key of the certificate" },
   { "body_bytes", FT_FIELD_INTEGER, false, 1024, 67108864, "4194304", AT (body_bytes),
-    "largest body of a request, bytes" },
+    "largest body of a request, in bytes" },
   { "header_bytes", FT_FIELD_INTEGER, false, 4096, 1048576, "32768", AT (header_bytes),
-    "memory of one connection for headers, bytes" },
+    "memory for the headers of one connection, in bytes" },
   { "connections_per_address", FT_FIELD_INTEGER, false, 1, 100000, "1024",
-    AT (connections_per_address), "connections of one caller's address" },
+    AT (connections_per_address), "most connections from one address of callers" },
   { "idle_s", FT_FIELD_INTEGER, false, 1, 3600, "30", AT (idle_s),
-    "a connection on which nothing moves is closed after this many seconds" },
+    "an idle connection is closed after this many seconds" },
   { "silence_ms", FT_FIELD_INTEGER, false, 100, 600000, "3000", AT (silence_ms),
-    "a stream of a backend server that is silent for this long gets a new connection" },
+    "a stream of a backend server without data for this many milliseconds gets a new connection" },
   { "connect_ms", FT_FIELD_INTEGER, false, 10, 60000, "500", AT (connect_ms),
-    "longest wait for a connection to a backend server, milliseconds" },
+    "timeout of connecting to a backend server, in milliseconds" },
   { "answer_keep_s", FT_FIELD_INTEGER, false, 1, 86400, "600", AT (answer_keep_s),
-    "an answer can be fetched again for this long, seconds" },
+    "seconds for which an answer is kept and can be fetched again" },
   { "answer_keep_bytes", FT_FIELD_INTEGER, false, 1048576, 4294967296, "67108864",
-    AT (answer_keep_bytes), "memory for answers kept, bytes; the oldest go first" },
+    AT (answer_keep_bytes), "memory for kept answers, in bytes; the oldest are dropped first" },
   { "shutdown_s", FT_FIELD_INTEGER, false, 1, 86400, "900", AT (shutdown_s),
-    "a shutdown waits this long for running requests, seconds" },
+    "seconds for which a shutdown waits for running requests" },
   { 0 },
 };
 
 static const FtField instance_fields[] = {
-  { "id", FT_FIELD_INTEGER, true, 1, 100000, NULL, offsetof (ConfInstance, id), "its number" },
+  { "id", FT_FIELD_INTEGER, true, 1, 100000, NULL, offsetof (ConfInstance, id),
+    "number of the instance" },
   { "address", FT_FIELD_STRING, true, 2, 45, NULL, offsetof (ConfInstance, address),
-    "its IP number" },
+    "IPv4 address of the instance" },
   { "link_port", FT_FIELD_INTEGER, true, 1, 65535, NULL, offsetof (ConfInstance, link_port),
-    "its port for other instances" },
+    "port of the instance for other instances" },
   { "failure_domain", FT_FIELD_STRING, true, 1, 63, NULL, offsetof (ConfInstance, failure_domain),
-    "its failure domain" },
+    "failure domain of the instance" },
   { "voter", FT_FIELD_BOOL, false, 0, 0, "false", offsetof (ConfInstance, voter),
-    "has a disk and keeps the replicated log" },
+    "stores the replicated log on disk and votes" },
   { 0 },
 };
 
@@ -103,7 +105,7 @@
 }
 
 static bool
-is_ip (const char *text)
+is_ipv4 (const char *text)
 {
   struct in_addr v4;
 
@@ -117,29 +119,31 @@
 
   if (!json_object_object_get_ex (ft_json_root (doc), "instances", &array)
       || !json_object_is_type (array, json_type_array) || json_object_array_length (array) == 0)
-    return fail (doc, error, "instances", "must be an array with every instance in it");
+    return fail (doc, error, "instances", "must be an array of all instances");
   for (size_t i = 0; i < json_object_array_length (array); i++)
     {
-      ConfInstance *one = g_new0 (ConfInstance, 1);
+      ConfInstance *instance = g_new0 (ConfInstance, 1);
       char path[64], field[96];
 
       g_snprintf (path, sizeof path, "instances[%zu]", i);
-      g_ptr_array_add (conf->instances, one);
+      g_ptr_array_add (conf->instances, instance);
       FtStatus status = ft_json_fields (doc, json_object_array_get_idx (array, i), path,
-                                        instance_fields, NULL, one, error);
+                                        instance_fields, NULL, instance, error);
       if (status != FT_OK)
         return status;
       g_snprintf (field, sizeof field, "%s.address", path);
-      if (!is_ip (one->address))
-        return fail (doc, error, field, "must be an IP number such as 10.0.0.1");
+      if (!is_ipv4 (instance->address))
+        return fail (doc, error, field, "must be an IPv4 address such as 10.0.0.1");
       g_snprintf (field, sizeof field, "%s.id", path);
       for (unsigned j = 0; j < i; j++)
         {
           const ConfInstance *other = conf->instances->pdata[j];
-          if (other->id == one->id)
+          if (other->id == instance->id)
             return fail (doc, error, field, "is the number of another instance too");
-          if (other->link_port == one->link_port && strcmp (other->address, one->address) == 0)
-            return fail (doc, error, field, "has the address and link port of another instance");
+          if (other->link_port == instance->link_port
+              && strcmp (other->address, instance->address) == 0)
+            return fail (doc, error, field,
+                         "address and link_port are those of another instance too");
         }
     }
   return FT_OK;
@@ -158,27 +162,28 @@
 static FtStatus
 check (FtJson *doc, const Conf *conf, FtError *error)
 {
-  const ConfInstance *self = conf_find_instance (conf, (uint32_t) conf->id);
+  const ConfInstance *own = conf_find_instance (conf, (uint32_t) conf->id);
   unsigned voters = count_voters (conf);
 
-  if (!is_ip (conf->address))
-    return fail (doc, error, "address", "must be an IP number such as 10.0.0.1");
+  if (!is_ipv4 (conf->address))
+    return fail (doc, error, "address", "must be an IPv4 address such as 10.0.0.1");
   if (conf->operator_port == conf->caller_port)
-    return fail (doc, error, "operator_port", "is the caller_port too; each needs its own");
+    return fail (doc, error, "operator_port", "is the same as caller_port");
   if (conf->link_port == conf->caller_port || conf->link_port == conf->operator_port)
-    return fail (doc, error, "link_port", "is another port's number too; each needs its own");
+    return fail (doc, error, "link_port", "is the same as caller_port or operator_port");
   if (strspn (conf->operator_key_sha256, "0123456789abcdef") != 64)
     return fail (doc, error, "operator_key_sha256", "must be 64 lower-case hex digits");
-  if (self == NULL)
-    return fail (doc, error, "id", "is not among instances");
-  if (self->link_port != conf->link_port)
-    return fail (doc, error, "link_port", "differs from this instance's entry in instances");
+  if (own == NULL)
+    return fail (doc, error, "id", "is not the id of any element of instances");
+  if (own->link_port != conf->link_port)
+    return fail (doc, error, "link_port", "differs from link_port of this instance in instances");
   if (voters != 1 && voters != 3 && voters != 5 && voters != 7)
-    return fail (doc, error, "instances", "must name 1, 3, 5 or 7 voters");
-  if (self->voter && !*conf->data_folder)
-    return fail (doc, error, "data_folder", "is missing: this instance is a voter");
+    return fail (doc, error, "instances", "must have 1, 3, 5 or 7 voters");
+  if (own->voter && !*conf->data_folder)
+    return fail (doc, error, "data_folder", "is required, because this instance is a voter");
   if (!*conf->tls_certificate_file != !*conf->tls_key_file)
-    return fail (doc, error, "tls_key_file", "certificate and key go together");
+    return fail (doc, error, "tls_key_file",
+                 "tls_certificate_file and tls_key_file must be set together");
   if (strcmp (conf->log_level, "error") != 0 && strcmp (conf->log_level, "warn") != 0
       && strcmp (conf->log_level, "info") != 0 && strcmp (conf->log_level, "debug") != 0)
     return fail (doc, error, "log_level", "must be error, warn, info or debug");
@@ -188,7 +193,7 @@
 FtStatus
 conf_parse (const char *text, Conf **out, FtError *error)
 {
-  static const char *const more[] = { "instances", NULL };
+  static const char *const other_fields[] = { "instances", NULL };
   FtJson *doc = NULL;
   FtStatus status = ft_json_parse (text, &doc, error);
 
@@ -197,7 +202,7 @@
     return status;
   Conf *conf = g_new0 (Conf, 1);
   conf->instances = g_ptr_array_new_with_free_func (instance_free);
-  status = ft_json_fields (doc, ft_json_root (doc), "", fields, more, conf, error);
+  status = ft_json_fields (doc, ft_json_root (doc), "", fields, other_fields, conf, error);
   if (status == FT_OK)
     status = read_instances (doc, conf, error);
   if (status == FT_OK)
@@ -224,7 +229,7 @@
 }
 
 static void
-help_rows (const FtField *field, const char *prefix)
+print_fields (const FtField *field, const char *prefix)
 {
   static const char *const types[] = { "string", "integer", "bool", "strings" };
 
@@ -246,7 +251,7 @@
 void
 conf_print_help (void)
 {
-  help_rows (fields, "");
-  printf ("instances: array, required\n    every instance, this one among them, each with:\n");
-  help_rows (instance_fields, "  ");
+  print_fields (fields, "");
+  printf ("instances: array, required\n    all instances, including this one, each with:\n");
+  print_fields (instance_fields, "  ");
 }
--- a/daemon/conf.h
+++ b/daemon/conf.h
@@ -4,6 +4,7 @@
 
 #include "foxtail.h"
 
+/* One element of the setting "instances". */
 typedef struct
 {
   int64_t id, link_port;
@@ -24,12 +25,13 @@
   GPtrArray *instances; /* ConfInstance */
 } Conf;
 
-/* Reads and checks a settings file. Errors name line and field. */
+/* Read and check a settings file, or its text. Errors name line and field. */
 FtStatus conf_read (const char *path, Conf **conf, FtError *error);
 FtStatus conf_parse (const char *text, Conf **conf, FtError *error);
 void conf_free (Conf *conf);
-/* Prints every field with type, range, default and meaning. */
+/* Prints every setting with type, range, default and meaning. */
 void conf_print_help (void);
+/* The instance with this id; NULL: none. */
 const ConfInstance *conf_find_instance (const Conf *conf, uint32_t id);
 
 #endif
--- a/daemon/core.c
+++ b/daemon/core.c
@@ -1,6 +1,6 @@
-/* core.c - the loop thread: it alone touches the node. Request threads post functions to it and
- * wait on conditions of their own; what they read on every request (the catalogue, whether it is
- * fresh) is published for them through RCU and atomics, so that reading never waits for the loop.
+/* core.c - the loop thread, the only one that uses the node. Request threads post functions to it
+ * and wait for results on condition variables. What they read for every request (the catalogue and
+ * whether it is fresh) is published by RCU and atomics, so that they do not wait for the loop.
  */
 #include "core.h"
 #include "content.h"
@@ -15,15 +15,15 @@
 #include <unistd.h>
 #include <urcu-bp.h>
 
-#define TICK (20 * FT_MS)
+#define TICK_INTERVAL (20 * FT_MS)
 
 typedef struct
 {
   CoreFunc fn;
   void *data;
-} Posted;
+} PostedFunc;
 
-/* A request thread that waits for a verdict or a find. */
+/* A request thread that waits for the outcome of a proposal or query. */
 typedef struct
 {
   pthread_mutex_t lock;
@@ -50,7 +50,7 @@
   uint64_t next_number; /* atomic */
   GHashTable *calls;    /* &Call.number -> Call, loop thread only */
   GHashTable *waiters;  /* number -> Waiter, loop thread only */
-  Back *back;           /* attached once, before requests come */
+  Back *back;           /* set once, before requests arrive */
 };
 
 /* ---- Clock and randomness ---- */
@@ -108,7 +108,7 @@
   return ft_random_next (&core->random);
 }
 
-/* ---- What the node wants done ---- */
+/* ---- Callbacks of the node ---- */
 
 static void
 on_send (void *host, uint32_t to, GByteArray *msg)
@@ -178,8 +178,8 @@
 }
 
 static void
-end_wait (Core *core, uint64_t number, FtStatus status, uint64_t revision, const char *text,
-          GBytes *body)
+wake_waiter (Core *core, uint64_t number, FtStatus status, uint64_t revision, const char *text,
+             GBytes *body)
 {
   Waiter *waiter = g_hash_table_lookup (core->waiters, &number);
 
@@ -202,13 +202,13 @@
 static void
 on_verdict (void *host, uint64_t number, FtStatus status, uint64_t revision, const char *text)
 {
-  end_wait (host, number, status, revision, text, NULL);
+  wake_waiter (host, number, status, revision, text, NULL);
 }
 
 static void
-on_found (void *host, uint64_t number, FtStatus status, const void *body, size_t size)
+on_query_reply (void *host, uint64_t number, FtStatus status, const void *body, size_t size)
 {
-  end_wait (host, number, status, 0, "", g_bytes_new (body, size));
+  wake_waiter (host, number, status, 0, "", g_bytes_new (body, size));
 }
 
 static void
@@ -225,7 +225,7 @@
 }
 
 static void
-on_question (void *host, uint32_t from, uint64_t number, const char *id)
+on_query (void *host, uint32_t from, uint64_t number, const char *id)
 {
   Core *core = host;
   GBytes *body = NULL;
@@ -238,13 +238,13 @@
     g_bytes_unref (body);
 }
 
-static const FtNodeOps node_ops = { on_send,    on_grant,     on_refuse,   on_pause, on_resume,
-                                    on_verdict, on_catalogue, on_question, on_found };
+static const FtNodeOps node_ops = { on_send,    on_grant,     on_refuse, on_pause,      on_resume,
+                                    on_verdict, on_catalogue, on_query,  on_query_reply };
 
 /* ---- The loop ---- */
 
 static void *
-run (void *data)
+loop_thread (void *data)
 {
   Core *core = data;
   int64_t next_tick = 0;
@@ -253,7 +253,7 @@
     {
       int64_t now = core_now (core);
       int64_t wait = MAX (1, next_tick - now);
-      Posted *posted = g_async_queue_timeout_pop (core->queue, (guint64) wait);
+      PostedFunc *posted = g_async_queue_timeout_pop (core->queue, (guint64) wait);
 
       for (; posted; posted = g_async_queue_try_pop (core->queue))
         {
@@ -264,7 +264,7 @@
       if (now >= next_tick)
         {
           ft_node_tick (core->node);
-          next_tick = now + TICK;
+          next_tick = now + TICK_INTERVAL;
         }
       ft_node_flush (core->node);
       __atomic_store_n (&core->fresh_until, ft_node_fresh_until (core->node), __ATOMIC_RELEASE);
@@ -275,9 +275,9 @@
 void
 core_post (Core *core, CoreFunc fn, void *data)
 {
-  Posted *posted = g_new (Posted, 1);
+  PostedFunc *posted = g_new (PostedFunc, 1);
 
-  *posted = (Posted){ fn, data };
+  *posted = (PostedFunc){ fn, data };
   g_async_queue_push (core->queue, posted);
 }
 
@@ -290,10 +290,10 @@
 
   for (unsigned i = 0; i < conf->instances->len; i++)
     {
-      const ConfInstance *one = conf->instances->pdata[i];
-      uint32_t id = (uint32_t) one->id;
+      const ConfInstance *instance = conf->instances->pdata[i];
+      uint32_t id = (uint32_t) instance->id;
       g_array_append_val (ids, id);
-      if (one->voter)
+      if (instance->voter)
         g_array_append_val (voters, id);
     }
   FtNodeConf node = { .id = (uint32_t) conf->id,
@@ -333,11 +333,11 @@
   if (status == FT_OK)
     status = link_new (core, &core->link, error);
   if (status == FT_OK)
-    core->thread = g_thread_new ("loop", run, core);
+    core->thread = g_thread_new ("loop", loop_thread, core);
   return status;
 }
 
-/* ---- Read by request threads ---- */
+/* ---- State read by request threads ---- */
 
 FtCat *
 core_catalogue (Core *core)
@@ -358,20 +358,21 @@
 
 /* ---- Requests ---- */
 
+/* Arguments of a function on a call posted to the loop thread. */
 typedef struct
 {
   Core *core;
   Call *call;
-  FtDone how;
+  FtDone outcome;
   unsigned tokens;
 } CallEvent;
 
 static void
-post_call (Core *core, CoreFunc fn, Call *call, FtDone how, unsigned tokens)
+post_call (Core *core, CoreFunc fn, Call *call, FtDone outcome, unsigned tokens)
 {
   CallEvent *event = g_new (CallEvent, 1);
 
-  *event = (CallEvent){ core, call_ref (call), how, tokens };
+  *event = (CallEvent){ core, call_ref (call), outcome, tokens };
   core_post (core, fn, event);
 }
 
@@ -395,7 +396,7 @@
 }
 
 static void
-do_ask (FtNode *node, void *data)
+do_submit (FtNode *node, void *data)
 {
   CallEvent *event = data;
   Call *call = event->call;
@@ -422,11 +423,11 @@
 {
   call->number = __atomic_fetch_add (&core->next_number, 1, __ATOMIC_RELAXED);
   call->core = core;
-  post_call (core, do_ask, call, 0, 0);
+  post_call (core, do_submit, call, 0, 0);
 }
 
 static void
-do_ask_again (FtNode *node, void *data)
+do_resubmit (FtNode *node, void *data)
 {
   CallEvent *event = data;
 
@@ -441,7 +442,7 @@
   call->decision = CALL_PENDING;
   ft_req_ask_again (call->req);
   pthread_mutex_unlock (&call->lock);
-  post_call (core, do_ask_again, call, 0, 0);
+  post_call (core, do_resubmit, call, 0, 0);
 }
 
 static void
@@ -460,24 +461,24 @@
 }
 
 static void
-do_done (FtNode *node, void *data)
+do_end_request (FtNode *node, void *data)
 {
   CallEvent *event = data;
   uint64_t number = event->call->number;
 
-  ft_node_done (node, number, event->how, event->tokens);
+  ft_node_done (node, number, event->outcome, event->tokens);
   g_hash_table_remove (event->core->calls, &number);
   free_event (event);
 }
 
 void
-core_end_request (Core *core, Call *call, FtDone how, unsigned tokens)
+core_end_request (Core *core, Call *call, FtDone outcome, unsigned tokens)
 {
-  post_call (core, do_done, call, how, tokens);
+  post_call (core, do_end_request, call, outcome, tokens);
 }
 
 static void
-do_server_ended (FtNode *node, void *data)
+do_report_crash (FtNode *node, void *data)
 {
   CallEvent *event = data;
 
@@ -488,11 +489,11 @@
 void
 core_report_crash (Core *core, Call *call)
 {
-  post_call (core, do_server_ended, call, 0, 0);
+  post_call (core, do_report_crash, call, 0, 0);
 }
 
 static void
-do_note_refusal (FtNode *node, void *data)
+do_record_refusal (FtNode *node, void *data)
 {
   CallEvent *event = data;
   const Call *call = event->call;
@@ -506,22 +507,23 @@
 void
 core_record_refusal (Core *core, const Call *call)
 {
-  post_call (core, do_note_refusal, (Call *) call, 0, 0);
+  post_call (core, do_record_refusal, (Call *) call, 0, 0);
 }
 
-/* ---- Verdicts and questions ---- */
+/* ---- Proposals and queries ---- */
 
+/* Arguments of a proposal or query posted to the loop thread. */
 typedef struct
 {
   Core *core;
-  Waiter *waiter; /* NULL: nobody waits */
+  Waiter *waiter; /* NULL: no thread waits */
   char *a, *b, *c;
   uint64_t base;
   int kind;
-} Request;
+} PostedRequest;
 
 static void
-free_request (Request *request)
+free_request (PostedRequest *request)
 {
   g_free (request->a);
   g_free (request->b);
@@ -530,7 +532,7 @@
 }
 
 static void
-begin_wait (Request *request, uint64_t number)
+register_waiter (PostedRequest *request, uint64_t number)
 {
   if (request->waiter)
     g_hash_table_insert (request->core->waiters, g_memdup2 (&number, sizeof number),
@@ -539,7 +541,7 @@
 }
 
 static void
-wait_for (Core *core, CoreFunc fn, Request *request, Waiter *waiter)
+post_and_wait (Core *core, CoreFunc fn, PostedRequest *request, Waiter *waiter)
 {
   memset (waiter, 0, sizeof *waiter);
   pthread_mutex_init (&waiter->lock, NULL);
@@ -548,7 +550,7 @@
   request->waiter = waiter;
   core_post (core, fn, request);
   pthread_mutex_lock (&waiter->lock);
-  while (!waiter->done) /* the node ends every proposal and find within a stated time */
+  while (!waiter->done) /* the node ends every proposal and query by its timeout */
     pthread_cond_wait (&waiter->cond, &waiter->lock);
   pthread_mutex_unlock (&waiter->lock);
   pthread_mutex_destroy (&waiter->lock);
@@ -556,26 +558,26 @@
 }
 
 static void
-do_change (FtNode *node, void *data)
+do_propose_catalogue (FtNode *node, void *data)
 {
-  Request *request = data;
+  PostedRequest *request = data;
 
-  begin_wait (request, ft_node_change (node, request->a, request->b, request->base, request->c,
-                                       core_wall_ms ()));
+  register_waiter (request, ft_node_change (node, request->a, request->b, request->base, request->c,
+                                            core_wall_ms ()));
 }
 
 FtStatus
 core_propose_catalogue (Core *core, const char *change_id, const char *author, uint64_t base,
                         const char *catalogue, uint64_t *revision, char *text)
 {
-  Request *request = g_new0 (Request, 1);
+  PostedRequest *request = g_new0 (PostedRequest, 1);
   Waiter waiter;
 
   request->a = g_strdup (change_id);
   request->b = g_strdup (author);
   request->c = g_strdup (catalogue);
   request->base = base;
-  wait_for (core, do_change, request, &waiter);
+  post_and_wait (core, do_propose_catalogue, request, &waiter);
   *revision = waiter.revision;
   if (text)
     memcpy (text, waiter.text, sizeof waiter.text);
@@ -585,49 +587,50 @@
 static void
 do_release (FtNode *node, void *data)
 {
-  Request *request = data;
+  PostedRequest *request = data;
 
-  begin_wait (request, ft_node_release (node, request->base));
+  register_waiter (request, ft_node_release (node, request->base));
 }
 
 FtStatus
 core_release_content (Core *core, uint64_t content)
 {
-  Request *request = g_new0 (Request, 1);
+  PostedRequest *request = g_new0 (PostedRequest, 1);
   Waiter waiter;
 
   request->base = content;
-  wait_for (core, do_release, request, &waiter);
+  post_and_wait (core, do_release, request, &waiter);
   return waiter.status;
 }
 
 static void
 do_claim (FtNode *node, void *data)
 {
-  Request *request = data;
+  PostedRequest *request = data;
 
-  begin_wait (request, ft_node_claim (node, request->a, request->b, request->c, core_wall_ms ()));
+  register_waiter (request,
+                   ft_node_claim (node, request->a, request->b, request->c, core_wall_ms ()));
 }
 
 FtStatus
 core_claim (Core *core, const Call *call, const char *digest, char *owner_id)
 {
-  Request *request = g_new0 (Request, 1);
+  PostedRequest *request = g_new0 (PostedRequest, 1);
   Waiter waiter;
 
   request->a = g_strdup (call->claim_key);
   request->b = g_strdup (digest);
   request->c = g_strdup (call->id);
-  wait_for (core, do_claim, request, &waiter);
+  post_and_wait (core, do_claim, request, &waiter);
   stat_add (STAT_CLAIMS, 1);
   g_strlcpy (owner_id, waiter.text, 64);
   return waiter.status;
 }
 
 static void
-do_claim_end (FtNode *node, void *data)
+do_end_claim (FtNode *node, void *data)
 {
-  Request *request = data;
+  PostedRequest *request = data;
 
   ft_node_claim_end (node, request->a, request->b, request->kind, core_wall_ms ());
   free_request (request);
@@ -638,37 +641,38 @@
 {
   if (call->claim_key == NULL)
     return;
-  Request *request = g_new0 (Request, 1);
+  PostedRequest *request = g_new0 (PostedRequest, 1);
   request->core = core;
   request->a = g_strdup (call->claim_key);
   request->b = g_strdup (call->id);
   request->kind = end;
-  core_post (core, do_claim_end, request);
+  core_post (core, do_end_claim, request);
 }
 
 static void
-do_find (FtNode *node, void *data)
+do_query (FtNode *node, void *data)
 {
-  Request *request = data;
+  PostedRequest *request = data;
 
-  begin_wait (request, ft_node_find (node, request->kind, request->a));
+  register_waiter (request, ft_node_find (node, request->kind, request->a));
 }
 
 FtStatus
 core_query (Core *core, FtFindKind kind, const char *id, GBytes **body)
 {
-  Request *request = g_new0 (Request, 1);
+  PostedRequest *request = g_new0 (PostedRequest, 1);
   Waiter waiter;
 
   request->a = g_strdup (id);
   request->kind = kind;
-  wait_for (core, do_find, request, &waiter);
+  post_and_wait (core, do_query, request, &waiter);
   *body = waiter.body;
   return waiter.status;
 }
 
-/* ---- Status ---- */
+/* ---- Calls into the node that block until done ---- */
 
+/* A function that another thread waits for. */
 typedef struct
 {
   pthread_mutex_t lock;
@@ -676,34 +680,34 @@
   bool done;
   void (*fn) (FtNode *node, void *out);
   void *out;
-} Visit;
+} SyncCall;
 
 static void
-do_visit (FtNode *node, void *data)
+do_sync_call (FtNode *node, void *data)
 {
-  Visit *visit = data;
+  SyncCall *sync = data;
 
-  visit->fn (node, visit->out);
-  pthread_mutex_lock (&visit->lock);
-  visit->done = true;
-  pthread_cond_signal (&visit->cond);
-  pthread_mutex_unlock (&visit->lock);
+  sync->fn (node, sync->out);
+  pthread_mutex_lock (&sync->lock);
+  sync->done = true;
+  pthread_cond_signal (&sync->cond);
+  pthread_mutex_unlock (&sync->lock);
 }
 
 static void
-visit_node (Core *core, void (*fn) (FtNode *node, void *out), void *out)
+call_node (Core *core, void (*fn) (FtNode *node, void *out), void *out)
 {
-  Visit visit = { .fn = fn, .out = out };
+  SyncCall sync = { .fn = fn, .out = out };
 
-  pthread_mutex_init (&visit.lock, NULL);
-  pthread_cond_init (&visit.cond, NULL);
-  core_post (core, do_visit, &visit);
-  pthread_mutex_lock (&visit.lock);
-  while (!visit.done)
-    pthread_cond_wait (&visit.cond, &visit.lock);
-  pthread_mutex_unlock (&visit.lock);
-  pthread_mutex_destroy (&visit.lock);
-  pthread_cond_destroy (&visit.cond);
+  pthread_mutex_init (&sync.lock, NULL);
+  pthread_cond_init (&sync.cond, NULL);
+  core_post (core, do_sync_call, &sync);
+  pthread_mutex_lock (&sync.lock);
+  while (!sync.done)
+    pthread_cond_wait (&sync.cond, &sync.lock);
+  pthread_mutex_unlock (&sync.lock);
+  pthread_mutex_destroy (&sync.lock);
+  pthread_cond_destroy (&sync.cond);
 }
 
 static void
@@ -715,7 +719,7 @@
 void
 core_status (Core *core, FtNodeStatus *status)
 {
-  visit_node (core, read_status, status);
+  call_node (core, read_status, status);
 }
 
 static void
@@ -756,7 +760,7 @@
 {
   GString *out = g_string_new (NULL);
 
-  visit_node (core, read_pools, out);
+  call_node (core, read_pools, out);
   return g_string_free (out, FALSE);
 }
 
@@ -771,6 +775,6 @@
 {
   bool left = false;
 
-  visit_node (core, do_leave, &left);
+  call_node (core, do_leave, &left);
   return left;
 }
--- a/daemon/disk.c
+++ b/daemon/disk.c
@@ -1,4 +1,4 @@
-/* disk.c - files of the data folder. Nothing is taken to last before fsync returned. */
+/* disk.c - files of the data folder. Data counts as durable only after fsync has returned. */
 #include "disk.h"
 #include "stat.h"
 
@@ -14,8 +14,8 @@
 {
   FtDisk base;
   int folder, lock;
-  char *open_name; /* the file that is appended to */
-  int open_file;
+  char *append_name; /* the file kept open for appending */
+  int append_file;
 } Disk;
 
 static FtStatus
@@ -53,55 +53,55 @@
 }
 
 static void
-close_open (Disk *disk)
+close_append_file (Disk *disk)
 {
-  if (disk->open_file >= 0)
-    close (disk->open_file);
-  disk->open_file = -1;
-  g_clear_pointer (&disk->open_name, g_free);
+  if (disk->append_file >= 0)
+    close (disk->append_file);
+  disk->append_file = -1;
+  g_clear_pointer (&disk->append_name, g_free);
 }
 
 static FtStatus
-use_file (Disk *disk, const char *name)
+open_for_append (Disk *disk, const char *name)
 {
-  if (disk->open_name && strcmp (disk->open_name, name) == 0)
+  if (disk->append_name && strcmp (disk->append_name, name) == 0)
     return FT_OK;
-  close_open (disk);
-  disk->open_file = openat (disk->folder, name, O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0600);
-  if (disk->open_file < 0)
+  close_append_file (disk);
+  disk->append_file = openat (disk->folder, name, O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0600);
+  if (disk->append_file < 0)
     return FT_IO;
-  disk->open_name = g_strdup (name);
-  return fsync (disk->folder) == 0 ? FT_OK : FT_IO; /* the name itself must last too */
+  disk->append_name = g_strdup (name);
+  return fsync (disk->folder) == 0 ? FT_OK : FT_IO; /* makes the name durable, too */
 }
 
 static FtStatus
 disk_append (FtDisk *base, const char *name, const void *data, size_t size)
 {
   Disk *disk = (Disk *) base;
-  FtStatus status = use_file (disk, name);
+  FtStatus status = open_for_append (disk, name);
 
-  return status == FT_OK ? write_all (disk->open_file, data, size) : status;
+  return status == FT_OK ? write_all (disk->append_file, data, size) : status;
 }
 
 static FtStatus
 disk_sync (FtDisk *base, const char *name)
 {
   Disk *disk = (Disk *) base;
-  FtStatus status = use_file (disk, name);
+  FtStatus status = open_for_append (disk, name);
 
   stat_add (STAT_DISK_SYNCS, 1);
   if (status != FT_OK)
     return status;
-  return fdatasync (disk->open_file) == 0 ? FT_OK : FT_IO;
+  return fdatasync (disk->append_file) == 0 ? FT_OK : FT_IO;
 }
 
 static FtStatus
 disk_replace (FtDisk *base, const char *name, const void *data, size_t size)
 {
   Disk *disk = (Disk *) base;
-  char *fresh = g_strconcat (name, ".new", NULL);
+  char *temporary = g_strconcat (name, ".new", NULL);
   FtStatus status = FT_IO;
-  int file = openat (disk->folder, fresh, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+  int file = openat (disk->folder, temporary, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
 
   if (file < 0)
     goto out;
@@ -109,14 +109,14 @@
   if (status == FT_OK && fsync (file) != 0)
     status = FT_IO;
   close (file);
-  if (status == FT_OK && renameat (disk->folder, fresh, disk->folder, name) != 0)
+  if (status == FT_OK && renameat (disk->folder, temporary, disk->folder, name) != 0)
     status = FT_IO;
   if (status == FT_OK && fsync (disk->folder) != 0)
     status = FT_IO;
-  if (disk->open_name && strcmp (disk->open_name, name) == 0)
-    close_open (disk); /* the old file has no name any more */
+  if (disk->append_name && strcmp (disk->append_name, name) == 0)
+    close_append_file (disk); /* it is the old file, which has no name any more */
 out:
-  g_free (fresh);
+  g_free (temporary);
   return status;
 }
 
@@ -142,7 +142,7 @@
   FtStatus status = FT_OK;
 
   disk->base.ops = &ops;
-  disk->folder = disk->lock = disk->open_file = -1;
+  disk->folder = disk->lock = disk->append_file = -1;
   *out = NULL;
   if (g_mkdir_with_parents (folder, 0700) != 0)
     {
@@ -177,7 +177,7 @@
 
   if (disk == NULL)
     return;
-  close_open (disk);
+  close_append_file (disk);
   if (disk->lock >= 0)
     close (disk->lock);
   if (disk->folder >= 0)
--- a/daemon/disk.h
+++ b/daemon/disk.h
@@ -4,7 +4,7 @@
 
 #include "foxtail.h"
 
-/* Makes the folder if it is missing and takes its lock, so that no second process uses it. */
+/* Creates the folder if it is missing and locks it. FT_CONFLICT: another process uses it. */
 FtStatus disk_new (const char *folder, FtDisk **disk, FtError *error);
 void disk_free (FtDisk *disk);
 
--- a/daemon/dlog.c
+++ b/daemon/dlog.c
@@ -1,5 +1,4 @@
-/* dlog.c - structured logs through log4c: its category filters, an appender and a layout of our own
- * write JSON lines. */
+/* dlog.c - logs JSON lines through log4c, with an appender and a layout of our own. */
 #include "dlog.h"
 
 #include <glib.h>
@@ -10,7 +9,7 @@
 
 static log4c_category_t *category;
 static unsigned instance_id;
-static GMutex lock; /* log4c's own rc state is not safe for several threads */
+static GMutex lock; /* log4c's rc state is not thread-safe */
 
 static const char *
 format_line (const log4c_layout_t *layout, const log4c_logging_event_t *event)
@@ -21,7 +20,7 @@
 
 static const log4c_layout_type_t line_layout = { "foxtail_json", format_line };
 
-/* log4c's own stream appender puts its name before each line. */
+/* Used because log4c's stream appender puts its name before each line. */
 static int
 append_line (log4c_appender_t *appender, const log4c_logging_event_t *event)
 {
--- a/daemon/dlog.h
+++ b/daemon/dlog.h
@@ -15,7 +15,8 @@
 /* level: "error", "warn", "info" or "debug". instance goes into each line. False: log4c failed. */
 bool dlog_init (const char *level, unsigned instance);
 void dlog_fini (void);
-/* request may be NULL. event is a short constant name, format its details. Any thread. */
+/* Logs an event; safe in any thread. request: an id or NULL; event: a short constant name; format:
+ * the details. */
 void dlog (DlogLevel level, const char *request, const char *event, const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
 
--- a/daemon/edge.c
+++ b/daemon/edge.c
@@ -1,9 +1,9 @@
-/* edge.c - the callers' port: from an HTTP request to a call, and from its end to an answer.
+/* edge.c - the callers' port: makes calls from HTTP requests, schedules them and answers them.
  *
- *   POST /v1/chat/completions   a model's answer, streamed or whole
- *   GET  /v1/requests/ID        an answer again, from any instance
- *   GET  /healthz, /readyz
- *   any other path              a plain service of the catalogue
+ *   POST /v1/chat/completions   asks a model; the answer is streamed or complete
+ *   GET  /v1/requests/ID        fetches an answer again, at any instance
+ *   GET  /healthz, /readyz      liveness and readiness
+ *   any other path              calls a plain service of the catalogue
  */
 #include "edgeint.h"
 #include "body.h"
@@ -14,8 +14,8 @@
 
 #include <string.h>
 
-#define CONNECT_TRIES 4     /* servers tried while connections are refused; nothing ran yet */
-#define ANSWER_WAIT_S 86400 /* connections whose request is complete: no answer takes longer */
+#define CONNECT_TRIES 4     /* servers tried if connections fail; nothing has run then */
+#define ANSWER_WAIT_S 86400 /* connection timeout while answering; no answer takes longer */
 
 /* ---- Refusals ---- */
 
@@ -37,26 +37,26 @@
   http_set_problem (response, &problem);
 }
 
-/* Whether this instance may take a request now; if not, refuses it. */
+/* Checks whether this instance may accept requests now; if not, refuses the call. */
 static bool
-may_take (Edge *edge, Call *call, struct _u_response *response)
+check_accepting (Edge *edge, Call *call, struct _u_response *response)
 {
   if (g_atomic_int_get (&edge->closing))
     {
-      refuse_call (edge, call, FT_REASON_SHUTTING_DOWN, "this instance leaves; use another", 1000,
-                   response);
+      refuse_call (edge, call, FT_REASON_SHUTTING_DOWN,
+                   "this instance is shutting down; use another", 1000, response);
       return false;
     }
   if (!core_is_fresh (edge->core))
     {
-      refuse_call (edge, call, FT_REASON_STALE_CATALOGUE,
-                   "no voter in charge has been heard for 3 s", 2000, response);
+      refuse_call (edge, call, FT_REASON_STALE_CATALOGUE, "no leader has been heard from for 3 s",
+                   2000, response);
       return false;
     }
   return true;
 }
 
-/* ---- From request to call ---- */
+/* ---- Making a call from an HTTP request ---- */
 
 static bool
 id_is_valid (const char *id)
@@ -72,7 +72,7 @@
 }
 
 static void
-on_transition (void *user, const FtReq *req, FtReqState from, FtReqState to)
+log_transition (void *user, const FtReq *req, FtReqState from, FtReqState to)
 {
   (void) user;
   dlog (DLOG_DEBUG, ft_req_id (req), "state", "%s to %s", ft_req_state_name (from),
@@ -80,24 +80,24 @@
 }
 
 static Call *
-begin_call (Edge *edge, const struct _u_request *request)
+make_call (Edge *edge, const struct _u_request *request)
 {
-  const char *given = u_map_get_case (request->map_header, "X-Request-Id");
+  const char *requested_id = u_map_get_case (request->map_header, "X-Request-Id");
   char id[64];
 
-  if (given && id_is_valid (given))
-    g_strlcpy (id, given, sizeof id);
+  if (requested_id && id_is_valid (requested_id))
+    g_strlcpy (id, requested_id, sizeof id);
   else
     g_snprintf (id, sizeof id, "r%d-%016" G_GINT64_MODIFIER "x", (int) core_conf (edge->core)->id,
                 core_random (edge->core));
   Call *call = call_new (id);
   call->started_at = core_now (edge->core);
-  call->req = ft_req_new (id, on_transition, NULL);
+  call->req = ft_req_new (id, log_transition, NULL);
   span_begin (call, u_map_get_case (request->map_header, "traceparent"));
   return call;
 }
 
-/* The organisation of the request's key. */
+/* Returns the organisation of the request's key, or NULL. */
 static const FtOrg *
 authenticate (Edge *edge, FtCat *cat, const struct _u_request *request)
 {
@@ -110,44 +110,44 @@
   return org;
 }
 
-/* Class, tier, deadlines. False: refused. */
+/* Sets the call's organisation, pool, class, tier and deadlines. False: it was refused. */
 static bool
 classify (Edge *edge, Call *call, FtCat *cat, const FtOrg *org, const FtPoolEntry *pool,
           const struct _u_request *request, struct _u_response *response)
 {
-  const char *wanted = u_map_get_case (request->map_header, "X-Class");
+  const char *requested_class = u_map_get_case (request->map_header, "X-Class");
   const char *deadline = u_map_get_case (request->map_header, "X-Deadline-Ms");
-  const char *name = wanted             ? wanted
+  const char *name = requested_class    ? requested_class
                      : call->service    ? pool->class_name
                      : *org->class_name ? org->class_name
                                         : pool->class_name;
   const FtClass *class = ft_cat_class (cat, name);
-  int64_t most;
+  int64_t limit_ms;
 
   if (class == NULL)
     {
       refuse_call (edge, call, FT_REASON_NO_SUCH_CLASS, "X-Class", 0, response);
       return false;
     }
-  most = class->deadline_ms;
+  limit_ms = class->deadline_ms;
   if (deadline)
     {
       char *end;
-      int64_t asked = g_ascii_strtoll (deadline, &end, 10);
-      if (*end || asked < 1)
+      int64_t requested_ms = g_ascii_strtoll (deadline, &end, 10);
+      if (*end || requested_ms < 1)
         {
           refuse_call (edge, call, FT_REASON_BAD_REQUEST,
                        "X-Deadline-Ms must be a whole number of milliseconds", 0, response);
           return false;
         }
-      most = MIN (most, asked);
+      limit_ms = MIN (limit_ms, requested_ms);
     }
   call->org = g_strdup (org->name);
   call->pool = g_strdup (pool->name);
   call->class_name = g_strdup (class->name);
   call->tier = (unsigned) class->tier;
   call->first_token_deadline = call->started_at + class->first_token_ms * FT_MS;
-  call->deadline = call->started_at + most * FT_MS;
+  call->deadline = call->started_at + limit_ms * FT_MS;
   return true;
 }
 
@@ -169,9 +169,10 @@
   return digest;
 }
 
-/* True: the claim is this call's and it may go on. */
+/* Claims the idempotency key for the call. False: another call has or had it, or the voters did not
+ * answer; the response is set. */
 static bool
-claim (Edge *edge, Call *call, struct _u_response *response)
+acquire_claim (Edge *edge, Call *call, struct _u_response *response)
 {
   char owner[64], rule[128];
   char *digest = request_digest (call);
@@ -186,19 +187,20 @@
       answer_by_id (edge, owner, call->org, call, response);
       return false;
     case FT_CONFLICT:
-      g_snprintf (rule, sizeof rule, "request %s has the key", owner);
+      g_snprintf (rule, sizeof rule, "request %s with this Idempotency-Key is running", owner);
       refuse_call (edge, call, FT_REASON_CLAIM_ELSEWHERE, rule, 1000, response);
       return false;
     case FT_INVALID:
-      g_snprintf (rule, sizeof rule, "request %s had the key with other content", owner);
+      g_snprintf (rule, sizeof rule, "request %s had this Idempotency-Key with other content",
+                  owner);
       refuse_call (edge, call, FT_REASON_CLAIM_MISMATCH, rule, 0, response);
       return false;
     case FT_STALE:
-      g_snprintf (rule, sizeof rule, "request %s had the key and was dispatched", owner);
+      g_snprintf (rule, sizeof rule, "request %s with this Idempotency-Key was dispatched", owner);
       refuse_call (edge, call, FT_REASON_OUTCOME_UNKNOWN, rule, 0, response);
       return false;
     default:
-      /* It may have become durable after all; this call has not run, so the key is free. */
+      /* The claim may have been committed all the same. This call has not run, so release it. */
       core_end_claim (edge->core, call, FT_CLAIM_RELEASED);
       refuse_call (edge, call, FT_REASON_CLAIM_UNAVAILABLE, "no majority of voters answered", 2000,
                    response);
@@ -206,14 +208,15 @@
     }
 }
 
+/* Sets the claim key if the request has or needs an Idempotency-Key. False: refused. */
 static bool
-set_key (Edge *edge, Call *call, const FtPoolEntry *pool, const struct _u_request *request,
-         struct _u_response *response)
+set_claim_key (Edge *edge, Call *call, const FtPoolEntry *pool, const struct _u_request *request,
+               struct _u_response *response)
 {
   const char *key = u_map_get_case (request->map_header, "Idempotency-Key");
-  const char *mark = u_map_get_case (request->map_header, "X-Idempotent");
+  const char *idempotent = u_map_get_case (request->map_header, "X-Idempotent");
   bool required = (!pool->idempotent && strcmp (call->method, "GET") != 0)
-                  || (mark && strcmp (mark, "false") == 0);
+                  || (idempotent && strcmp (idempotent, "false") == 0);
 
   if (key == NULL && required)
     {
@@ -234,20 +237,20 @@
 
 /* ---- Grant and dispatch ---- */
 
-/* Blocks until the call is dispatched; false: refused, the answer is set. */
+/* Blocks until the call is dispatched. False: it was refused and the response is set. */
 static bool
 schedule (Edge *edge, Call *call, struct _u_response *response)
 {
-  int64_t asked = core_now (edge->core);
+  int64_t submitted_at = core_now (edge->core);
 
   ft_req_move (call->req, FT_REQ_ASKED);
   stat_inc_tier (STAT_OFFERED, call->tier);
   core_submit (edge->core, call);
-  for (unsigned tries = 1;; tries++)
+  for (unsigned attempts = 1;; attempts++)
     {
       CallDecision decision = call_wait_decision (call);
-      stat_observe (STAT_WAIT, call->tier, call->decided_at - asked);
-      span_end (call, "schedule", asked, call->decided_at, call->server);
+      stat_observe (STAT_WAIT, call->tier, call->decided_at - submitted_at);
+      span_end (call, "schedule", submitted_at, call->decided_at, call->server);
       if (decision == CALL_REFUSED)
         {
           core_end_claim (edge->core, call, FT_CLAIM_RELEASED);
@@ -257,7 +260,7 @@
         }
       if (back_dispatch (edge->back, call) == FT_OK)
         return true;
-      if (tries == CONNECT_TRIES || core_now (edge->core) > call->deadline)
+      if (attempts == CONNECT_TRIES || core_now (edge->core) > call->deadline)
         break;
       core_resubmit (edge->core, call);
     }
@@ -266,23 +269,25 @@
   pthread_mutex_lock (&call->lock);
   ft_req_move (call->req, FT_REQ_REFUSED);
   pthread_mutex_unlock (&call->lock);
-  refuse_call (edge, call, FT_REASON_NO_SERVER, "connections were refused", 1000, response);
+  refuse_call (edge, call, FT_REASON_NO_SERVER, "no connection to a backend server could be made",
+               1000, response);
   return false;
 }
 
 /* ---- Endpoints ---- */
 
-/* From a call that is complete but for its claim to its answer. */
+/* Claims the key of a prepared call, schedules it and answers it. */
 static void
 serve (Edge *edge, Call *call, struct _u_response *response)
 {
   if (calls_add (back_calls (edge->back), call) != FT_OK)
     {
-      refuse_call (edge, call, FT_REASON_DUPLICATE_ID, "GET /v1/requests/ID tells its answer", 0,
+      refuse_call (edge, call, FT_REASON_DUPLICATE_ID, "fetch its answer by GET /v1/requests/ID", 0,
                    response);
       return;
     }
-  if ((call->claim_key && !claim (edge, call, response)) || !schedule (edge, call, response))
+  if ((call->claim_key && !acquire_claim (edge, call, response))
+      || !schedule (edge, call, response))
     {
       calls_remove (back_calls (edge->back), call);
       return;
@@ -341,7 +346,7 @@
   call->body = g_steal_pointer (&text);
   call->body_size = request->binary_body_length;
   if (classify (edge, call, cat, org, pool, request, response)
-      && set_key (edge, call, pool, request, response))
+      && set_claim_key (edge, call, pool, request, response))
     serve (edge, call, response);
 out:
   body_clear_chat (&chat);
@@ -367,27 +372,27 @@
   call->body = g_memdup2 (request->binary_body, request->binary_body_length);
   call->body_size = request->binary_body_length;
   if (classify (edge, call, cat, org, pool, request, response)
-      && set_key (edge, call, pool, request, response))
+      && set_claim_key (edge, call, pool, request, response))
     serve (edge, call, response);
 }
 
-typedef void (*Prepare) (Edge *, Call *, FtCat *, const FtOrg *, const struct _u_request *,
-                         struct _u_response *);
+typedef void (*PrepareFunc) (Edge *, Call *, FtCat *, const FtOrg *, const struct _u_request *,
+                             struct _u_response *);
 
 static int
-take_request (Edge *edge, const struct _u_request *request, struct _u_response *response,
-              Prepare prepare)
+handle_request (Edge *edge, const struct _u_request *request, struct _u_response *response,
+                PrepareFunc prepare)
 {
-  Call *call = begin_call (edge, request);
+  Call *call = make_call (edge, request);
   FtCat *cat = core_catalogue (edge->core);
 
-  /* The idle timeout is for slow senders; while we work the caller has nothing to send. */
+  /* The idle timeout is against slow senders; from here on the caller just waits. */
   response->timeout = ANSWER_WAIT_S;
 
   g_atomic_int_inc (&edge->busy);
   if (cat)
     call->revision = ft_cat_revision (cat);
-  if (may_take (edge, call, response) && body_fits (edge, call, request, response))
+  if (check_accepting (edge, call, response) && body_fits (edge, call, request, response))
     {
       const FtOrg *org = authenticate (edge, cat, request);
       if (org)
@@ -404,17 +409,17 @@
 static int
 on_chat (const struct _u_request *request, struct _u_response *response, void *user)
 {
-  return take_request (user, request, response, prepare_chat);
+  return handle_request (user, request, response, prepare_chat);
 }
 
 static int
 on_service (const struct _u_request *request, struct _u_response *response, void *user)
 {
-  return take_request (user, request, response, prepare_service);
+  return handle_request (user, request, response, prepare_service);
 }
 
 static int
-on_again (const struct _u_request *request, struct _u_response *response, void *user)
+on_fetch_answer (const struct _u_request *request, struct _u_response *response, void *user)
 {
   Edge *edge = user;
   const char *id = http_url_value (request, "id");
@@ -429,7 +434,7 @@
   if (org == NULL)
     http_set_problem (response, &no_key);
   else if (call && strcmp (call->org, org->name) == 0 && call->stream && !call->service)
-    answer_stream (edge, call, response); /* from the first piece on, also while it runs */
+    answer_stream (edge, call, response); /* from the first piece on, even while the call runs */
   else if (call && strcmp (call->org, org->name) == 0)
     {
       answer_wait_end (call);
@@ -486,7 +491,7 @@
   if (status != FT_OK)
     return status;
   ulfius_add_endpoint_by_val (&edge->http, "POST", "/v1/chat/completions", NULL, 0, on_chat, edge);
-  ulfius_add_endpoint_by_val (&edge->http, "GET", "/v1/requests", "/:id", 0, on_again, edge);
+  ulfius_add_endpoint_by_val (&edge->http, "GET", "/v1/requests", "/:id", 0, on_fetch_answer, edge);
   ulfius_add_endpoint_by_val (&edge->http, "GET", "/healthz", NULL, 0, on_health, edge);
   ulfius_add_endpoint_by_val (&edge->http, "GET", "/readyz", NULL, 0, on_ready, edge);
   ulfius_set_default_endpoint (&edge->http, on_service, edge);
--- a/daemon/edge.h
+++ b/daemon/edge.h
@@ -1,4 +1,4 @@
-/* edge.h - the callers' port. */
+/* edge.h - the callers' HTTP port. */
 #ifndef EDGE_H
 #define EDGE_H
 
@@ -7,10 +7,11 @@
 typedef struct Edge Edge;
 
 FtStatus edge_new (Core *core, Back *back, Edge **edge, FtError *error);
-/* From now on new requests are refused and readiness says so. */
+/* From now on new requests are refused and /readyz answers 503. */
 void edge_stop_accepting (Edge *edge);
-/* Requests that have not ended, or whose answer is still being sent. */
+/* Number of requests that have not ended or whose answer is still being sent. */
 unsigned edge_open_count (Edge *edge);
+/* Closes the port and all its connections. */
 void edge_stop (Edge *edge);
 
 #endif
--- a/daemon/edgeint.h
+++ b/daemon/edgeint.h
@@ -1,4 +1,4 @@
-/* edgeint.h - the callers' port, shared by edge.c and answer.c only. */
+/* edgeint.h - internals of the callers' port, for edge.c and answer.c only. */
 #ifndef EDGEINT_H
 #define EDGEINT_H
 
@@ -10,21 +10,22 @@
   Core *core;
   Back *back;
   struct _u_instance http;
-  uint64_t incarnation; /* tells callers a restarted process from its predecessor */
-  gint closing;
-  gint busy;
+  uint64_t incarnation; /* random for each process; lets callers detect a restart */
+  gint closing;         /* atomic: new requests are refused */
+  gint busy;            /* atomic: HTTP requests and streams being answered */
 };
 
-/* Answers with the call's stream from its first piece on; its end or failure closes it. */
+/* Answers with the call's stream, from its first piece to its end or failure. */
 void answer_stream (Edge *edge, Call *call, struct _u_response *response);
-/* The whole answer of a finished call. */
+/* Answers with the complete answer of a finished call, or its failure. */
 void answer_complete (Call *call, struct _u_response *response);
 /* Blocks until the call is finished. */
 void answer_wait_end (Call *call);
-/* Blocks until the first piece or the end, so that a failure before it can have its own HTTP
- * status. False: it failed before. */
+/* Blocks until the first piece or the end. False: the call failed before its first piece, so its
+ * failure can still be sent as an HTTP status. */
 bool answer_wait_first_piece (Call *call);
-/* An answer kept here or at another instance. asker: the call that repeats a key, or NULL. */
+/* Answers with an answer kept here or at another instance. asker: the call that repeats an
+ * idempotency key, NULL for GET /v1/requests/ID. */
 void answer_by_id (Edge *edge, const char *id, const char *org, Call *asker,
                    struct _u_response *response);
 
--- a/daemon/http.c
+++ b/daemon/http.c
@@ -1,4 +1,4 @@
-/* http.c - starting ulfius with limits, problem answers, keys. */
+/* http.c - starts ulfius with limits and TLS; error responses and bearer keys. */
 #include "http.h"
 #include "body.h"
 
@@ -15,8 +15,8 @@
   address->sin_port = htons ((uint16_t) port);
   inet_pton (AF_INET, conf->address, &address->sin_addr);
   if (ulfius_init_instance (instance, (unsigned) port, address, NULL) != U_OK)
-    return ft_error_set (error, FT_IO, 0, "", "the HTTP server cannot be prepared");
-  /* One byte more than allowed is read, so that a longer body is told from one that fits. */
+    return ft_error_set (error, FT_IO, 0, "", "the HTTP server cannot be initialised");
+  /* Reads one byte more than allowed, so that a body that is too long can be detected. */
   instance->max_post_body_size = (size_t) conf->body_bytes + 1;
   instance->allowed_post_processor = U_POST_PROCESS_NONE;
   instance->timeout = (unsigned) conf->idle_s;
@@ -45,7 +45,8 @@
       && (!g_file_get_contents (conf->tls_key_file, &key, NULL, NULL)
           || !g_file_get_contents (conf->tls_certificate_file, &certificate, NULL, NULL)))
     {
-      status = ft_error_set (error, FT_IO, 0, "tls_key_file", "key or certificate cannot be read");
+      status = ft_error_set (error, FT_IO, 0, "tls_key_file",
+                             "cannot read tls_key_file or tls_certificate_file");
       goto out;
     }
   if (tls)
@@ -63,8 +64,7 @@
   };
   if (ulfius_start_framework_with_mhd_options (instance, flags, options) != U_OK)
     status = ft_error_set (error, FT_IO, 0, "",
-                           "%s:%u: cannot listen, or key and certificate do "
-                           "not fit",
+                           "%s:%u: cannot listen, or the TLS key does not match the certificate",
                            conf->address, instance->port);
 out:
   g_free (key);
@@ -97,7 +97,7 @@
 {
   const FtReasonInfo *info = ft_reason_info (problem->reason);
   char *text = http_problem_format (problem), seconds[32];
-  /* 499 has no place in the standard; the caller that it is about is gone anyway. */
+  /* 499 (the caller left) is not a standard status, so 408 is sent instead. */
   unsigned status = info->http_status == 499 ? 408 : (unsigned) info->http_status;
 
   ulfius_set_string_body_response (response, status, text);
@@ -116,8 +116,7 @@
 char *
 http_body (const struct _u_request *request)
 {
-  /* Failure: a POST without a body has no memory for it either. Symptom: one such request ended
-   * the process. */
+  /* binary_body is NULL for a POST without a body; using it unchecked crashed the process. */
   if (request->binary_body == NULL)
     return g_strdup ("");
   return g_strndup (request->binary_body, request->binary_body_length);
--- a/daemon/link.c
+++ b/daemon/link.c
@@ -1,14 +1,14 @@
 /* link.c - numbered, acknowledged messages between instances, over ONC RPC without rpcbind.
  *
- * Each direction between two instances has a TCP connection of its own and one thread that sends.
- * A call carries a batch of numbered messages and its answer says which number is expected next.
- * What is not acknowledged stays queued: after a timeout the connection is closed, another one is
- * opened and the rest is sent again; the receiver drops what it has seen. So a connection that
- * something in between has forgotten costs CALL_TIMEOUT and loses nothing. An empty batch is the
- * heartbeat. A peer that cannot be reached for RESET_AFTER gets a new incarnation of the link:
- * what was queued is dropped, and both nodes are told to start over.
+ * Each direction between two instances has its own TCP connection and one sending thread. An RPC
+ * carries a batch of numbered messages, and its reply has the number that is expected next.
+ * Messages stay queued until they are acknowledged. After a timeout the connection is closed, and
+ * the queue is sent again on a new one; the receiver drops duplicates. So if a NAT or firewall
+ * forgets a connection, this costs CALL_TIMEOUT_MS and no message is lost. An empty batch is a
+ * heartbeat. If a peer cannot be reached for RESET_AFTER, the queue is dropped, the link gets a new
+ * incarnation, and both nodes are told to resynchronise.
  *
- * Every batch and every answer carries an HMAC under the key that all instances share.
+ * Every batch and every reply carries an HMAC with the key that all instances share.
  */
 #include "link.h"
 #include "core.h"
@@ -25,15 +25,15 @@
 #include <string.h>
 #include <unistd.h>
 
-#define HEARTBEAT       (500 * FT_MS)
-#define CALL_TIMEOUT_MS 1500 /* three heartbeats */
-#define CONNECT_MS      500
-#define RETRY_FIRST     (50 * FT_MS)
-#define RETRY_MOST      (500 * FT_MS)
-#define RESET_AFTER     (4 * FT_SECOND) /* longer than any lease: what waits is worthless by then */
-#define BATCH_BYTES     (2u << 20)
-#define MAC_SIZE        32
-#define RECORD_MOST     (16 << 20)
+#define HEARTBEAT_INTERVAL (500 * FT_MS)
+#define CALL_TIMEOUT_MS    1500 /* three heartbeats */
+#define CONNECT_TIMEOUT_MS 500
+#define RETRY_MIN          (50 * FT_MS)
+#define RETRY_MAX          (500 * FT_MS)
+#define RESET_AFTER        (4 * FT_SECOND) /* longer than any lease, so the queue is obsolete */
+#define BATCH_BYTES        (2u << 20)
+#define MAC_SIZE           32
+#define RECORD_MAX         (16 << 20)
 
 typedef struct
 {
@@ -42,19 +42,20 @@
   struct sockaddr_in address;
   GMutex lock;
   GCond cond;
-  GQueue queue;   /* GByteArray, from number first on */
-  uint64_t first; /* number of the queue's head */
-  uint64_t incarnation;
-  int64_t acked_at;
+  GQueue queue;         /* GByteArray: messages not yet acknowledged */
+  uint64_t first;       /* number of the queue's head */
+  uint64_t incarnation; /* of the link to the peer; a new one after each reset */
+  int64_t acked_at;     /* last acknowledgement or reset */
   CLIENT *client;
   int socket;
 } Peer;
 
+/* What has been received from one peer. */
 typedef struct
 {
   uint64_t incarnation, next;
-  uint64_t previous; /* incarnation that has ended; late batches of it are refused */
-} Seen;
+  uint64_t previous; /* last incarnation; delayed batches of it are rejected */
+} Received;
 
 struct Link
 {
@@ -63,11 +64,11 @@
   uint64_t incarnation;
   guint8 *key;
   gsize key_size;
-  GHashTable *peers; /* id -> Peer */
-  GHashTable *seen;  /* id -> Seen, RPC thread only */
+  GHashTable *peers;    /* id -> Peer */
+  GHashTable *received; /* id -> Received, RPC thread only */
 };
 
-static Link *the_link; /* libtirpc's dispatch function has no user data */
+static Link *rpc_link; /* since libtirpc's dispatch function has no user data */
 
 /* ---- Authentication ---- */
 
@@ -107,7 +108,7 @@
 }
 
 static bool
-same_mac (const void *a, const void *b)
+mac_equal (const void *a, const void *b)
 {
   const volatile guint8 *x = a, *y = b;
   guint8 differ = 0;
@@ -127,7 +128,7 @@
 } Delivery;
 
 static void
-deliver (FtNode *node, void *data)
+do_deliver (FtNode *node, void *data)
 {
   Delivery *delivery = data;
 
@@ -146,9 +147,9 @@
   return GUINT32_FROM_BE (be);
 }
 
-/* Messages stand in a batch as length, bytes. False: malformed. */
+/* Delivers the new messages of a batch; each is a 32-bit length and its bytes. False: malformed. */
 static bool
-take_messages (Link *link, const LinkBatch *batch, Seen *seen)
+deliver_messages (Link *link, const LinkBatch *batch, Received *received)
 {
   const char *at = batch->messages.messages_val;
   size_t left = batch->messages.messages_len;
@@ -159,15 +160,15 @@
       uint32_t size = left >= 4 ? get_be32 (at) : 0;
       if (left < 4 || size > left - 4)
         return false;
-      if (number == seen->next)
+      if (number == received->next)
         {
           Delivery *delivery = g_new (Delivery, 1);
           delivery->from = batch->from;
           delivery->incarnation = batch->incarnation;
           delivery->bytes = g_byte_array_sized_new (size);
           g_byte_array_append (delivery->bytes, (const guint8 *) at + 4, size);
-          core_post (link->core, deliver, delivery);
-          seen->next++;
+          core_post (link->core, do_deliver, delivery);
+          received->next++;
         }
       number++;
       at += 4 + size;
@@ -185,28 +186,28 @@
       || !g_hash_table_contains (link->peers, GUINT_TO_POINTER (batch->from)))
     return false;
   batch_mac (link, batch, mac);
-  if (!same_mac (mac, batch->mac.mac_val))
+  if (!mac_equal (mac, batch->mac.mac_val))
     return false;
-  Seen *seen = g_hash_table_lookup (link->seen, GUINT_TO_POINTER (batch->from));
-  if (seen == NULL)
+  Received *received = g_hash_table_lookup (link->received, GUINT_TO_POINTER (batch->from));
+  if (received == NULL)
     {
-      seen = g_new0 (Seen, 1);
-      g_hash_table_insert (link->seen, GUINT_TO_POINTER (batch->from), seen);
+      received = g_new0 (Received, 1);
+      g_hash_table_insert (link->received, GUINT_TO_POINTER (batch->from), received);
     }
-  if (batch->incarnation == seen->previous)
+  if (batch->incarnation == received->previous)
     return false;
-  if (seen->incarnation != batch->incarnation)
+  if (received->incarnation != batch->incarnation)
     {
-      /* The first batch from this incarnation that we see; what came before went to our
-       * predecessor, if there was one. */
-      seen->previous = seen->incarnation;
-      seen->incarnation = batch->incarnation;
-      seen->next = batch->first;
+      /* The first batch received of this incarnation. Earlier ones, if any, were received by this
+       * instance before it restarted. */
+      received->previous = received->incarnation;
+      received->incarnation = batch->incarnation;
+      received->next = batch->first;
     }
-  if (!take_messages (link, batch, seen))
+  if (!deliver_messages (link, batch, received))
     return false;
   ack->incarnation = link->incarnation;
-  ack->next = seen->next;
+  ack->next = received->next;
   ack->accepted = TRUE;
   return true;
 }
@@ -236,9 +237,9 @@
     }
   else
     {
-      if (!accept_batch (the_link, &batch, &ack))
+      if (!accept_batch (rpc_link, &batch, &ack))
         stat_add (STAT_LINK_REJECTED, 1);
-      ack_mac (the_link, &ack, batch.incarnation, batch.first, mac);
+      ack_mac (rpc_link, &ack, batch.incarnation, batch.first, mac);
       ack.mac.mac_len = ack.accepted ? MAC_SIZE : 0;
       ack.mac.mac_val = (char *) mac;
       svc_sendreply (transport, (xdrproc_t) xdr_LinkAck, (char *) &ack);
@@ -247,7 +248,7 @@
 }
 
 static void *
-serve (void *data)
+receive_thread (void *data)
 {
   (void) data;
   svc_run ();
@@ -255,9 +256,9 @@
 }
 
 static FtStatus
-listen_on (const Conf *conf, FtError *error)
+start_listening (const Conf *conf, FtError *error)
 {
-  int one = 1, most = RECORD_MOST;
+  int one = 1, max_record = RECORD_MAX;
   struct sockaddr_in address = { .sin_family = AF_INET };
   int listener = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
@@ -271,9 +272,9 @@
       return ft_error_set (error, FT_IO, 0, "link_port", "%s:%d: %s", conf->address,
                            (int) conf->link_port, g_strerror (errno));
     }
-  /* With a record bound libtirpc reads without blocking, so a peer that sends half a record
-   * cannot hold up the others. */
-  rpc_control (RPC_SVC_CONNMAXREC_SET, &most);
+  /* With a record limit libtirpc reads without blocking, so that a peer that sends half a record
+   * does not block the others. */
+  rpc_control (RPC_SVC_CONNMAXREC_SET, &max_record);
   SVCXPRT *transport = svc_vc_create (listener, 0, 0);
   if (transport == NULL || !svc_reg (transport, FT_LINK_PROGRAM, FT_LINK_VERSION, dispatch, NULL))
     return ft_error_set (error, FT_IO, 0, "link_port", "the RPC service cannot be registered");
@@ -309,7 +310,7 @@
     goto fail;
   poller.fd = peer->socket;
   poller.events = POLLOUT;
-  if (poll (&poller, 1, CONNECT_MS) != 1
+  if (poll (&poller, 1, CONNECT_TIMEOUT_MS) != 1
       || getsockopt (peer->socket, SOL_SOCKET, SO_ERROR, &failed, &size) != 0 || failed)
     goto fail;
   fcntl (peer->socket, F_SETFL, fcntl (peer->socket, F_GETFL) & ~O_NONBLOCK);
@@ -324,7 +325,7 @@
   return false;
 }
 
-/* The queue's front as one batch; empty: a heartbeat. */
+/* Fills one batch from the front of the queue. If that is empty, so is the batch: a heartbeat. */
 static void
 fill_batch (Peer *peer, LinkBatch *batch, GByteArray *bytes, unsigned *count)
 {
@@ -359,11 +360,11 @@
   if (!ack->accepted || ack->mac.mac_len != MAC_SIZE)
     return false;
   ack_mac (link, ack, batch->incarnation, batch->first, mac);
-  return same_mac (mac, ack->mac.mac_val);
+  return mac_equal (mac, ack->mac.mac_val);
 }
 
 static void
-take_ack (Peer *peer, uint64_t incarnation, uint64_t next)
+apply_ack (Peer *peer, uint64_t incarnation, uint64_t next)
 {
   g_mutex_lock (&peer->lock);
   if (peer->incarnation == incarnation)
@@ -377,7 +378,7 @@
 }
 
 static bool
-call_peer (Peer *peer)
+send_batch (Peer *peer)
 {
   Link *link = peer->link;
   LinkBatch batch;
@@ -399,7 +400,7 @@
   done = done && valid_ack (link, &ack, &batch);
   if (done)
     {
-      take_ack (peer, batch.incarnation, ack.next);
+      apply_ack (peer, batch.incarnation, ack.next);
       stat_add (STAT_LINK_MESSAGES_OUT, count);
       stat_add (STAT_LINK_BYTES_OUT, bytes->len + 120);
     }
@@ -414,6 +415,7 @@
   ft_node_link_reset (node, GPOINTER_TO_UINT (data));
 }
 
+/* Resets the link if messages have waited for RESET_AFTER without an acknowledgement. */
 static void
 reset_if_lost (Peer *peer)
 {
@@ -438,9 +440,9 @@
 }
 
 static void
-wait_for_work (Peer *peer, int64_t most)
+wait_for_work (Peer *peer, int64_t timeout)
 {
-  int64_t until = g_get_monotonic_time () + most;
+  int64_t until = g_get_monotonic_time () + timeout;
 
   g_mutex_lock (&peer->lock);
   while (peer->queue.length == 0 && g_cond_wait_until (&peer->cond, &peer->lock, until))
@@ -449,37 +451,37 @@
 }
 
 static void *
-send_to_peer (void *data)
+send_thread (void *data)
 {
   Peer *peer = data;
-  int64_t retry = RETRY_FIRST;
-  bool known_down = false;
+  int64_t retry = RETRY_MIN;
+  bool is_down = false;
 
   for (;;)
     {
       if (peer->client == NULL && !connect_peer (peer))
         {
-          if (!known_down)
+          if (!is_down)
             dlog (DLOG_WARN, NULL, "link", "instance %u cannot be reached", peer->id);
-          known_down = true;
+          is_down = true;
           reset_if_lost (peer);
           g_usleep ((gulong) retry);
-          retry = MIN (retry * 2, RETRY_MOST);
+          retry = MIN (retry * 2, RETRY_MAX);
           continue;
         }
-      if (!call_peer (peer))
+      if (!send_batch (peer))
         {
           stat_add (STAT_LINK_RECONNECTS, 1);
           disconnect (peer);
           reset_if_lost (peer);
-          g_usleep ((gulong) RETRY_FIRST);
+          g_usleep ((gulong) RETRY_MIN);
           continue;
         }
-      if (known_down)
-        dlog (DLOG_INFO, NULL, "link", "instance %u is reached again", peer->id);
-      known_down = false;
-      retry = RETRY_FIRST;
-      wait_for_work (peer, HEARTBEAT);
+      if (is_down)
+        dlog (DLOG_INFO, NULL, "link", "instance %u can be reached again", peer->id);
+      is_down = false;
+      retry = RETRY_MIN;
+      wait_for_work (peer, HEARTBEAT_INTERVAL);
     }
   return NULL;
 }
@@ -514,7 +516,8 @@
     }
   link->key = (guint8 *) text;
   if (link->key_size < 16)
-    return ft_error_set (error, FT_INVALID, 0, "link_key_file", "%s has less than 16 bytes", path);
+    return ft_error_set (error, FT_INVALID, 0, "link_key_file", "%s is shorter than 16 bytes",
+                         path);
   return FT_OK;
 }
 
@@ -550,19 +553,19 @@
   link->self = (uint32_t) conf->id;
   link->incarnation = core_random (core) | 1;
   link->peers = g_hash_table_new (g_direct_hash, g_direct_equal);
-  link->seen = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
-  the_link = *out = link;
+  link->received = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
+  rpc_link = *out = link;
   FtStatus status = read_key (link, conf->link_key_file, error);
   if (status == FT_OK)
-    status = listen_on (conf, error);
+    status = start_listening (conf, error);
   if (status != FT_OK)
     return status;
   for (unsigned i = 0; i < conf->instances->len; i++)
     if (((ConfInstance *) conf->instances->pdata[i])->id != conf->id)
       add_peer (link, conf->instances->pdata[i]);
-  g_thread_unref (g_thread_new ("links-in", serve, NULL));
+  g_thread_unref (g_thread_new ("links-in", receive_thread, NULL));
   g_hash_table_iter_init (&iter, link->peers);
   while (g_hash_table_iter_next (&iter, NULL, &peer))
-    g_thread_unref (g_thread_new ("link-out", send_to_peer, peer));
+    g_thread_unref (g_thread_new ("link-out", send_thread, peer));
   return FT_OK;
 }
--- a/daemon/link.h
+++ b/daemon/link.h
@@ -7,9 +7,10 @@
 typedef struct Link Link;
 struct Core;
 
-/* Listens, and starts a thread for each other instance of the settings. */
+/* Listens, and starts a sending thread for each other instance in the settings. core: a Core. */
 FtStatus link_new (void *core, Link **link, FtError *error);
-/* Takes msg over. Delivered once and in order, or the node is told that the link was reset. */
+/* Sends msg and takes its ownership. It is delivered once and in order, or the node is told by
+ * ft_node_link_reset that the link was reset. */
 void link_send (Link *link, uint32_t to, GByteArray *msg);
 
 #endif
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -1,4 +1,4 @@
-/* main.c - foxtailgraded: one instance of foxtailgrade. */
+/* main.c - foxtailgraded: the daemon, one instance of foxtailgrade. */
 #include "back.h"
 #include "dlog.h"
 #include "edge.h"
@@ -11,9 +11,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#define READY_NOTICE (500 * FT_MS) /* the balancer sees readiness drop before anything else */
-#define POLL         (50 * FT_MS)
-#define HANDOVER     (4 * FT_SECOND) /* leases end by themselves after 3 s: nobody took them */
+#define READY_NOTICE_TIME (500 * FT_MS) /* for load balancers to see that /readyz fails */
+#define POLL_INTERVAL     (50 * FT_MS)
+#define HANDOVER_TIMEOUT  (4 * FT_SECOND) /* leases that were not taken over expire after 3 s */
 
 typedef struct
 {
@@ -42,24 +42,25 @@
   dlog (DLOG_INFO, NULL, "shutdown", "signal %d", number);
 }
 
-/* Readiness first, then leases, then what is in flight; nothing is cut before the bound. */
+/* Makes readiness fail, hands over the leases and waits for running requests, for shutdown_s at
+ * most. */
 static void
 shut_down (Core *core, Edge *edge)
 {
   int64_t until = core_now (core) + core_conf (core)->shutdown_s * FT_SECOND;
 
   edge_stop_accepting (edge);
-  g_usleep (READY_NOTICE);
+  g_usleep (READY_NOTICE_TIME);
   bool left = core_leave (core);
-  int64_t handed_by = core_now (core) + HANDOVER;
-  while ((edge_open_count (edge) > 0 || (!left && core_now (core) < handed_by))
+  int64_t handover_end = core_now (core) + HANDOVER_TIMEOUT;
+  while ((edge_open_count (edge) > 0 || (!left && core_now (core) < handover_end))
          && core_now (core) < until)
     {
-      g_usleep (POLL);
+      g_usleep (POLL_INTERVAL);
       left = core_leave (core);
     }
   if (edge_open_count (edge) > 0)
-    dlog (DLOG_ERROR, NULL, "shutdown", "%u requests were cut at the bound",
+    dlog (DLOG_ERROR, NULL, "shutdown", "%u requests were cut off after shutdown_s",
           edge_open_count (edge));
 }
 
@@ -75,7 +76,7 @@
   ulfius_global_init ();
   if (!dlog_init (conf->log_level, (unsigned) conf->id))
     {
-      fprintf (stderr, "foxtailgraded: the log cannot be opened\n");
+      fprintf (stderr, "foxtailgraded: log4c cannot be initialised\n");
       return 1;
     }
   if (!span_open (conf->span_file, (unsigned) conf->id))
@@ -126,9 +127,9 @@
   sigemptyset (&signals);
   sigaddset (&signals, SIGTERM);
   sigaddset (&signals, SIGINT);
-  pthread_sigmask (SIG_BLOCK, &signals, NULL); /* in all threads: only main waits for them */
+  pthread_sigmask (SIG_BLOCK, &signals, NULL); /* in all threads; main waits for them */
   int result = run (conf, file, &signals);
-  /* Other threads may still read the settings: the process ends with them. */
+  /* conf is not freed, because other threads may still read it. */
   return result;
 }
 
@@ -145,7 +146,8 @@
 
   if (strcmp (ft_version (), FT_VERSION) != 0)
     {
-      fprintf (stderr, "foxtailgraded: library %s, program %s\n", ft_version (), FT_VERSION);
+      fprintf (stderr, "foxtailgraded: version of the library %s differs from the program's %s\n",
+               ft_version (), FT_VERSION);
       return 2;
     }
   int errors = arg_parse (argc, argv, (void **) &args);
--- a/daemon/oper.c
+++ b/daemon/oper.c
@@ -1,13 +1,13 @@
-/* oper.c - the operators' port. Operators change nothing but the catalogue, and what is held for
- * ending servers.
+/* oper.c - the operators' port. Operators can change the catalogue and release quarantined
+ * contents.
  *
- *   GET  /v1/catalogue            its text; the revision in X-Revision
- *   POST /v1/changes/ID?base=N    a change; ID is the operator's own, sent again it gets the same
- *                                 verdict; author from X-Author
- *   GET  /v1/in_force/REVISION    which instances lack it
+ *   GET  /v1/catalogue            catalogue in force; its revision is in X-Revision
+ *   POST /v1/changes/ID?base=N    changes the catalogue; the operator chooses ID, and a repeated
+ *                                 ID gets the same verdict; author from X-Author
+ *   GET  /v1/in_force/REVISION    instances that lack the revision
  *   GET  /v1/history?most=N, /v1/refusals/ID, /v1/status, /metrics
- *   GET  /v1/suspects             contents that ran on servers as these ended
- *   DELETE /v1/suspects/CONTENT   lets one go
+ *   GET  /v1/suspects             contents that were running on servers that crashed
+ *   DELETE /v1/suspects/CONTENT   allows a content to be dispatched again
  */
 #include "oper.h"
 #include "body.h"
@@ -27,7 +27,8 @@
 typedef void (*Handler) (Oper *, const struct _u_request *, struct _u_response *);
 
 static int
-guard (Oper *oper, const struct _u_request *request, struct _u_response *response, Handler handler)
+check_key (Oper *oper, const struct _u_request *request, struct _u_response *response,
+           Handler handler)
 {
   char digest[65];
   Problem problem = { FT_REASON_NO_KEY, NULL, "Authorization: Bearer OPERATOR-KEY", 0, 0, 0 };
@@ -58,7 +59,7 @@
 }
 
 static void
-change (Oper *oper, const struct _u_request *request, struct _u_response *response)
+post_change (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
   const char *id = u_map_get (request->map_url, "id"), *base = u_map_get (request->map_url, "base");
   const char *author = u_map_get_case (request->map_header, "X-Author");
@@ -77,11 +78,11 @@
     }
   if ((int64_t) request->binary_body_length > core_conf (oper->core)->body_bytes)
     {
-      answer_status (response, 413, FT_INVALID, 0, "larger than body_bytes of the settings");
+      answer_status (response, 413, FT_INVALID, 0, "larger than the setting body_bytes");
       return;
     }
   char *body = http_body (request);
-  /* Checked here first for the sake of the log; the voters' check is what counts. */
+  /* Checked here to keep invalid catalogues out of the replicated log; the voters check again. */
   FtStatus status = ft_cat_new (body, 1, &cat, &error);
   ft_cat_unref (cat);
   if (status != FT_OK)
@@ -106,7 +107,7 @@
 }
 
 static void
-find (Oper *oper, struct _u_response *response, FtFindKind kind, const char *id)
+answer_query (Oper *oper, struct _u_response *response, FtFindKind kind, const char *id)
 {
   GBytes *body = NULL;
   FtStatus status = core_query (oper->core, kind, id, &body);
@@ -120,7 +121,7 @@
       g_free (text);
     }
   else
-    answer_status (response, 404, status, 0, "not known, or no voter in charge answered");
+    answer_status (response, 404, status, 0, "not known, or the leader did not answer");
   if (body)
     g_bytes_unref (body);
 }
@@ -128,15 +129,15 @@
 static void
 history (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  const char *most = u_map_get (request->map_url, "most");
+  const char *limit = u_map_get (request->map_url, "most");
 
-  find (oper, response, FT_FIND_HISTORY, most ? most : "");
+  answer_query (oper, response, FT_FIND_HISTORY, limit ? limit : "");
 }
 
 static void
 refusal (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  find (oper, response, FT_FIND_REFUSAL, http_url_value (request, "id"));
+  answer_query (oper, response, FT_FIND_REFUSAL, http_url_value (request, "id"));
 }
 
 static void
@@ -146,7 +147,7 @@
 
   (void) request;
   g_snprintf (now, sizeof now, "%" G_GINT64_FORMAT, core_wall_ms ());
-  find (oper, response, FT_FIND_SUSPECTS, now);
+  answer_query (oper, response, FT_FIND_SUSPECTS, now);
 }
 
 static void
@@ -157,7 +158,7 @@
 
   if (!content_parse (text, &content))
     {
-      answer_status (response, 400, FT_INVALID, 0, "content: 16 hexadecimal digits are wanted");
+      answer_status (response, 400, FT_INVALID, 0, "content must be 16 hexadecimal digits");
       return;
     }
   FtStatus status = core_release_content (oper->core, content);
@@ -168,7 +169,7 @@
 static void
 in_force (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  find (oper, response, FT_FIND_IN_FORCE, http_url_value (request, "revision"));
+  answer_query (oper, response, FT_FIND_IN_FORCE, http_url_value (request, "revision"));
 }
 
 static void
@@ -220,9 +221,9 @@
   static int on_##name (const struct _u_request *request, struct _u_response *response,            \
                         void *user)                                                                \
   {                                                                                                \
-    return guard (user, request, response, name);                                                  \
+    return check_key (user, request, response, name);                                              \
   }
-ENDPOINT (change)
+ENDPOINT (post_change)
 ENDPOINT (history)
 ENDPOINT (refusal)
 ENDPOINT (in_force)
@@ -245,7 +246,7 @@
   if (made != FT_OK)
     return made;
   ulfius_add_endpoint_by_val (http, "GET", "/v1/catalogue", NULL, 0, on_catalogue, oper);
-  ulfius_add_endpoint_by_val (http, "POST", "/v1/changes", "/:id", 0, on_change, oper);
+  ulfius_add_endpoint_by_val (http, "POST", "/v1/changes", "/:id", 0, on_post_change, oper);
   ulfius_add_endpoint_by_val (http, "GET", "/v1/in_force", "/:revision", 0, on_in_force, oper);
   ulfius_add_endpoint_by_val (http, "GET", "/v1/history", NULL, 0, on_history, oper);
   ulfius_add_endpoint_by_val (http, "GET", "/v1/refusals", "/:id", 0, on_refusal, oper);
--- a/daemon/oper.h
+++ b/daemon/oper.h
@@ -1,4 +1,4 @@
-/* oper.h - the operators' port. */
+/* oper.h - the operators' HTTP port. */
 #ifndef OPER_H
 #define OPER_H
 
--- a/daemon/plat.c
+++ b/daemon/plat.c
@@ -1,8 +1,9 @@
-/* plat.c - polls the platform's list and the load and cache events of servers whose pool is
- * scheduled here.
+/* plat.c - polls the platform's list of backend servers, and the load and cache events of servers
+ * whose pool is scheduled here.
  *
- * The list lags and may miss a server that is there. A server that is absent counts as leaving: it
- * gets no new work, what runs on it ends. A list that cannot be fetched changes nothing.
+ * The list is not up to date and may omit a running server. So a server that is no longer listed
+ * counts as leaving: it gets no new requests, but those that run on it go on. A list that cannot be
+ * fetched changes nothing.
  */
 #include "plat.h"
 #include "dlog.h"
@@ -11,13 +12,14 @@
 #include <string.h>
 #include <urcu-bp.h>
 
-/* json-c and jansson, which ulfius brings, name the same things: only one in a file. */
+/* json-c and jansson (included by ulfius) define the same names, so a file can use only one. */
 #define U_DISABLE_JANSSON
 #include <ulfius.h>
 
-#define POLL_EVERY   (500 * FT_MS) /* leaving servers get no work within 2 s of the list's news */
-#define REPORT_EVERY 2             /* polls between two rounds of load reports */
-#define FETCH_S      1
+/* Short enough that a server gets no new work later than 2 s after it is listed as leaving. */
+#define POLL_INTERVAL    (500 * FT_MS)
+#define POLLS_PER_REPORT 2 /* polls between two rounds of load reports */
+#define FETCH_TIMEOUT_S  1
 
 typedef struct
 {
@@ -29,8 +31,8 @@
 struct Plat
 {
   Core *core;
-  GHashTable *directory; /* "pool/name" -> Server; RCU, replaced whole */
-  GHashTable *events;    /* "pool/name" -> number of the last cache event */
+  GHashTable *directory; /* "pool/name" -> Server; RCU, replaced as a whole */
+  GHashTable *events;    /* "pool/name" -> number of the last cache event; loop thread only */
   GThreadPool *fetchers;
 };
 
@@ -46,7 +48,7 @@
 }
 
 static char *
-fetch (const char *url)
+http_get (const char *url)
 {
   struct _u_request request;
   struct _u_response response;
@@ -56,7 +58,7 @@
   ulfius_init_response (&response);
   request.http_verb = o_strdup ("GET");
   request.http_url = o_strdup (url);
-  request.timeout = FETCH_S;
+  request.timeout = FETCH_TIMEOUT_S;
   if (ulfius_send_http_request (&request, &response) == U_OK && response.status == 200)
     text = g_strndup (response.binary_body, response.binary_body_length);
   ulfius_clean_request (&request);
@@ -65,7 +67,7 @@
 }
 
 static const char *
-text_of (struct json_object *object, const char *key)
+string_field (struct json_object *object, const char *key)
 {
   struct json_object *value = json_object_object_get (object, key);
 
@@ -73,10 +75,10 @@
 }
 
 static Server *
-read_server (struct json_object *item)
+parse_server (struct json_object *item)
 {
-  const char *pool = text_of (item, "pool"), *name = text_of (item, "name");
-  const char *address = text_of (item, "address"), *state = text_of (item, "state");
+  const char *pool = string_field (item, "pool"), *name = string_field (item, "name");
+  const char *address = string_field (item, "address"), *state = string_field (item, "state");
 
   if (pool == NULL || name == NULL || address == NULL || state == NULL || strlen (name) > 63)
     return NULL;
@@ -91,7 +93,7 @@
 }
 
 static GHashTable *
-read_list (const char *text)
+parse_list (const char *text)
 {
   struct json_object *array, *root = json_tokener_parse (text);
   GHashTable *list = NULL;
@@ -103,7 +105,7 @@
       list = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, server_free);
       for (size_t i = 0; i < json_object_array_length (array); i++)
         {
-          Server *server = read_server (json_object_array_get_idx (array, i));
+          Server *server = parse_server (json_object_array_get_idx (array, i));
           if (server)
             g_hash_table_replace (list, g_strdup_printf ("%s/%s", server->pool, server->name),
                                   server);
@@ -118,33 +120,33 @@
   char *pool, *name;
   uint64_t incarnation;
   FtServerState state;
-} Change;
+} ServerUpdate;
 
 static void
-do_change (FtNode *node, void *data)
+do_update (FtNode *node, void *data)
 {
-  Change *change = data;
+  ServerUpdate *update = data;
 
-  ft_node_server (node, change->pool, change->name, change->incarnation, change->state);
-  g_free (change->pool);
-  g_free (change->name);
-  g_free (change);
+  ft_node_server (node, update->pool, update->name, update->incarnation, update->state);
+  g_free (update->pool);
+  g_free (update->name);
+  g_free (update);
 }
 
 static void
-tell_node (Plat *plat, const Server *server, FtServerState state)
+post_update (Plat *plat, const Server *server, FtServerState state)
 {
-  Change *change = g_new (Change, 1);
+  ServerUpdate *update = g_new (ServerUpdate, 1);
 
-  *change
-      = (Change){ g_strdup (server->pool), g_strdup (server->name), server->incarnation, state };
-  core_post (plat->core, do_change, change);
+  *update = (ServerUpdate){ g_strdup (server->pool), g_strdup (server->name), server->incarnation,
+                            state };
+  core_post (plat->core, do_update, update);
 }
 
-/* Servers that vanished from the list stay in the directory as leaving: their streams may still
- * need the address. */
+/* Copies servers that are no longer listed into the new directory as leaving, because their streams
+ * may still need the address. */
 static void
-keep_absent (Plat *plat, GHashTable *fresh)
+keep_unlisted (Plat *plat, GHashTable *directory)
 {
   GHashTableIter iter;
   void *key, *data;
@@ -153,7 +155,7 @@
   while (g_hash_table_iter_next (&iter, &key, &data))
     {
       const Server *old = data;
-      if (g_hash_table_contains (fresh, key))
+      if (g_hash_table_contains (directory, key))
         continue;
       Server *copy = g_new0 (Server, 1);
       copy->pool = g_strdup (old->pool);
@@ -161,29 +163,29 @@
       copy->address = g_strdup (old->address);
       copy->incarnation = old->incarnation;
       copy->state = FT_SERVER_LEAVING;
-      g_hash_table_insert (fresh, g_strdup (key), copy);
+      g_hash_table_insert (directory, g_strdup (key), copy);
     }
 }
 
 static void
 poll_list (Plat *plat)
 {
-  char *text = fetch (core_conf (plat->core)->platform_address);
-  GHashTable *fresh = text ? read_list (text) : NULL;
+  char *text = http_get (core_conf (plat->core)->platform_address);
+  GHashTable *directory = text ? parse_list (text) : NULL;
   GHashTableIter iter;
   void *data;
 
   g_free (text);
-  if (fresh == NULL)
+  if (directory == NULL)
     return;
-  keep_absent (plat, fresh);
+  keep_unlisted (plat, directory);
   GHashTable *old = plat->directory;
-  rcu_assign_pointer (plat->directory, fresh);
+  rcu_assign_pointer (plat->directory, directory);
   synchronize_rcu ();
   g_hash_table_unref (old);
-  g_hash_table_iter_init (&iter, fresh);
+  g_hash_table_iter_init (&iter, directory);
   while (g_hash_table_iter_next (&iter, NULL, &data))
-    tell_node (plat, data, ((Server *) data)->state);
+    post_update (plat, data, ((Server *) data)->state);
 }
 
 bool
@@ -201,7 +203,7 @@
 }
 
 bool
-plat_lifetime (Plat *plat, const char *pool, const char *name, char *out, size_t size)
+plat_incarnation (Plat *plat, const char *pool, const char *name, char *out, size_t size)
 {
   char key[160];
 
@@ -216,11 +218,12 @@
 
 /* ---- Reports ---- */
 
+/* A load report of one server. */
 typedef struct
 {
   Plat *plat;
   char *pool, *name, *address;
-  uint64_t after; /* cache events wanted from here on */
+  uint64_t after; /* number of the last cache event known */
   unsigned running, waiting;
   int64_t age;
   GArray *events; /* Event */
@@ -266,14 +269,14 @@
 }
 
 static void
-read_events (struct json_object *array, GArray *events)
+parse_events (struct json_object *array, GArray *events)
 {
   if (!json_object_is_type (array, json_type_array))
     return;
   for (size_t i = 0; i < json_object_array_length (array); i++)
     {
       struct json_object *item = json_object_array_get_idx (array, i);
-      const char *block = text_of (item, "block");
+      const char *block = string_field (item, "block");
       Event event = { 0 };
       if (block == NULL)
         continue;
@@ -291,7 +294,7 @@
   Plat *plat = user;
   char *url
       = g_strdup_printf ("http://%s/load?after=%" G_GUINT64_FORMAT, report->address, report->after);
-  char *text = fetch (url);
+  char *text = http_get (url);
   struct json_object *root = text ? json_tokener_parse (text) : NULL;
 
   g_free (url);
@@ -301,7 +304,7 @@
       report->running = (unsigned) json_object_get_int (json_object_object_get (root, "running"));
       report->waiting = (unsigned) json_object_get_int (json_object_object_get (root, "waiting"));
       report->age = json_object_get_int64 (json_object_object_get (root, "age_ms")) * FT_MS;
-      read_events (json_object_object_get (root, "events"), report->events);
+      parse_events (json_object_object_get (root, "events"), report->events);
       core_post (plat->core, do_report, report);
     }
   else
@@ -309,9 +312,10 @@
   json_object_put (root);
 }
 
-/* On the loop thread: which servers are to be asked, and from which event on. */
+/* On the loop thread: queues a fetch of the report of each live server whose pool is scheduled
+ * here. */
 static void
-do_wanted (FtNode *node, void *data)
+queue_reports (FtNode *node, void *data)
 {
   Plat *plat = data;
   GHashTableIter iter;
@@ -338,16 +342,16 @@
 }
 
 static void *
-run (void *data)
+poll_thread (void *data)
 {
   Plat *plat = data;
 
   for (unsigned round = 0;; round++)
     {
       poll_list (plat);
-      if (round % REPORT_EVERY == 0 && g_thread_pool_unprocessed (plat->fetchers) == 0)
-        core_post (plat->core, do_wanted, plat);
-      g_usleep (POLL_EVERY);
+      if (round % POLLS_PER_REPORT == 0 && g_thread_pool_unprocessed (plat->fetchers) == 0)
+        core_post (plat->core, queue_reports, plat);
+      g_usleep (POLL_INTERVAL);
     }
   return NULL;
 }
@@ -361,6 +365,6 @@
   plat->directory = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, server_free);
   plat->events = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   plat->fetchers = g_thread_pool_new (fetch_report, plat, 4, FALSE, NULL);
-  g_thread_unref (g_thread_new ("platform", run, plat));
+  g_thread_unref (g_thread_new ("platform", poll_thread, plat));
   return plat;
 }
--- a/daemon/plat.h
+++ b/daemon/plat.h
@@ -1,4 +1,4 @@
-/* plat.h - the platform's list of backend servers, and what these report of themselves. */
+/* plat.h - the platform's list of backend servers, and their load reports. */
 #ifndef PLAT_H
 #define PLAT_H
 
@@ -6,11 +6,11 @@
 
 typedef struct Plat Plat;
 
-/* Starts the thread that polls the list. */
+/* Starts the thread that polls the list and the servers. */
 Plat *plat_new (Core *core);
-/* "IP:port" of a server, read through RCU; false: not in the list. */
+/* Writes the "IP:port" of a server to out. False: the server is not known. Never blocks. */
 bool plat_address (Plat *plat, const char *pool, const char *server, char *out, size_t size);
-/* A name of the server's lifetime; false: not in the list. */
-bool plat_lifetime (Plat *plat, const char *pool, const char *server, char *out, size_t size);
+/* Writes a name of the server's present incarnation to out. False: the server is not known. */
+bool plat_incarnation (Plat *plat, const char *pool, const char *server, char *out, size_t size);
 
 #endif
--- a/daemon/span.c
+++ b/daemon/span.c
@@ -1,4 +1,4 @@
-/* span.c - spans in the field names of OpenTelemetry's JSON encoding, one object a line. */
+/* span.c - writes spans with the field names of OpenTelemetry's JSON encoding, one per line. */
 #include "span.h"
 
 #include <stdio.h>
--- a/daemon/span.h
+++ b/daemon/span.h
@@ -1,16 +1,17 @@
-/* span.h - a span for each hop of a request, as JSON lines. */
+/* span.h - trace spans of requests, written as JSON lines. */
 #ifndef SPAN_H
 #define SPAN_H
 
 #include "call.h"
 
-/* Appends to path; "": spans are dropped. False: cannot be opened. */
+/* Opens the file to which spans are appended; "": none are written. False: it cannot be opened. */
 bool span_open (const char *path, unsigned instance);
-/* Takes trace and parent from a W3C traceparent header, or starts a trace. */
+/* Continues the trace of a W3C traceparent header; starts a new one if it is NULL or invalid. */
 void span_begin (Call *call, const char *traceparent);
-/* The header for the next hop, 56 bytes. */
+/* Writes the traceparent header for the next hop, 56 bytes. */
 void span_traceparent (const Call *call, char *out);
-/* start, end: monotonic microseconds. detail may be NULL. name "request" is the root. */
+/* Writes a finished span. name: "request" for the call's root span, else its children; start, end:
+ * monotonic microseconds; detail may be NULL. */
 void span_end (const Call *call, const char *name, int64_t start, int64_t end, const char *detail);
 
 #endif
--- a/daemon/sse.c
+++ b/daemon/sse.c
@@ -1,9 +1,9 @@
-/* sse.c - server-sent events (WHATWG HTML, section 9.2): the fields id, event and data. */
+/* sse.c - parses server-sent events (WHATWG HTML, section 9.2); fields id, event and data only. */
 #include "sse.h"
 
 #include <string.h>
 
-#define LINE_MOST (1u << 20)
+#define LINE_MAX_SIZE (1u << 20)
 
 void
 sse_init (Sse *sse)
@@ -23,7 +23,7 @@
 }
 
 static const char *
-value_of (const char *line, const char *field)
+field_value (const char *line, const char *field)
 {
   size_t length = strlen (field);
 
@@ -47,26 +47,26 @@
 }
 
 static bool
-take_line (Sse *sse, SseEventFunc fn, void *user)
+parse_line (Sse *sse, SseEventFunc fn, void *user)
 {
   const char *line = sse->line->str, *value;
 
   if (*line == '\0')
     return end_event (sse, fn, user);
-  if ((value = value_of (line, "id")) != NULL)
+  if ((value = field_value (line, "id")) != NULL)
     sse->id = g_ascii_strtoll (value, NULL, 10);
-  else if ((value = value_of (line, "event")) != NULL)
+  else if ((value = field_value (line, "event")) != NULL)
     {
       g_free (sse->event);
       sse->event = g_strdup (value);
     }
-  else if ((value = value_of (line, "data")) != NULL)
+  else if ((value = field_value (line, "data")) != NULL)
     {
       if (sse->data->len > 0)
         g_string_append_c (sse->data, '\n');
       g_string_append (sse->data, value);
     }
-  return sse->data->len < LINE_MOST;
+  return sse->data->len < LINE_MAX_SIZE;
 }
 
 bool
@@ -79,11 +79,11 @@
       if (bytes[i] != '\n')
         {
           g_string_append_c (sse->line, bytes[i]);
-          if (sse->line->len > LINE_MOST)
+          if (sse->line->len > LINE_MAX_SIZE)
             return false;
           continue;
         }
-      bool go_on = take_line (sse, fn, user);
+      bool go_on = parse_line (sse, fn, user);
       g_string_truncate (sse->line, 0);
       if (!go_on)
         return false;
--- a/daemon/sse.h
+++ b/daemon/sse.h
@@ -1,4 +1,4 @@
-/* sse.h - server-sent events, read from pieces of any size. */
+/* sse.h - incremental parser of server-sent events. */
 #ifndef SSE_H
 #define SSE_H
 
@@ -12,12 +12,13 @@
   gint64 id; /* -1: the event had none */
 } Sse;
 
+/* Called for each event that has data; event: its type or NULL. False stops the parser. */
 typedef bool (*SseEventFunc) (void *user, gint64 id, const char *event, const char *data);
 
 void sse_init (Sse *sse);
 void sse_clear (Sse *sse);
-/* Calls fn for each event that bytes complete; false: fn returned false, or a line is longer than
- * a mebibyte. */
+/* Parses the next bytes and calls fn for each event that they complete. False: fn returned false,
+ * or a line or an event's data is longer than 1 MiB. */
 bool sse_feed (Sse *sse, const char *bytes, gsize size, SseEventFunc fn, void *user);
 
 #endif
--- a/daemon/stat.c
+++ b/daemon/stat.c
@@ -1,25 +1,25 @@
-/* stat.c - counters of our own. Distributions are histograms with fixed bounds, doubling from
- * 0.5 ms, so that instances can be added up. */
+/* stat.c - counters and histograms. All histograms have the same bounds, doubling from 0.5 ms, so
+ * that those of several instances can be added up. */
 #include "stat.h"
 
 #include <math.h>
 
-#define BUCKETS 18 /* 0.5 ms to 65 s, then infinity */
+#define BUCKETS 18 /* upper bounds from 0.5 ms to 65 s; one more bucket is for the rest */
 
-static uint64_t tier_counters[STAT_TIER_COUNTERS][FT_TIERS + 1];
-static uint64_t plain_counters[STAT_PLAIN_COUNTERS];
+static uint64_t tier_counters[STAT_TIER_COUNTER_COUNT][FT_TIERS + 1];
+static uint64_t counters[STAT_COUNTER_COUNT];
 static uint64_t refused[FT_REASONS][FT_TIERS + 1];
-static uint64_t buckets[STAT_DISTRIBUTIONS][FT_TIERS + 1][BUCKETS + 1];
-static uint64_t sums_us[STAT_DISTRIBUTIONS][FT_TIERS + 1];
+static uint64_t histograms[STAT_HISTOGRAM_COUNT][FT_TIERS + 1][BUCKETS + 1];
+static uint64_t sums_us[STAT_HISTOGRAM_COUNT][FT_TIERS + 1];
 
 static const char *const tier_names[]
     = { "offered", "answered", "late", "unknown", "paused", "resumed" };
-static const char *const plain_names[] = {
+static const char *const counter_names[] = {
   "dispatches",     "connects_refused", "stream_reconnects", "link_messages_out",
   "link_bytes_out", "link_reconnects",  "link_rejected",     "disk_syncs",
   "claims",         "auth_failed",      "server_ends",
 };
-static const char *const distribution_names[] = { "first_token", "inter_token", "wait" };
+static const char *const histogram_names[] = { "first_token", "inter_token", "wait" };
 
 static void
 add (uint64_t *counter, uint64_t by)
@@ -34,15 +34,15 @@
 }
 
 void
-stat_inc_tier (StatTier counter, unsigned tier)
+stat_inc_tier (StatTierCounter counter, unsigned tier)
 {
   add (&tier_counters[counter][MIN (tier, FT_TIERS)], 1);
 }
 
 void
-stat_add (StatPlain counter, uint64_t by)
+stat_add (StatCounter counter, uint64_t by)
 {
-  add (&plain_counters[counter], by);
+  add (&counters[counter], by);
 }
 
 void
@@ -52,27 +52,27 @@
 }
 
 void
-stat_observe (StatDistribution distribution, unsigned tier, int64_t us)
+stat_observe (StatHistogram histogram, unsigned tier, int64_t us)
 {
   unsigned bucket = 0;
 
   for (int64_t bound = 500; bucket < BUCKETS && us > bound; bound *= 2)
     bucket++;
   tier = MIN (tier, FT_TIERS);
-  add (&buckets[distribution][tier][bucket], 1);
-  add (&sums_us[distribution][tier], (uint64_t) MAX (0, us));
+  add (&histograms[histogram][tier][bucket], 1);
+  add (&sums_us[histogram][tier], (uint64_t) MAX (0, us));
 }
 
 static void
-print_distribution (GString *out, unsigned which, unsigned tier)
+append_histogram (GString *out, unsigned which, unsigned tier)
 {
-  const char *name = distribution_names[which];
+  const char *name = histogram_names[which];
   uint64_t total = 0;
   double bound = 0.0005;
 
   for (unsigned i = 0; i <= BUCKETS; i++, bound *= 2)
     {
-      total += get (&buckets[which][tier][i]);
+      total += get (&histograms[which][tier][i]);
       if (i < BUCKETS)
         g_string_append_printf (
             out, "foxtail_%s_seconds_bucket{tier=\"%u\",le=\"%g\"} %" G_GUINT64_FORMAT "\n", name,
@@ -94,7 +94,7 @@
 {
   GString *out = g_string_new (NULL);
 
-  for (unsigned i = 0; i < STAT_TIER_COUNTERS; i++)
+  for (unsigned i = 0; i < STAT_TIER_COUNTER_COUNT; i++)
     {
       g_string_append_printf (out, "# TYPE foxtail_requests_%s_total counter\n", tier_names[i]);
       for (unsigned t = 1; t <= FT_TIERS; t++)
@@ -110,15 +110,15 @@
             out,
             "foxtail_requests_refused_total{tier=\"%u\",reason=\"%s\"} %" G_GUINT64_FORMAT "\n", t,
             ft_reason_info (i)->code, get (&refused[i][t]));
-  for (unsigned i = 0; i < STAT_PLAIN_COUNTERS; i++)
+  for (unsigned i = 0; i < STAT_COUNTER_COUNT; i++)
     g_string_append_printf (
         out, "# TYPE foxtail_%s_total counter\nfoxtail_%s_total %" G_GUINT64_FORMAT "\n",
-        plain_names[i], plain_names[i], get (&plain_counters[i]));
-  for (unsigned i = 0; i < STAT_DISTRIBUTIONS; i++)
+        counter_names[i], counter_names[i], get (&counters[i]));
+  for (unsigned i = 0; i < STAT_HISTOGRAM_COUNT; i++)
     {
-      g_string_append_printf (out, "# TYPE foxtail_%s_seconds histogram\n", distribution_names[i]);
+      g_string_append_printf (out, "# TYPE foxtail_%s_seconds histogram\n", histogram_names[i]);
       for (unsigned t = 1; t <= FT_TIERS; t++)
-        print_distribution (out, i, t);
+        append_histogram (out, i, t);
     }
   if (extra)
     g_string_append (out, extra);
--- a/daemon/stat.h
+++ b/daemon/stat.h
@@ -1,4 +1,4 @@
-/* stat.h - counters and distributions of one instance, written with atomics from any thread. */
+/* stat.h - counters and histograms of one instance; all functions are thread-safe. */
 #ifndef STAT_H
 #define STAT_H
 
@@ -6,14 +6,14 @@
 
 typedef enum
 {
-  STAT_OFFERED, /* by tier */
+  STAT_OFFERED, /* submitted to the scheduler */
   STAT_ANSWERED,
-  STAT_LATE, /* answered after the deadline */
-  STAT_UNKNOWN,
+  STAT_LATE,    /* answered after the deadline */
+  STAT_UNKNOWN, /* ended with an unknown outcome */
   STAT_PAUSED,
   STAT_RESUMED,
-  STAT_TIER_COUNTERS
-} StatTier;
+  STAT_TIER_COUNTER_COUNT
+} StatTierCounter;
 
 typedef enum
 {
@@ -27,24 +27,24 @@
   STAT_DISK_SYNCS,
   STAT_CLAIMS,
   STAT_AUTH_FAILED,
-  STAT_SERVER_ENDS,
-  STAT_PLAIN_COUNTERS
-} StatPlain;
+  STAT_SERVER_CRASHES,
+  STAT_COUNTER_COUNT
+} StatCounter;
 
 typedef enum
 {
   STAT_FIRST_TOKEN,
   STAT_INTER_TOKEN,
-  STAT_WAIT, /* from asking to the decision */
-  STAT_DISTRIBUTIONS
-} StatDistribution;
+  STAT_WAIT, /* from submission to the scheduler's decision */
+  STAT_HISTOGRAM_COUNT
+} StatHistogram;
 
-void stat_inc_tier (StatTier counter, unsigned tier);
-void stat_add (StatPlain counter, uint64_t add);
+void stat_inc_tier (StatTierCounter counter, unsigned tier);
+void stat_add (StatCounter counter, uint64_t add);
 void stat_inc_refused (FtReason reason, unsigned tier);
-/* us: microseconds. */
-void stat_observe (StatDistribution distribution, unsigned tier, int64_t us);
-/* All counters in the usual text format for metrics; g_free. extra is appended. */
+/* Adds a sample of us microseconds to a histogram. */
+void stat_observe (StatHistogram histogram, unsigned tier, int64_t us);
+/* Returns all metrics in Prometheus text format, with extra appended. Free with g_free. */
 char *stat_format (const char *extra);
 
 #endif
--- a/test/text.c
+++ b/test/text.c
@@ -76,12 +76,12 @@
         "\"instances\": [ { \"id\": 1, \"address\": \"127.0.0.1\", \"link_port\": 3,\n"
         "\"failure_domain\": \"a\", \"voter\": true } ] }";
   static const char *const changes[][4] = {
-    { "\"operator_port\": 2", "\"operator_port\": 1", "operator_port", "its own" },
+    { "\"operator_port\": 2", "\"operator_port\": 1", "operator_port", "same as caller_port" },
     { "\"operator_port\": 2", "\"operator_port\": 70000", "operator_port", "65535" },
-    { "\"id\": 1, \"failure", "\"id\": 2, \"failure", "id", "not among" },
+    { "\"id\": 1, \"failure", "\"id\": 2, \"failure", "id", "not the id of any" },
     { "\"voter\": true", "\"voter\": false", "instances", "1, 3, 5 or 7" },
     { "\"data_folder\": \"d\"", "\"data_folder\": \"\"", "data_folder", "voter" },
-    { "\"address\": \"127.0.0.1\",", "\"address\": \"host\",", "address", "IP number" },
+    { "\"address\": \"127.0.0.1\",", "\"address\": \"host\",", "address", "IPv4 address" },
     { "\"link_key_file\": \"k\",", "", "link_key_file", "is missing" },
   };
   FtError error;
