--- a/daemon/answer.c
+++ b/daemon/answer.c
@@ -22,7 +22,7 @@
 make_tail (Call *call)
 {
   if (call->failure == FT_REASON_NONE)
-    return g_strdup_printf ("id: %u\ndata: [DONE]\n\n", ft_req_next (call->req));
+    return g_strdup_printf ("id: %u\ndata: [DONE]\n\n", ft_req_next_piece (call->req));
   Problem problem
       = { call->failure, call->id, "the stream was interrupted", call->tier, call->revision, 0 };
   char *text = http_problem_format (&problem);
@@ -153,7 +153,7 @@
   else
     {
       char *text = body_complete_answer (call->id, call->pool, call->content->str,
-                                         ft_req_next (call->req));
+                                         ft_req_next_piece (call->req));
       http_set_json (response, 200, text);
       u_map_put (response->map_header, "X-Request-Id", call->id);
       g_free (text);
@@ -199,7 +199,7 @@
   FtStatus status = back_kept_answer (edge->back, id, &body);
 
   if (status == FT_NOT_FOUND)
-    status = core_query (edge->core, FT_FIND_ANSWER, id, &body);
+    status = core_query (edge->core, FT_QUERY_ANSWER, id, &body);
   Problem problem = { FT_REASON_OUTCOME_UNKNOWN,   id, "", asker ? asker->tier : 0,
                       asker ? asker->revision : 0, 0 };
   if (status == FT_OK && body
@@ -212,7 +212,7 @@
     }
   else if (status == FT_CONFLICT)
     {
-      problem.reason = FT_REASON_CLAIM_ELSEWHERE;
+      problem.reason = FT_REASON_CLAIM_RUNNING;
       problem.retry_after_ms = 1000;
       http_set_problem (response, &problem);
     }
--- a/daemon/back.c
+++ b/daemon/back.c
@@ -114,12 +114,12 @@
   call->finished = true;
   call->failure = failure;
   call->attempt++;
-  ft_req_move (call->req, complete ? FT_REQ_ANSWERED : FT_REQ_UNKNOWN);
-  unsigned tokens = ft_req_next (call->req);
+  ft_req_set_state (call->req, complete ? FT_REQ_ANSWERED : FT_REQ_UNKNOWN);
+  unsigned tokens = ft_req_next_piece (call->req);
   pthread_cond_broadcast (&call->cond);
   pthread_mutex_unlock (&call->lock);
   core_end_claim (back->core, call, complete ? FT_CLAIM_ANSWERED : FT_CLAIM_UNKNOWN);
-  core_end_request (back->core, call, complete ? FT_DONE_WHOLE : FT_DONE_FAILED, tokens);
+  core_end_request (back->core, call, complete ? FT_OUTCOME_COMPLETE : FT_OUTCOME_FAILED, tokens);
   count_outcome (call, complete);
   span_end (call, "backend", call->decided_at, now, call->server);
   span_end (call, "request", call->started_at, now, ft_reason_info (failure)->code);
@@ -134,12 +134,12 @@
 on_piece (Reader *reader, int64_t now)
 {
   Call *call = reader->call;
-  unsigned tokens = ft_req_next (call->req);
+  unsigned tokens = ft_req_next_piece (call->req);
 
   if (call->first_token_at == 0)
     {
       call->first_token_at = now;
-      ft_req_move (call->req, FT_REQ_STREAMING);
+      ft_req_set_state (call->req, FT_REQ_STREAMING);
       stat_observe (STAT_FIRST_TOKEN, call->tier, now - call->started_at);
     }
   else
@@ -167,18 +167,18 @@
   if (current && strcmp (data, "[DONE]") == 0)
     {
       if (id >= 0 && id <= G_MAXINT)
-        ft_req_end (call->req, (unsigned) id);
-      complete = ft_req_whole (call->req);
+        ft_req_set_piece_count (call->req, (unsigned) id);
+      complete = ft_req_is_complete (call->req);
       current = false;
     }
   else if (current && id >= 0 && id <= G_MAXINT)
     {
       char *line = g_strdup_printf ("id: %" G_GINT64_FORMAT "\ndata: %s\n\n", id, data);
-      unsigned before = ft_req_next (call->req);
-      if (ft_req_piece (call->req, (unsigned) id, line, strlen (line)) == FT_OK)
+      unsigned before = ft_req_next_piece (call->req);
+      if (ft_req_add_piece (call->req, (unsigned) id, line, strlen (line)) == FT_OK)
         {
           /* Engines send pieces in order on a connection; one more means that none is missing. */
-          if (ft_req_next (call->req) == before + 1)
+          if (ft_req_next_piece (call->req) == before + 1)
             body_append_delta (data, call->content);
           on_piece (reader, core_now (reader->back->core));
           pthread_cond_broadcast (&call->cond);
@@ -257,9 +257,9 @@
   if ((status != 503 && status != 429) || text == NULL
       || !plat_incarnation (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
     return;
-  bool readable = notice_read_backoff (text, &notice.backoff_us);
+  bool readable = notice_parse_backoff (text, &notice.backoff_us);
   pthread_mutex_lock (&back->notices_lock);
-  bool is_new = notices_take (back->notices, lifetime, &notice) == NOTICES_NEW;
+  bool is_new = notices_record (back->notices, lifetime, &notice) == NOTICES_CHANGED;
   pthread_mutex_unlock (&back->notices_lock);
   if (is_new)
     dlog (DLOG_INFO, call->id, "server-notice", "server %s of %s asked to back off for %d ms%s",
@@ -276,7 +276,7 @@
   if (!plat_incarnation (back->plat, call->pool, call->server, lifetime, sizeof lifetime))
     return false;
   pthread_mutex_lock (&back->notices_lock);
-  bool blocked = notices_forbid (back->notices, lifetime, &notice) != NULL;
+  bool blocked = notices_block_reason (back->notices, lifetime, &notice) != NULL;
   pthread_mutex_unlock (&back->notices_lock);
   if (blocked)
     dlog (DLOG_INFO, call->id, "grant-returned",
@@ -421,7 +421,7 @@
 
   sse_init (&reader.sse);
   pthread_mutex_lock (&call->lock);
-  unsigned next = ft_req_next (call->req);
+  unsigned next = ft_req_next_piece (call->req);
   pthread_mutex_unlock (&call->lock);
   if (work->kind == WORK_SEND)
     {
@@ -468,8 +468,8 @@
       pthread_mutex_lock (&call->lock);
       call->answer_status = status;
       call->answer_content_type = g_steal_pointer (&type);
-      ft_req_piece (call->req, 0, reader.plain->str, reader.plain->len);
-      ft_req_end (call->req, 1);
+      ft_req_add_piece (call->req, 0, reader.plain->str, reader.plain->len);
+      ft_req_set_piece_count (call->req, 1);
       on_piece (&reader, now);
       pthread_mutex_unlock (&call->lock);
       finish (back, call, FT_REASON_NONE);
@@ -533,7 +533,7 @@
       return FT_NOT_FOUND;
     }
   pthread_mutex_lock (&call->lock);
-  FtStatus status = ft_req_move (call->req, FT_REQ_DISPATCHED);
+  FtStatus status = ft_req_set_state (call->req, FT_REQ_DISPATCHED);
   call->back = back;
   call->last_token_at = core_now (back->core);
   unsigned attempt = ++call->attempt;
@@ -661,7 +661,7 @@
   else
     {
       char *complete = body_complete_answer (call->id, call->pool, call->content->str,
-                                             ft_req_next (call->req));
+                                             ft_req_next_piece (call->req));
       *body = body_pack_answer (200, "application/json", call->org, complete, strlen (complete));
       g_free (complete);
       status = FT_OK;
--- a/daemon/call.h
+++ b/daemon/call.h
@@ -30,7 +30,7 @@
   char *body;
   size_t body_size;
   unsigned prompt_tokens, max_tokens, block_count;
-  uint64_t blocks[FT_BLOCKS_MOST];
+  uint64_t blocks[FT_BLOCKS_MAX];
   int64_t started_at, first_token_deadline, deadline;
   uint64_t revision; /* of the catalogue in force when it was accepted */
   char *claim_key;   /* organisation/Idempotency-Key; NULL: it may run more than once */
--- a/daemon/core.c
+++ b/daemon/core.c
@@ -135,7 +135,7 @@
   call->decision = CALL_GRANTED;
   call->decided_at = g_get_monotonic_time ();
   g_strlcpy (call->server, server, sizeof call->server);
-  ft_req_move (call->req, FT_REQ_GRANTED);
+  ft_req_set_state (call->req, FT_REQ_GRANTED);
   pthread_cond_broadcast (&call->cond);
   pthread_mutex_unlock (&call->lock);
 }
@@ -153,7 +153,7 @@
   call->decision = CALL_REFUSED;
   call->decided_at = g_get_monotonic_time ();
   call->refusal = *refusal;
-  ft_req_move (call->req, FT_REQ_REFUSED);
+  ft_req_set_state (call->req, FT_REQ_REFUSED);
   pthread_cond_broadcast (&call->cond);
   pthread_mutex_unlock (&call->lock);
   g_hash_table_remove (core->calls, &number);
@@ -233,7 +233,7 @@
   gsize size = 0;
   const void *data = body ? g_bytes_get_data (body, &size) : "";
 
-  ft_node_answer (core->node, from, number, status, data, size);
+  ft_node_reply_query (core->node, from, number, status, data, size);
   if (body)
     g_bytes_unref (body);
 }
@@ -363,12 +363,12 @@
 {
   Core *core;
   Call *call;
-  FtDone outcome;
+  FtOutcome outcome;
   unsigned tokens;
 } CallEvent;
 
 static void
-post_call (Core *core, CoreFunc fn, Call *call, FtDone outcome, unsigned tokens)
+post_call (Core *core, CoreFunc fn, Call *call, FtOutcome outcome, unsigned tokens)
 {
   CallEvent *event = g_new (CallEvent, 1);
 
@@ -401,20 +401,20 @@
   CallEvent *event = data;
   Call *call = event->call;
   int64_t now = core_now (event->core);
-  FtNodeAsk ask = { .request = call->number,
-                    .pool = call->pool,
-                    .org = call->org,
-                    .class_name = call->class_name,
-                    .prompt_tokens = call->prompt_tokens,
-                    .most_tokens = call->max_tokens,
-                    .first_in = call->first_token_deadline - now,
-                    .due_in = call->deadline - now,
-                    .blocks = call->blocks,
-                    .block_count = call->block_count,
-                    .content = content_of (call) };
+  FtNodeRequest ask = { .request = call->number,
+                        .pool = call->pool,
+                        .org = call->org,
+                        .class_name = call->class_name,
+                        .prompt_tokens = call->prompt_tokens,
+                        .most_tokens = call->max_tokens,
+                        .first_token_in_us = call->first_token_deadline - now,
+                        .deadline_in_us = call->deadline - now,
+                        .blocks = call->blocks,
+                        .block_count = call->block_count,
+                        .content = content_of (call) };
 
   g_hash_table_insert (event->core->calls, &call->number, call_ref (call));
-  ft_node_ask (node, &ask);
+  ft_node_submit (node, &ask);
   free_event (event);
 }
 
@@ -431,7 +431,7 @@
 {
   CallEvent *event = data;
 
-  ft_node_ask_again (node, event->call->number);
+  ft_node_resubmit (node, event->call->number);
   free_event (event);
 }
 
@@ -440,7 +440,7 @@
 {
   pthread_mutex_lock (&call->lock);
   call->decision = CALL_PENDING;
-  ft_req_ask_again (call->req);
+  ft_req_undo_grant (call->req);
   pthread_mutex_unlock (&call->lock);
   post_call (core, do_resubmit, call, 0, 0);
 }
@@ -466,13 +466,13 @@
   CallEvent *event = data;
   uint64_t number = event->call->number;
 
-  ft_node_done (node, number, event->outcome, event->tokens);
+  ft_node_end_request (node, number, event->outcome, event->tokens);
   g_hash_table_remove (event->core->calls, &number);
   free_event (event);
 }
 
 void
-core_end_request (Core *core, Call *call, FtDone outcome, unsigned tokens)
+core_end_request (Core *core, Call *call, FtOutcome outcome, unsigned tokens)
 {
   post_call (core, do_end_request, call, outcome, tokens);
 }
@@ -482,7 +482,7 @@
 {
   CallEvent *event = data;
 
-  ft_node_server_ended (node, event->call->number, core_wall_ms ());
+  ft_node_report_crash (node, event->call->number, core_wall_ms ());
   free_event (event);
 }
 
@@ -498,9 +498,9 @@
   CallEvent *event = data;
   const Call *call = event->call;
 
-  ft_node_note_refusal (node, call->id, call->org ? call->org : "", call->refusal.reason,
-                        call->tier, call->refusal.retry_after_ms, call->refusal.rule,
-                        core_wall_ms ());
+  ft_node_record_refusal (node, call->id, call->org ? call->org : "", call->refusal.reason,
+                          call->tier, call->refusal.retry_after_ms, call->refusal.rule,
+                          core_wall_ms ());
   free_event (event);
 }
 
@@ -562,8 +562,8 @@
 {
   PostedRequest *request = data;
 
-  register_waiter (request, ft_node_change (node, request->a, request->b, request->base, request->c,
-                                            core_wall_ms ()));
+  register_waiter (request, ft_node_propose_catalogue (node, request->a, request->b, request->base,
+                                                       request->c, core_wall_ms ()));
 }
 
 FtStatus
@@ -589,7 +589,7 @@
 {
   PostedRequest *request = data;
 
-  register_waiter (request, ft_node_release (node, request->base));
+  register_waiter (request, ft_node_release_content (node, request->base));
 }
 
 FtStatus
@@ -632,12 +632,12 @@
 {
   PostedRequest *request = data;
 
-  ft_node_claim_end (node, request->a, request->b, request->kind, core_wall_ms ());
+  ft_node_end_claim (node, request->a, request->b, request->kind, core_wall_ms ());
   free_request (request);
 }
 
 void
-core_end_claim (Core *core, const Call *call, FtClaimEnd end)
+core_end_claim (Core *core, const Call *call, FtClaimOutcome end)
 {
   if (call->claim_key == NULL)
     return;
@@ -654,11 +654,11 @@
 {
   PostedRequest *request = data;
 
-  register_waiter (request, ft_node_find (node, request->kind, request->a));
+  register_waiter (request, ft_node_query (node, request->kind, request->a));
 }
 
 FtStatus
-core_query (Core *core, FtFindKind kind, const char *id, GBytes **body)
+core_query (Core *core, FtQueryKind kind, const char *id, GBytes **body)
 {
   PostedRequest *request = g_new0 (PostedRequest, 1);
   Waiter waiter;
--- a/daemon/core.h
+++ b/daemon/core.h
@@ -38,7 +38,7 @@
 /* Reports how many tokens have arrived. */
 void core_progress (Core *core, Call *call, unsigned tokens);
 /* Reports the outcome of a granted call and forgets it. */
-void core_end_request (Core *core, Call *call, FtDone how, unsigned tokens);
+void core_end_request (Core *core, Call *call, FtOutcome how, unsigned tokens);
 /* Reports that the call's backend server crashed while running it. Before core_end_request. */
 void core_report_crash (Core *core, Call *call);
 void core_record_refusal (Core *core, const Call *call);
@@ -52,9 +52,9 @@
 /* Allows a content that was quarantined for crashes to be dispatched again. */
 FtStatus core_release_content (Core *core, uint64_t content);
 /* Does not block. */
-void core_end_claim (Core *core, const Call *call, FtClaimEnd end);
+void core_end_claim (Core *core, const Call *call, FtClaimOutcome end);
 /* Blocks; unref *body. */
-FtStatus core_query (Core *core, FtFindKind kind, const char *id, GBytes **body);
+FtStatus core_query (Core *core, FtQueryKind kind, const char *id, GBytes **body);
 
 void core_status (Core *core, FtNodeStatus *status);
 /* Metrics of the pools scheduled here, in Prometheus text format; g_free. */
--- a/daemon/edge.c
+++ b/daemon/edge.c
@@ -183,12 +183,12 @@
     {
     case FT_OK:
       return true;
-    case FT_REPEAT:
+    case FT_ALREADY_DONE:
       answer_by_id (edge, owner, call->org, call, response);
       return false;
     case FT_CONFLICT:
       g_snprintf (rule, sizeof rule, "request %s with this Idempotency-Key is running", owner);
-      refuse_call (edge, call, FT_REASON_CLAIM_ELSEWHERE, rule, 1000, response);
+      refuse_call (edge, call, FT_REASON_CLAIM_RUNNING, rule, 1000, response);
       return false;
     case FT_INVALID:
       g_snprintf (rule, sizeof rule, "request %s had this Idempotency-Key with other content",
@@ -243,7 +243,7 @@
 {
   int64_t submitted_at = core_now (edge->core);
 
-  ft_req_move (call->req, FT_REQ_ASKED);
+  ft_req_set_state (call->req, FT_REQ_SUBMITTED);
   stat_inc_tier (STAT_OFFERED, call->tier);
   core_submit (edge->core, call);
   for (unsigned attempts = 1;; attempts++)
@@ -264,10 +264,10 @@
         break;
       core_resubmit (edge->core, call);
     }
-  core_end_request (edge->core, call, FT_DONE_REFUSED, 0);
+  core_end_request (edge->core, call, FT_OUTCOME_NOT_CONNECTED, 0);
   core_end_claim (edge->core, call, FT_CLAIM_RELEASED);
   pthread_mutex_lock (&call->lock);
-  ft_req_move (call->req, FT_REQ_REFUSED);
+  ft_req_set_state (call->req, FT_REQ_REFUSED);
   pthread_mutex_unlock (&call->lock);
   refuse_call (edge, call, FT_REASON_NO_SERVER, "no connection to a backend server could be made",
                1000, response);
@@ -342,7 +342,7 @@
   call->max_tokens = chat.most_tokens;
   call->prompt_tokens = (unsigned) (chat.prompt->len / 4 + 1);
   call->block_count
-      = ft_prefix_hash (chat.prompt->str, chat.prompt->len, 0, call->blocks, FT_BLOCKS_MOST);
+      = ft_prefix_hash (chat.prompt->str, chat.prompt->len, 0, call->blocks, FT_BLOCKS_MAX);
   call->body = g_steal_pointer (&text);
   call->body_size = request->binary_body_length;
   if (classify (edge, call, cat, org, pool, request, response)
--- a/daemon/oper.c
+++ b/daemon/oper.c
@@ -107,7 +107,7 @@
 }
 
 static void
-answer_query (Oper *oper, struct _u_response *response, FtFindKind kind, const char *id)
+answer_query (Oper *oper, struct _u_response *response, FtQueryKind kind, const char *id)
 {
   GBytes *body = NULL;
   FtStatus status = core_query (oper->core, kind, id, &body);
@@ -131,13 +131,13 @@
 {
   const char *limit = u_map_get (request->map_url, "most");
 
-  answer_query (oper, response, FT_FIND_HISTORY, limit ? limit : "");
+  answer_query (oper, response, FT_QUERY_HISTORY, limit ? limit : "");
 }
 
 static void
 refusal (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  answer_query (oper, response, FT_FIND_REFUSAL, http_url_value (request, "id"));
+  answer_query (oper, response, FT_QUERY_REFUSAL, http_url_value (request, "id"));
 }
 
 static void
@@ -147,7 +147,7 @@
 
   (void) request;
   g_snprintf (now, sizeof now, "%" G_GINT64_FORMAT, core_wall_ms ());
-  answer_query (oper, response, FT_FIND_SUSPECTS, now);
+  answer_query (oper, response, FT_QUERY_SUSPECTS, now);
 }
 
 static void
@@ -169,7 +169,7 @@
 static void
 in_force (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  answer_query (oper, response, FT_FIND_IN_FORCE, http_url_value (request, "revision"));
+  answer_query (oper, response, FT_QUERY_IN_FORCE, http_url_value (request, "revision"));
 }
 
 static void
--- a/daemon/plat.c
+++ b/daemon/plat.c
@@ -127,7 +127,7 @@
 {
   ServerUpdate *update = data;
 
-  ft_node_server (node, update->pool, update->name, update->incarnation, update->state);
+  ft_node_update_server (node, update->pool, update->name, update->incarnation, update->state);
   g_free (update->pool);
   g_free (update->name);
   g_free (update);
--- a/daemon/stat.c
+++ b/daemon/stat.c
@@ -8,7 +8,7 @@
 
 static uint64_t tier_counters[STAT_TIER_COUNTER_COUNT][FT_TIERS + 1];
 static uint64_t counters[STAT_COUNTER_COUNT];
-static uint64_t refused[FT_REASONS][FT_TIERS + 1];
+static uint64_t refused[FT_REASON_COUNT][FT_TIERS + 1];
 static uint64_t histograms[STAT_HISTOGRAM_COUNT][FT_TIERS + 1][BUCKETS + 1];
 static uint64_t sums_us[STAT_HISTOGRAM_COUNT][FT_TIERS + 1];
 
@@ -103,7 +103,7 @@
                                 tier_names[i], t, get (&tier_counters[i][t]));
     }
   g_string_append (out, "# TYPE foxtail_requests_refused_total counter\n");
-  for (unsigned i = 1; i < FT_REASONS; i++)
+  for (unsigned i = 1; i < FT_REASON_COUNT; i++)
     for (unsigned t = 0; t <= FT_TIERS; t++)
       if (get (&refused[i][t]))
         g_string_append_printf (
