--- a/daemon/oper.c
+++ b/daemon/oper.c
@@ -1,13 +1,13 @@
-/* oper.c - the operators' port. Operators change nothing but the catalogue, and what is held for
- * ending servers.
+/* oper.c - the operators' port. Operators can change the catalogue and release quarantined
+ * contents.
  *
- *   GET  /v1/catalogue            its text; the revision in X-Revision
- *   POST /v1/changes/ID?base=N    a change; ID is the operator's own, sent again it gets the same
- *                                 verdict; author from X-Author
- *   GET  /v1/in_force/REVISION    which instances lack it
+ *   GET  /v1/catalogue            catalogue in force; its revision is in X-Revision
+ *   POST /v1/changes/ID?base=N    changes the catalogue; the operator chooses ID, and a repeated
+ *                                 ID gets the same verdict; author from X-Author
+ *   GET  /v1/in_force/REVISION    instances that lack the revision
  *   GET  /v1/history?most=N, /v1/refusals/ID, /v1/status, /metrics
- *   GET  /v1/suspects             contents that ran on servers as these ended
- *   DELETE /v1/suspects/CONTENT   lets one go
+ *   GET  /v1/suspects             contents that were running on servers that crashed
+ *   DELETE /v1/suspects/CONTENT   allows a content to be dispatched again
  */
 #include "oper.h"
 #include "body.h"
@@ -27,18 +27,19 @@
 typedef void (*Handler) (Oper *, const struct _u_request *, struct _u_response *);
 
 static int
-guard (Oper *oper, const struct _u_request *request, struct _u_response *response, Handler handler)
+check_key (Oper *oper, const struct _u_request *request, struct _u_response *response,
+           Handler handler)
 {
   char digest[65];
   Problem problem = { FT_REASON_NO_KEY, NULL, "Authorization: Bearer OPERATOR-KEY", 0, 0, 0 };
 
   if (http_key_digest (request, digest)
-      && http_same_digest (digest, core_conf (oper->core)->operator_key_sha256))
+      && http_digest_equal (digest, core_conf (oper->core)->operator_key_sha256))
     handler (oper, request, response);
   else
     {
-      stat_plain (STAT_AUTH_FAILED, 1);
-      http_problem (response, &problem);
+      stat_add (STAT_AUTH_FAILED, 1);
+      http_set_problem (response, &problem);
     }
   return U_CALLBACK_COMPLETE;
 }
@@ -51,14 +52,14 @@
 
   g_string_append_printf (out, "{\"status\":\"%s\",\"revision\":%" G_GUINT64_FORMAT ",\"text\":",
                           ft_strerror (status), revision);
-  body_string (out, text);
+  body_append_string (out, text);
   g_string_append_c (out, '}');
-  http_json (response, http_status, out->str);
+  http_set_json (response, http_status, out->str);
   g_string_free (out, TRUE);
 }
 
 static void
-change (Oper *oper, const struct _u_request *request, struct _u_response *response)
+post_change (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
   const char *id = u_map_get (request->map_url, "id"), *base = u_map_get (request->map_url, "base");
   const char *author = u_map_get_case (request->map_header, "X-Author");
@@ -77,11 +78,11 @@
     }
   if ((int64_t) request->binary_body_length > core_conf (oper->core)->body_bytes)
     {
-      answer_status (response, 413, FT_INVALID, 0, "larger than body_bytes of the settings");
+      answer_status (response, 413, FT_INVALID, 0, "larger than the setting body_bytes");
       return;
     }
   char *body = http_body (request);
-  /* Checked here first for the sake of the log; the voters' check is what counts. */
+  /* Checked here to keep invalid catalogues out of the replicated log; the voters check again. */
   FtStatus status = ft_cat_new (body, 1, &cat, &error);
   ft_cat_unref (cat);
   if (status != FT_OK)
@@ -92,7 +93,8 @@
       g_free (body);
       return;
     }
-  status = core_change (oper->core, id, author ? author : "unnamed", number, body, &revision, text);
+  status = core_propose_catalogue (oper->core, id, author ? author : "unnamed", number, body,
+                                   &revision, text);
   g_free (body);
   dlog (DLOG_INFO, NULL, "change", "%s by %s: %s", id, author ? author : "unnamed",
         ft_strerror (status));
@@ -105,21 +107,21 @@
 }
 
 static void
-find (Oper *oper, struct _u_response *response, FtQueryKind kind, const char *id)
+answer_query (Oper *oper, struct _u_response *response, FtQueryKind kind, const char *id)
 {
   GBytes *body = NULL;
-  FtStatus status = core_find (oper->core, kind, id, &body);
+  FtStatus status = core_query (oper->core, kind, id, &body);
   gsize size = 0;
   const char *data = body ? g_bytes_get_data (body, &size) : NULL;
 
   if (status == FT_OK)
     {
       char *text = g_strndup (data, size);
-      http_json (response, 200, text);
+      http_set_json (response, 200, text);
       g_free (text);
     }
   else
-    answer_status (response, 404, status, 0, "not known, or no voter in charge answered");
+    answer_status (response, 404, status, 0, "not known, or the leader did not answer");
   if (body)
     g_bytes_unref (body);
 }
@@ -127,15 +129,15 @@
 static void
 history (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  const char *most = u_map_get (request->map_url, "most");
+  const char *limit = u_map_get (request->map_url, "most");
 
-  find (oper, response, FT_QUERY_HISTORY, most ? most : "");
+  answer_query (oper, response, FT_QUERY_HISTORY, limit ? limit : "");
 }
 
 static void
 refusal (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  find (oper, response, FT_QUERY_REFUSAL, http_url_value (request, "id"));
+  answer_query (oper, response, FT_QUERY_REFUSAL, http_url_value (request, "id"));
 }
 
 static void
@@ -145,7 +147,7 @@
 
   (void) request;
   g_snprintf (now, sizeof now, "%" G_GINT64_FORMAT, core_wall_ms ());
-  find (oper, response, FT_QUERY_SUSPECTS, now);
+  answer_query (oper, response, FT_QUERY_SUSPECTS, now);
 }
 
 static void
@@ -156,10 +158,10 @@
 
   if (!content_parse (text, &content))
     {
-      answer_status (response, 400, FT_INVALID, 0, "content: 16 hexadecimal digits are wanted");
+      answer_status (response, 400, FT_INVALID, 0, "content must be 16 hexadecimal digits");
       return;
     }
-  FtStatus status = core_release (oper->core, content);
+  FtStatus status = core_release_content (oper->core, content);
   dlog (DLOG_INFO, NULL, "released", "content %s: %s", text, ft_strerror (status));
   answer_status (response, status == FT_OK ? 200 : 503, status, 0, text);
 }
@@ -167,7 +169,7 @@
 static void
 in_force (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
-  find (oper, response, FT_QUERY_IN_FORCE, http_url_value (request, "revision"));
+  answer_query (oper, response, FT_QUERY_IN_FORCE, http_url_value (request, "revision"));
 }
 
 static void
@@ -179,7 +181,7 @@
   (void) request;
   g_snprintf (revision, sizeof revision, "%" G_GUINT64_FORMAT, cat ? ft_cat_revision (cat) : 0);
   u_map_put (response->map_header, "X-Revision", revision);
-  http_json (response, 200, cat ? ft_cat_text (cat) : "");
+  http_set_json (response, 200, cat ? ft_cat_text (cat) : "");
   ft_cat_unref (cat);
 }
 
@@ -199,14 +201,14 @@
               now.revision, now.leader, now.voter ? "true" : "false", now.member ? "true" : "false",
               now.broken ? "true" : "false", now.term, now.commit, now.pools_held, now.requests,
               now.live);
-  http_json (response, 200, text);
+  http_set_json (response, 200, text);
 }
 
 static void
 metrics (Oper *oper, const struct _u_request *request, struct _u_response *response)
 {
   char *pools = core_pool_metrics (oper->core);
-  char *text = stat_text (pools);
+  char *text = stat_format (pools);
 
   (void) request;
   ulfius_set_string_body_response (response, 200, text);
@@ -219,9 +221,9 @@
   static int on_##name (const struct _u_request *request, struct _u_response *response,            \
                         void *user)                                                                \
   {                                                                                                \
-    return guard (user, request, response, name);                                                  \
+    return check_key (user, request, response, name);                                              \
   }
-ENDPOINT (change)
+ENDPOINT (post_change)
 ENDPOINT (history)
 ENDPOINT (refusal)
 ENDPOINT (in_force)
@@ -244,7 +246,7 @@
   if (made != FT_OK)
     return made;
   ulfius_add_endpoint_by_val (http, "GET", "/v1/catalogue", NULL, 0, on_catalogue, oper);
-  ulfius_add_endpoint_by_val (http, "POST", "/v1/changes", "/:id", 0, on_change, oper);
+  ulfius_add_endpoint_by_val (http, "POST", "/v1/changes", "/:id", 0, on_post_change, oper);
   ulfius_add_endpoint_by_val (http, "GET", "/v1/in_force", "/:revision", 0, on_in_force, oper);
   ulfius_add_endpoint_by_val (http, "GET", "/v1/history", NULL, 0, on_history, oper);
   ulfius_add_endpoint_by_val (http, "GET", "/v1/refusals", "/:id", 0, on_refusal, oper);
--- a/test/text.c
+++ b/test/text.c
@@ -76,12 +76,12 @@
         "\"instances\": [ { \"id\": 1, \"address\": \"127.0.0.1\", \"link_port\": 3,\n"
         "\"failure_domain\": \"a\", \"voter\": true } ] }";
   static const char *const changes[][4] = {
-    { "\"operator_port\": 2", "\"operator_port\": 1", "operator_port", "its own" },
+    { "\"operator_port\": 2", "\"operator_port\": 1", "operator_port", "same as caller_port" },
     { "\"operator_port\": 2", "\"operator_port\": 70000", "operator_port", "65535" },
-    { "\"id\": 1, \"failure", "\"id\": 2, \"failure", "id", "not among" },
+    { "\"id\": 1, \"failure", "\"id\": 2, \"failure", "id", "not the id of any" },
     { "\"voter\": true", "\"voter\": false", "instances", "1, 3, 5 or 7" },
     { "\"data_folder\": \"d\"", "\"data_folder\": \"\"", "data_folder", "voter" },
-    { "\"address\": \"127.0.0.1\",", "\"address\": \"host\",", "address", "IP number" },
+    { "\"address\": \"127.0.0.1\",", "\"address\": \"host\",", "address", "IPv4 address" },
     { "\"link_key_file\": \"k\",", "", "link_key_file", "is missing" },
   };
   FtError error;
@@ -147,29 +147,29 @@
 static void
 test_book (void)
 {
-  Book *book = book_new (600 * FT_SECOND, 2000);
+  CallTable *book = calls_new (600 * FT_SECOND, 2000);
   Call *running = call_new ("running");
 
   running->req = ft_req_new ("running", NULL, NULL);
-  g_assert_cmpint (book_add (book, running), ==, FT_OK);
-  g_assert_cmpint (book_add (book, running), ==, FT_CONFLICT);
+  g_assert_cmpint (calls_add (book, running), ==, FT_OK);
+  g_assert_cmpint (calls_add (book, running), ==, FT_CONFLICT);
   for (unsigned i = 0; i < 50; i++)
     {
       char id[16];
       g_snprintf (id, sizeof id, "c%u", i);
       Call *call = call_new (id);
       call->req = ft_req_new (id, NULL, NULL);
-      g_assert_cmpint (book_add (book, call), ==, FT_OK);
-      book_finished (book, call, FT_SECOND);
+      g_assert_cmpint (calls_add (book, call), ==, FT_OK);
+      calls_finish (book, call, FT_SECOND);
       call_unref (call);
     }
-  g_assert_null (book_find (book, "c0"));
-  Call *found = book_find (book, "running");
+  g_assert_null (calls_find (book, "c0"));
+  Call *found = calls_find (book, "running");
   g_assert_true (found == running);
   call_unref (found);
-  g_assert_cmpuint (book_running (book), ==, 1);
+  g_assert_cmpuint (calls_running (book), ==, 1);
   call_unref (running);
-  book_free (book);
+  calls_free (book);
 }
 
 /* ---- Malformed input ---- */
@@ -215,7 +215,7 @@
       g_assert_cmpint (conf_parse (text, &conf, &error), ==, FT_INVALID);
       g_free (text);
       text = spoil (random, chat, sizeof chat - 1);
-      if (body_read_chat (text, &body, &error) != FT_OK)
+      if (body_parse_chat (text, &body, &error) != FT_OK)
         g_assert_true (*error.field && *error.text);
       body_clear_chat (&body);
       g_free (text);
