--- a/bench/cost.c
+++ b/bench/cost.c
@@ -1,5 +1,5 @@
-/* cost.c - nanoseconds and bytes per decision of the two schedulers alone. Each request asks, is
- * granted, has a first token and some progress, and ends: one decision. */
+/* cost.c - measures processor time and memory per decision of the two schedulers, without network
+ * or engines. Each request is submitted, granted, reports progress and ends: one decision. */
 #include "cost.h"
 #include "foxtail.h"
 #include "scheduler.h"
@@ -12,15 +12,15 @@
 {
   FtClock base;
   int64_t now;
-} StepClock;
+} ManualClock;
 
 static int64_t
-step_now (FtClock *clock)
+manual_now (FtClock *clock)
 {
-  return ((StepClock *) clock)->now;
+  return ((ManualClock *) clock)->now;
 }
 
-static const FtClockOps step_ops = { step_now };
+static const FtClockOps manual_ops = { manual_now };
 
 static uint64_t granted[1 << 20];
 static unsigned granted_head, granted_tail;
@@ -46,10 +46,10 @@
   (void) stream;
 }
 
-static const FtPoolOps ops = { on_grant, on_refuse, on_stream, on_stream };
+static const FtPoolOps pool_ops = { on_grant, on_refuse, on_stream, on_stream };
 
 static double
-now_ns (void)
+thread_cpu_ns (void)
 {
   struct timespec now;
 
@@ -58,7 +58,7 @@
 }
 
 static void
-ask (FtPool *pool, uint64_t number, unsigned orgs)
+submit_request (FtPool *pool, uint64_t number, unsigned orgs)
 {
   char org[16];
   uint64_t blocks[8];
@@ -81,11 +81,11 @@
 }
 
 static void
-measure (FILE *out, unsigned servers, unsigned queued, unsigned orgs)
+measure_pool (FILE *out, unsigned servers, unsigned queued, unsigned orgs)
 {
-  StepClock clock = { { &step_ops }, FT_SECOND };
+  ManualClock clock = { { &manual_ops }, FT_SECOND };
   FtPoolConf conf = { 27, 64, 0, false };
-  FtPool *pool = ft_pool_new (&conf, &clock.base, &ops, NULL);
+  FtPool *pool = ft_pool_new (&conf, &clock.base, &pool_ops, NULL);
   FtPoolStats stats;
   uint64_t number = 1;
   char name[16];
@@ -97,24 +97,24 @@
       ft_pool_update_server (pool, name, 1, FT_SERVER_LIVE);
     }
   while (number < servers * 8 + queued)
-    ask (pool, number++, orgs);
+    submit_request (pool, number++, orgs);
   ft_pool_stats (pool, &stats);
   size_t bytes = stats.bytes;
   uint64_t before = stats.decisions;
-  double started = now_ns ();
+  double started = thread_cpu_ns ();
   for (unsigned i = 0; i < REQUESTS; i++)
     {
       clock.now += 20;
-      ask (pool, number++, orgs);
+      submit_request (pool, number++, orgs);
       if (granted_tail == granted_head)
         continue;
-      uint64_t done = granted[granted_tail++ & (G_N_ELEMENTS (granted) - 1)];
-      ft_pool_progress (pool, 1, done, 1);
+      uint64_t finished = granted[granted_tail++ & (G_N_ELEMENTS (granted) - 1)];
+      ft_pool_progress (pool, 1, finished, 1);
       clock.now += 50 * FT_MS;
-      ft_pool_progress (pool, 1, done, 4);
-      ft_pool_end_request (pool, 1, done, FT_OUTCOME_COMPLETE, 5);
+      ft_pool_progress (pool, 1, finished, 4);
+      ft_pool_end_request (pool, 1, finished, FT_OUTCOME_COMPLETE, 5);
     }
-  double ns = now_ns () - started;
+  double ns = thread_cpu_ns () - started;
   ft_pool_stats (pool, &stats);
   uint64_t decisions = stats.decisions - before;
   fprintf (out, "%9u %9u %9u %12.0f %12.0f %14.0f\n", servers, queued, orgs,
@@ -123,7 +123,7 @@
   ft_pool_free (pool);
 }
 
-/* ---- The scheduler for engines that know no priorities ---- */
+/* ---- The scheduler for engines without priorities ---- */
 
 static void
 on_sched_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
@@ -155,7 +155,7 @@
 }
 
 static void
-on_sched_believes (void *host, const char *server, bool out, const char *why, int64_t for_us)
+on_sched_server_state (void *host, const char *server, bool out, const char *why, int64_t for_us)
 {
   (void) host;
   (void) server;
@@ -165,35 +165,36 @@
 }
 
 static const SchedOps sched_ops
-    = { on_sched_grant, on_sched_refuse, on_sched_unused, on_sched_believes, NULL, NULL };
+    = { on_sched_grant, on_sched_refuse, on_sched_unused, on_sched_server_state, NULL, NULL };
 
 static void
-sched_ask_one (Sched *sched, const StepClock *clock, uint64_t number)
-{
-  SchedAsk ask = { .owner = 1 + number % 64,
-                   .request = number,
-                   .service = "s",
-                   .org = "o",
-                   .tier = (unsigned) (number % 3),
-                   .stream = true,
-                   .prompt_tokens = 2000,
-                   .output_tokens = 100,
-                   .gap_us = 300 * FT_MS,
-                   .aim_at = clock->now + 3600 * FT_SECOND,
-                   .limit_at = clock->now + 3600 * FT_SECOND,
-                   .end_at = clock->now + 7200 * FT_SECOND };
-  sched_ask (sched, &ask);
+submit_sched (Sched *sched, const ManualClock *clock, uint64_t number)
+{
+  SchedAsk request = { .owner = 1 + number % 64,
+                       .request = number,
+                       .service = "s",
+                       .org = "o",
+                       .tier = (unsigned) (number % 3),
+                       .stream = true,
+                       .prompt_tokens = 2000,
+                       .output_tokens = 100,
+                       .gap_us = 300 * FT_MS,
+                       .aim_at = clock->now + 3600 * FT_SECOND,
+                       .limit_at = clock->now + 3600 * FT_SECOND,
+                       .end_at = clock->now + 7200 * FT_SECOND };
+  sched_ask (sched, &request);
 }
 
-/* All places are taken and waiting requests wait; each end of one starts another. */
+/* Every server is full and the given number of requests waits; whenever a request ends, a waiting
+ * one is granted. */
 static void
 measure_sched (FILE *out, unsigned servers, unsigned waiting)
 {
-  StepClock clock = { { &step_ops }, FT_SECOND };
+  ManualClock clock = { { &manual_ops }, FT_SECOND };
   SchedServiceConf conf = { true, 4, 0 };
   SchedServer *list = g_new0 (SchedServer, servers);
   Sched *sched = sched_new (&clock.base, &sched_ops, NULL);
-  uint64_t number = 1, done = 0;
+  uint64_t number = 1, finished = 0;
   unsigned rounds = REQUESTS / 10;
 
   granted_head = granted_tail = 0;
@@ -202,8 +203,8 @@
     list[i] = (SchedServer){ g_strdup_printf ("s%u", i), "s", "d", 4, false, 0, NULL };
   sched_set_servers (sched, list, servers);
   while (number <= servers * 4 + waiting)
-    sched_ask_one (sched, &clock, number++);
-  double started = now_ns ();
+    submit_sched (sched, &clock, number++);
+  double started = thread_cpu_ns ();
   for (unsigned i = 0; i < rounds && granted_tail != granted_head; i++)
     {
       SchedResult result
@@ -212,13 +213,13 @@
       clock.now += FT_SECOND / 760;
       sched_first_event (sched, 1 + request % 64, request, 100 * FT_MS);
       sched_done (sched, 1 + request % 64, request, &result);
-      sched_ask_one (sched, &clock, number++);
+      submit_sched (sched, &clock, number++);
       if (i % 15 == 0)
         sched_tick (sched);
-      done++;
+      finished++;
     }
   fprintf (out, "%9u %9u %12.0f\n", servers, waiting,
-           (now_ns () - started) / (double) MAX (done, 1));
+           (thread_cpu_ns () - started) / (double) MAX (finished, 1));
   sched_free (sched);
   for (unsigned i = 0; i < servers; i++)
     g_free ((char *) list[i].id);
@@ -248,7 +249,7 @@
   for (unsigned i = 0; i < G_N_ELEMENTS (servers); i++)
     for (unsigned j = 0; j < G_N_ELEMENTS (queued); j++)
       for (unsigned k = 0; k < G_N_ELEMENTS (orgs); k++)
-        measure (out, servers[i], queued[j], orgs[k]);
+        measure_pool (out, servers[i], queued[j], orgs[k]);
   sched_report (out);
   return 0;
 }
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -1,15 +1,17 @@
-/* policies.c - the scheduler under test behind the bench's interface, and baselines.
+/* policies.c - the scheduling policies of foxtailbench: foxtailgrade's own and the baselines.
  *
- * Baselines are what a load balancer without knowledge of engines does: one FIFO, a fixed number of
- * requests at once on each server, a choice of server by name; a waiting request whose deadline has
- * passed is dropped. "tiers" is the same with one FIFO a tier and least in flight.
+ * A baseline does what a load balancer that knows nothing about engines does: it keeps one FIFO
+ * queue, runs a fixed number of requests at once on each engine, chooses the engine by the rule it
+ * is named after, and drops a queued request whose deadline has passed. "tiers" has one queue per
+ * tier and chooses the engine with the fewest requests in flight.
  */
 #include "world.h"
 
 #include <stdio.h>
 #include <string.h>
 
-#define BASELINE_WINDOW 24 /* the middle generation's batch at its target */
+/* The largest batch of the middle generation within its latency target. */
+#define BASELINE_CONCURRENCY_MAX 24
 
 /* ---- foxtail ---- */
 
@@ -22,15 +24,16 @@
 }
 
 static Job *
-job_of (World *world, uint64_t number)
+find_job (World *world, uint64_t number)
 {
   return number >= 1 && number <= world->jobs->len ? world->jobs->pdata[number - 1] : NULL;
 }
 
 static bool
-entry_alive (World *world, const Job *job)
+entry_is_alive (World *world, const Job *job)
 {
-  return sim_node (world->sim, job->entry) && sim_life (world->sim, job->entry) == job->entry_life;
+  return sim_node (world->sim, job->entry)
+         && sim_life (world->sim, job->entry) == job->entry_start_count;
 }
 
 static void
@@ -39,7 +42,7 @@
   World *world = sim_user (sim);
 
   (void) instance;
-  world_dispatch (world, job_of (world, request), find_engine (world, server));
+  world_dispatch (world, find_job (world, request), find_engine (world, server));
 }
 
 static void
@@ -48,7 +51,7 @@
   World *world = sim_user (sim);
 
   (void) instance;
-  world_refuse (world, job_of (world, refusal->request),
+  world_refuse (world, find_job (world, refusal->request),
                 ft_reason_info (refusal->reason)->shortage);
 }
 
@@ -56,7 +59,7 @@
 on_pause (Sim *sim, unsigned instance, uint64_t request)
 {
   World *world = sim_user (sim);
-  Job *job = job_of (world, request);
+  Job *job = find_job (world, request);
 
   (void) instance;
   if (job->state != JOB_RUNNING)
@@ -69,7 +72,7 @@
 on_resume (Sim *sim, unsigned instance, uint64_t request)
 {
   World *world = sim_user (sim);
-  Job *job = job_of (world, request);
+  Job *job = find_job (world, request);
 
   (void) instance;
   if (job->state != JOB_PAUSED)
@@ -78,7 +81,8 @@
   engine_resume (job->engine, job);
 }
 
-/* The callers of an entry that dies lose their connections; its streams go on to nobody. */
+/* The callers of an entry that dies lose their connections, so its running jobs are removed from
+ * their engines and counted as lost. */
 static void
 on_killed (Sim *sim, unsigned instance)
 {
@@ -87,7 +91,7 @@
   for (unsigned i = 0; i < world->jobs->len; i++)
     {
       Job *job = world->jobs->pdata[i];
-      if (job->entry != instance || job->state >= JOB_WHOLE)
+      if (job->entry != instance || job->state >= JOB_COMPLETE)
         continue;
       if (job->state == JOB_RUNNING)
         engine_stop (job->engine, job, true);
@@ -133,7 +137,7 @@
 }
 
 static void
-foxtail_server (World *world, Engine *engine)
+foxtail_on_server_state (World *world, Engine *engine)
 {
   FtServerState state = engine->leaving || engine->dead ? FT_SERVER_LEAVING : FT_SERVER_LIVE;
 
@@ -152,11 +156,11 @@
   sim_flush (world->sim, 1);
   g_free (text);
   for (unsigned i = 0; i < world->engine_count; i++)
-    foxtail_server (world, world->engines[i]);
+    foxtail_on_server_state (world, world->engines[i]);
   sim_run (world->sim, 10 * FT_SECOND + world->profile->pools * 100 * FT_MS);
 }
 
-/* The balancer sends to instances that are ready. */
+/* Chooses a ready instance in turn, as a load balancer in front of the instances does. */
 static unsigned
 choose_entry (World *world, uint64_t number)
 {
@@ -173,7 +177,7 @@
 }
 
 static void
-foxtail_arrive (World *world, Job *job)
+foxtail_on_arrival (World *world, Job *job)
 {
   char org[16], pool[32];
 
@@ -183,63 +187,63 @@
       world_refuse (world, job, false);
       return;
     }
-  job->entry_life = sim_life (world->sim, job->entry);
+  job->entry_start_count = sim_life (world->sim, job->entry);
   g_snprintf (org, sizeof org, "o%u", job->org);
   g_snprintf (pool, sizeof pool, "p%u", (unsigned) (job->number % world->profile->pools));
-  FtNodeRequest ask = { .request = job->number,
-                        .pool = pool,
-                        .org = org,
-                        .class_name = job->class_name,
-                        .prompt_tokens = job->prompt,
-                        .first_token_in_us = job->first_by - job->arrived,
-                        .deadline_in_us = job->due - job->arrived,
-                        .blocks = job->blocks,
-                        .block_count = job->block_count };
-  int64_t begun = sim_cpu_begin ();
-  ft_node_submit (sim_node (world->sim, job->entry), &ask);
+  FtNodeRequest request = { .request = job->number,
+                            .pool = pool,
+                            .org = org,
+                            .class_name = job->class_name,
+                            .prompt_tokens = job->prompt_tokens,
+                            .first_token_in_us = job->first_token_deadline - job->arrived_at,
+                            .deadline_in_us = job->deadline - job->arrived_at,
+                            .blocks = job->blocks,
+                            .block_count = job->block_count };
+  int64_t started = sim_cpu_begin ();
+  ft_node_submit (sim_node (world->sim, job->entry), &request);
   sim_flush (world->sim, job->entry);
-  sim_cpu_end (world->sim, begun);
+  sim_cpu_end (world->sim, started);
 }
 
 static void
-foxtail_progress (World *world, Job *job)
+foxtail_on_progress (World *world, Job *job)
 {
-  if (!entry_alive (world, job) || sim_frozen (world->sim, job->entry))
+  if (!entry_is_alive (world, job) || sim_frozen (world->sim, job->entry))
     return;
-  int64_t begun = sim_cpu_begin ();
+  int64_t started = sim_cpu_begin ();
   ft_node_progress (sim_node (world->sim, job->entry), job->number, job->produced);
-  sim_cpu_end (world->sim, begun);
+  sim_cpu_end (world->sim, started);
 }
 
 static void
-foxtail_ended (World *world, Job *job)
+foxtail_on_end (World *world, Job *job)
 {
-  if (!entry_alive (world, job))
+  if (!entry_is_alive (world, job))
     return;
-  int64_t begun = sim_cpu_begin ();
+  int64_t started = sim_cpu_begin ();
   ft_node_end_request (sim_node (world->sim, job->entry), job->number,
-                       job->state == JOB_WHOLE ? FT_OUTCOME_COMPLETE : FT_OUTCOME_FAILED,
+                       job->state == JOB_COMPLETE ? FT_OUTCOME_COMPLETE : FT_OUTCOME_FAILED,
                        job->produced);
-  sim_cpu_end (world->sim, begun);
+  sim_cpu_end (world->sim, started);
 }
 
-const PolicyOps policy_foxtail
-    = { "foxtail", foxtail_start, foxtail_arrive, foxtail_progress, foxtail_ended, foxtail_server };
+const PolicyOps policy_foxtail = { "foxtail",           foxtail_start,  foxtail_on_arrival,
+                                   foxtail_on_progress, foxtail_on_end, foxtail_on_server_state };
 
 /* ---- Baselines ---- */
 
-typedef Engine *(*Choose) (World *world);
+typedef Engine *(*ChooseFunc) (World *world);
 
 typedef struct
 {
-  struct cds_list_head queue[FT_TIERS + 1]; /* Job.link; without tiers only [0] */
-  unsigned turn;
+  struct cds_list_head queue[FT_TIERS + 1]; /* of Job.link; only [0] is used without tiers */
+  unsigned next_engine;                     /* round-robin */
 } Fifo;
 
 static bool
-has_place (const Engine *engine)
+has_capacity (const Engine *engine)
 {
-  return !engine->dead && !engine->leaving && engine->running < BASELINE_WINDOW;
+  return !engine->dead && !engine->leaving && engine->running < BASELINE_CONCURRENCY_MAX;
 }
 
 static Engine *
@@ -249,20 +253,20 @@
 
   for (unsigned i = 0; i < world->engine_count; i++)
     {
-      Engine *engine = world->engines[fifo->turn++ % world->engine_count];
-      if (has_place (engine))
+      Engine *engine = world->engines[fifo->next_engine++ % world->engine_count];
+      if (has_capacity (engine))
         return engine;
     }
   return NULL;
 }
 
 static Engine *
-random_one (World *world)
+random_choice (World *world)
 {
   unsigned start = (unsigned) (sim_random (world->sim) % world->engine_count);
 
   for (unsigned i = 0; i < world->engine_count; i++)
-    if (has_place (world->engines[(start + i) % world->engine_count]))
+    if (has_capacity (world->engines[(start + i) % world->engine_count]))
       return world->engines[(start + i) % world->engine_count];
   return NULL;
 }
@@ -270,13 +274,13 @@
 static Engine *
 two_choices (World *world)
 {
-  Engine *a = random_one (world), *b = random_one (world);
+  Engine *a = random_choice (world), *b = random_choice (world);
 
   return a && b && b->running < a->running ? b : a;
 }
 
 static Engine *
-least_by (World *world, bool reported)
+least_loaded (World *world, bool reported)
 {
   Engine *best = NULL;
   unsigned least = G_MAXUINT;
@@ -284,8 +288,8 @@
   for (unsigned i = 0; i < world->engine_count; i++)
     {
       Engine *engine = world->engines[i];
-      unsigned load = reported ? engine->reported : engine->running;
-      if (!has_place (engine) || load >= least)
+      unsigned load = reported ? engine->reported_running : engine->running;
+      if (!has_capacity (engine) || load >= least)
         continue;
       best = engine;
       least = load;
@@ -296,23 +300,23 @@
 static Engine *
 least_in_flight (World *world)
 {
-  return least_by (world, false);
+  return least_loaded (world, false);
 }
 
 static Engine *
 least_reported (World *world)
 {
-  return least_by (world, true);
+  return least_loaded (world, true);
 }
 
-static Choose
-choose_of (const World *world)
+static ChooseFunc
+baseline_choice (const World *world)
 {
   static const struct
   {
     const char *name;
-    Choose choose;
-  } table[] = { { "round-robin", round_robin },       { "random", random_one },
+    ChooseFunc choose;
+  } table[] = { { "round-robin", round_robin },       { "random", random_choice },
                 { "two-choices", two_choices },       { "least-in-flight", least_in_flight },
                 { "least-reported", least_reported }, { "tiers", least_in_flight } };
 
@@ -323,7 +327,7 @@
 }
 
 static bool
-lower_runs (World *world, unsigned tier)
+lower_tier_is_running (World *world, unsigned tier)
 {
   for (unsigned i = 0; i < world->engine_count; i++)
     {
@@ -335,19 +339,19 @@
 }
 
 static void
-pump (World *world)
+dispatch_queued (World *world)
 {
   Fifo *fifo = world->policy_data;
-  Choose choose = choose_of (world);
+  ChooseFunc choose = baseline_choice (world);
 
   for (unsigned t = 0; t <= FT_TIERS; t++)
     while (!cds_list_empty (&fifo->queue[t]))
       {
         Job *job = cds_list_entry (fifo->queue[t].next, Job, link);
-        if (sim_now (world->sim) > job->due)
+        if (sim_now (world->sim) > job->deadline)
           {
             cds_list_del (&job->link);
-            world->violations += lower_runs (world, job->tier);
+            world->violations += lower_tier_is_running (world, job->tier);
             world_refuse (world, job, true);
             continue;
           }
@@ -371,39 +375,39 @@
 }
 
 static void
-fifo_arrive (World *world, Job *job)
+fifo_on_arrival (World *world, Job *job)
 {
   Fifo *fifo = world->policy_data;
   bool tiers = strcmp (world->policy.ops->name, "tiers") == 0;
 
   cds_list_add_tail (&job->link, &fifo->queue[tiers ? job->tier : 0]);
-  pump (world);
+  dispatch_queued (world);
 }
 
 static void
-fifo_progress (World *world, Job *job)
+fifo_on_progress (World *world, Job *job)
 {
   (void) world;
   (void) job;
 }
 
 static void
-fifo_ended (World *world, Job *job)
+fifo_on_end (World *world, Job *job)
 {
   (void) job;
-  pump (world);
+  dispatch_queued (world);
 }
 
 static void
-fifo_server (World *world, Engine *engine)
+fifo_on_server_state (World *world, Engine *engine)
 {
   (void) engine;
-  pump (world);
+  dispatch_queued (world);
 }
 
 #define BASELINE(name)                                                                             \
   {                                                                                                \
-    name, fifo_start, fifo_arrive, fifo_progress, fifo_ended, fifo_server                          \
+    name, fifo_start, fifo_on_arrival, fifo_on_progress, fifo_on_end, fifo_on_server_state         \
   }
 const PolicyOps policy_baselines[]
     = { BASELINE ("round-robin"),     BASELINE ("random"),         BASELINE ("two-choices"),
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -1,5 +1,6 @@
-/* slopes.c - slopes for docs/CAPACITY.md, counted on the real library (bytes, messages) or timed
- * where only time will do. Each series has four points over two decades or as far as it can go. */
+/* slopes.c - measures the growth rates for docs/CAPACITY.md with the real library in a simulation.
+ * Bytes and messages are counted; only processor time depends on the machine. Each series has four
+ * points over up to two decades. */
 #include "slopes.h"
 #include "cost.h"
 #include "sim.h"
@@ -7,9 +8,9 @@
 #include <math.h>
 #include <string.h>
 
-#define POINTS 4
-#define REST_S 20.0 /* seconds of rest that traffic is counted over */
-#define REST   ((int64_t) REST_S * FT_SECOND)
+#define POINTS      4
+#define IDLE_S      20.0 /* how long the traffic of idle nodes is counted */
+#define IDLE_PERIOD ((int64_t) IDLE_S * FT_SECOND)
 
 typedef struct
 {
@@ -20,7 +21,7 @@
 static void
 print_series (FILE *out, const Series *series)
 {
-  double sx = 0, sy = 0, sxx = 0, sxy = 0, worst = 0;
+  double sx = 0, sy = 0, sxx = 0, sxy = 0, max_residual = 0;
 
   for (unsigned i = 0; i < POINTS; i++)
     {
@@ -31,17 +32,17 @@
       sxy += series->x[i] * series->y[i];
     }
   double slope = (POINTS * sxy - sx * sy) / (POINTS * sxx - sx * sx);
-  double start = (sy - slope * sx) / POINTS;
+  double intercept = (sy - slope * sx) / POINTS;
   for (unsigned i = 0; i < POINTS; i++)
-    worst = MAX (worst, fabs (series->y[i] - start - slope * series->x[i]));
+    max_residual = MAX (max_residual, fabs (series->y[i] - intercept - slope * series->x[i]));
   fprintf (out, "fit:%s,%s,start %.4g slope %.4g,largest residual %.3g\n", series->what,
-           series->unit, start, slope, worst);
+           series->unit, intercept, slope, max_residual);
 }
 
-/* ---- Nodes at rest and under changes ---- */
+/* ---- Idle nodes and catalogue changes ---- */
 
 static char *
-catalogue_of (unsigned orgs, unsigned mark)
+make_catalogue (unsigned orgs, unsigned concurrent_limit)
 {
   GString *text = g_string_new ("{\"organisations\":[");
 
@@ -50,7 +51,7 @@
         text,
         "%s{\"name\":\"o%u\",\"owner\":\"owner\",\"class\":\"c\",\"key_sha256\":"
         "\"%064x\",\"limits\":{\"concurrent\":%u}}",
-        i ? "," : "", i, i + 1, mark);
+        i ? "," : "", i, i + 1, concurrent_limit);
   g_string_append (text,
                    "],\"classes\":[{\"name\":\"c\",\"owner\":\"w\",\"tier\":1,\"limits\":{}}],"
                    "\"pools\":[{\"name\":\"p\",\"owner\":\"w\",\"class\":\"c\",\"kind\":"
@@ -59,12 +60,12 @@
 }
 
 static Sim *
-start (unsigned instances, unsigned orgs)
+start_nodes (unsigned instances, unsigned orgs)
 {
-  static const SimOps none = { 0 };
+  static const SimOps no_ops = { 0 };
   SimConf conf = { .instances = instances, .voters = 3, .seed = 1, .delay = 500 };
-  Sim *sim = sim_new (&conf, &none, NULL);
-  char *text = catalogue_of (orgs, 0);
+  Sim *sim = sim_new (&conf, &no_ops, NULL);
+  char *text = make_catalogue (orgs, 0);
 
   sim_run (sim, 3 * FT_SECOND);
   ft_node_propose_catalogue (sim_node (sim, 1), "first", "bench", 0, text, 1);
@@ -75,7 +76,7 @@
 }
 
 static unsigned
-leader_of (Sim *sim)
+find_leader (Sim *sim)
 {
   FtNodeStatus status;
 
@@ -84,11 +85,11 @@
 }
 
 static SimTraffic
-sent_at_rest (Sim *sim, unsigned instance)
+count_idle_traffic (Sim *sim, unsigned instance)
 {
   SimTraffic before = sim_traffic (sim, instance);
 
-  sim_run (sim, sim_now (sim) + REST);
+  sim_run (sim, sim_now (sim) + IDLE_PERIOD);
   SimTraffic after = sim_traffic (sim, instance);
   return (SimTraffic){ after.messages - before.messages, after.bytes - before.bytes };
 }
@@ -101,24 +102,24 @@
   Series leader = { .what = "leader at rest, sent", .unit = "bytes/s by nodes" };
   Series messages = { .what = "leader at rest, sent messages", .unit = "messages/s by nodes" };
   Series cpu = { .what = "leader and all nodes at rest", .unit = "ns of processor/s by nodes" };
-  Series force = { .what = "accepted to in force everywhere", .unit = "ms by nodes" };
+  Series in_force = { .what = "accepted to in force everywhere", .unit = "ms by nodes" };
 
   for (unsigned i = 0; i < POINTS; i++)
     {
-      Sim *sim = start (counts[i], 5);
-      entry.x[i] = leader.x[i] = messages.x[i] = cpu.x[i] = force.x[i] = counts[i];
+      Sim *sim = start_nodes (counts[i], 5);
+      entry.x[i] = leader.x[i] = messages.x[i] = cpu.x[i] = in_force.x[i] = counts[i];
       uint64_t ns = sim_cpu_ns (sim);
-      SimTraffic sent = sent_at_rest (sim, leader_of (sim));
-      cpu.y[i] = (double) (sim_cpu_ns (sim) - ns) / REST_S;
-      leader.y[i] = (double) sent.bytes / REST_S;
-      messages.y[i] = (double) sent.messages / REST_S;
-      sent = sent_at_rest (sim, counts[i]);
-      entry.y[i] = (double) sent.bytes / REST_S;
-      char *text = catalogue_of (5, 1);
+      SimTraffic sent = count_idle_traffic (sim, find_leader (sim));
+      cpu.y[i] = (double) (sim_cpu_ns (sim) - ns) / IDLE_S;
+      leader.y[i] = (double) sent.bytes / IDLE_S;
+      messages.y[i] = (double) sent.messages / IDLE_S;
+      sent = count_idle_traffic (sim, counts[i]);
+      entry.y[i] = (double) sent.bytes / IDLE_S;
+      char *text = make_catalogue (5, 1);
       ft_node_propose_catalogue (sim_node (sim, 1), "second", "bench", 1, text, 1);
       sim_flush (sim, 1);
       g_free (text);
-      int64_t begun = sim_now (sim);
+      int64_t started = sim_now (sim);
       for (unsigned at = 1; at <= counts[i];)
         {
           FtCat *cat = ft_node_catalogue (sim_node (sim, at));
@@ -127,14 +128,14 @@
           else
             sim_run (sim, sim_now (sim) + 5 * FT_MS);
         }
-      force.y[i] = (double) (sim_now (sim) - begun) / FT_MS;
+      in_force.y[i] = (double) (sim_now (sim) - started) / FT_MS;
       sim_free (sim);
     }
   print_series (out, &entry);
   print_series (out, &leader);
   print_series (out, &messages);
   print_series (out, &cpu);
-  print_series (out, &force);
+  print_series (out, &in_force);
 }
 
 static void
@@ -146,9 +147,9 @@
 
   for (unsigned i = 0; i < POINTS; i++)
     {
-      Sim *sim = start (6, orgs[i]);
-      char *next = catalogue_of (orgs[i], 1);
-      unsigned leader = leader_of (sim);
+      Sim *sim = start_nodes (6, orgs[i]);
+      char *next = make_catalogue (orgs[i], 1);
+      unsigned leader = find_leader (sim);
       text.x[i] = sent.x[i] = orgs[i];
       text.y[i] = (double) strlen (next);
       uint64_t before = sim_traffic (sim, leader).bytes;
@@ -171,7 +172,7 @@
 
   for (unsigned i = 0; i < POINTS; i++)
     {
-      Sim *sim = start (3, 5);
+      Sim *sim = start_nodes (3, 5);
       size_t before = sim_file_size (sim, 1, "log") + sim_file_size (sim, 1, "snap");
       for (unsigned j = 0; j < MIN (claims[i], 7000); j++)
         {
@@ -199,15 +200,15 @@
 {
   FtClock base;
   int64_t now;
-} StillClock;
+} FixedClock;
 
 static int64_t
-still_now (FtClock *clock)
+fixed_now (FtClock *clock)
 {
-  return ((StillClock *) clock)->now;
+  return ((FixedClock *) clock)->now;
 }
 
-static const FtClockOps still_ops = { still_now };
+static const FtClockOps fixed_ops = { fixed_now };
 
 static void
 ignore_stream (void *host, const FtGrant *grant)
@@ -223,14 +224,14 @@
   (void) refusal;
 }
 
-static const FtPoolOps ignore = { ignore_stream, ignore_refusal, ignore_stream, ignore_stream };
+static const FtPoolOps ignore_ops = { ignore_stream, ignore_refusal, ignore_stream, ignore_stream };
 
 static double
 pool_bytes (unsigned servers, unsigned requests, unsigned orgs)
 {
-  StillClock clock = { { &still_ops }, FT_SECOND };
+  FixedClock clock = { { &fixed_ops }, FT_SECOND };
   FtPoolConf conf = { 27, 64, 0, false };
-  FtPool *pool = ft_pool_new (&conf, &clock.base, &ignore, NULL);
+  FtPool *pool = ft_pool_new (&conf, &clock.base, &ignore_ops, NULL);
   FtPoolStats stats;
   char name[16];
 
@@ -242,16 +243,16 @@
   for (unsigned i = 0; i < MAX (requests, orgs); i++)
     {
       g_snprintf (name, sizeof name, "o%u", i % orgs);
-      FtPoolRequest ask = { .entry = 1,
-                            .request = i + 1,
-                            .tier = 3,
-                            .org = name,
-                            .class_name = "c",
-                            .weight = 1,
-                            .prompt_tokens = 100,
-                            .first_token_in_us = 3600 * FT_SECOND,
-                            .deadline_in_us = 3600 * FT_SECOND };
-      ft_pool_submit (pool, &ask);
+      FtPoolRequest request = { .entry = 1,
+                                .request = i + 1,
+                                .tier = 3,
+                                .org = name,
+                                .class_name = "c",
+                                .weight = 1,
+                                .prompt_tokens = 100,
+                                .first_token_in_us = 3600 * FT_SECOND,
+                                .deadline_in_us = 3600 * FT_SECOND };
+      ft_pool_submit (pool, &request);
     }
   ft_pool_stats (pool, &stats);
   ft_pool_free (pool);
--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -1,10 +1,11 @@
-/* slopes.h - how an instance's state, messages and time grow with what can grow. */
+/* slopes.h - growth of an instance's memory, messages and time with the size of the system. */
 #ifndef SLOPES_H
 #define SLOPES_H
 
 #include <stdio.h>
 
-/* Prints CSV: what,unit,x,y and, for each what, a fitted line y = a + b x with its residual. 0. */
+/* Prints CSV with the columns what,unit,x,y. Each series ends with a fitted line y = a + b x and
+ * its largest residual. Returns 0. */
 int slopes_report (FILE *out);
 
 #endif
--- a/bench/world.c
+++ b/bench/world.c
@@ -1,10 +1,10 @@
-/* world.c - arrivals, what becomes of them, and the counts that a run is judged by. */
+/* world.c - generates requests, records how they end and keeps the counts of a simulated run. */
 #include "world.h"
 
 #include <math.h>
 #include <string.h>
 
-#define TELL_EVERY (250 * FT_MS) /* as the daemon does */
+#define PROGRESS_INTERVAL (250 * FT_MS) /* as in the daemon */
 
 const Profile profiles[] = {
   { "kalkhaus",
@@ -49,66 +49,69 @@
 /* ---- Capacity ---- */
 
 double
-world_cost_ms (const Generation *generation, double prompt, double out)
+world_request_cost_ms (const Generation *generation, double prompt_tokens, double output_tokens)
 {
-  /* The largest batch whose step keeps 27 ms; a token then costs a share of the step. */
+  /* The largest batch whose step still takes at most 27 ms; each token costs its share of the
+   * step. */
   double batch = floor ((27.0 - generation->step_ms) / generation->stream_ms);
   double step = generation->step_ms + generation->stream_ms * batch;
 
-  return prompt / generation->prefill_rate + out * step / batch;
+  return prompt_tokens / generation->prefill_rate + output_tokens * step / batch;
 }
 
 static double
-mean_cost (const Profile *profile, const Generation *generation)
+mean_cost_ms (const Profile *profile, const Generation *generation)
 {
-  double sum = 0, shares = 0;
+  double sum = 0, total_share = 0;
 
   for (unsigned i = 0; i < profile->class_count; i++)
     {
       const ClassModel *class = &profile->classes[i];
-      /* The mean of a log-normal length is above its median, and half the shared part is cached. */
-      double lift = exp (class->spread * class->spread / 2);
+      /* The mean of a log-normal length is exp(sigma^2 / 2) times its median. The whole shared
+       * part of a prompt is taken as cached. */
+      double mean_factor = exp (class->spread * class->spread / 2);
       sum += class->share
-             * world_cost_ms (generation, class->prompt * lift * (1 - class->shared),
-                              class->out * lift);
-      shares += class->share;
+             * world_request_cost_ms (generation,
+                                      class->prompt_tokens * mean_factor * (1 - class->shared),
+                                      class->output_tokens * mean_factor);
+      total_share += class->share;
     }
-  return sum / shares;
+  return sum / total_share;
 }
 
 static double
-capacity_of (const World *world)
+compute_capacity (const World *world)
 {
   double rate = 0;
 
   for (unsigned i = 0; i < world->engine_count; i++)
-    rate += 1000.0 / mean_cost (world->profile, &generations[world->engines[i]->generation]);
+    rate += 1000.0 / mean_cost_ms (world->profile, &generations[world->engines[i]->generation]);
   return rate;
 }
 
 /* ---- Jobs ---- */
 
 static double
-normal (Sim *sim)
+random_normal (Sim *sim)
 {
   return sqrt (-2 * log (1 - sim_uniform (sim))) * cos (2 * G_PI * sim_uniform (sim));
 }
 
 static unsigned
-length (Sim *sim, unsigned median, double spread, unsigned most)
+random_length (Sim *sim, unsigned median, double spread, unsigned max)
 {
-  return (unsigned) CLAMP (median * exp (spread * normal (sim)), 2, most);
+  return (unsigned) CLAMP (median * exp (spread * random_normal (sim)), 2, max);
 }
 
 static unsigned
-pick_org (World *world)
+choose_org (World *world)
 {
   unsigned orgs = world->profile->orgs;
   double at = sim_uniform (world->sim);
 
-  if (world->hog && at < 0.7)
-    return world->hog;
-  /* A few large ones: two have two thirds of the load. */
+  if (world->heavy_org && at < 0.7)
+    return world->heavy_org;
+  /* Two large organisations send two thirds of the load. */
   at = sim_uniform (world->sim);
   if (at < 0.4)
     return 1;
@@ -118,16 +121,16 @@
 }
 
 static const ClassModel *
-pick_class (World *world)
+choose_class (World *world)
 {
-  double at = sim_uniform (world->sim), sum = 0, shares = 0;
+  double at = sim_uniform (world->sim), sum = 0, total_share = 0;
   const Profile *profile = world->profile;
 
   for (unsigned i = 0; i < profile->class_count; i++)
-    shares += profile->classes[i].share;
+    total_share += profile->classes[i].share;
   for (unsigned i = 0; i < profile->class_count; i++)
     {
-      sum += profile->classes[i].share / shares;
+      sum += profile->classes[i].share / total_share;
       if (at < sum)
         return &profile->classes[i];
     }
@@ -137,24 +140,25 @@
 static void
 set_blocks (World *world, Job *job, const ClassModel *class)
 {
-  unsigned total = MIN (job->prompt / FT_BLOCK_TOKENS, FT_BLOCKS_MAX);
-  double shared = world->only_shared ? 0.85 : class->shared;
-  unsigned common = (unsigned) (total * shared);
-  /* Twenty different beginnings a class, the first of them the most used. */
-  unsigned beginning = (unsigned) (pow (sim_uniform (world->sim), 2) * 20);
+  unsigned total = MIN (job->prompt_tokens / FT_BLOCK_TOKENS, FT_BLOCKS_MAX);
+  double shared = world->long_shared_prefix ? 0.85 : class->shared;
+  unsigned shared_blocks = (unsigned) (total * shared);
+  /* Each class has twenty different prefixes; low numbers are the most used. */
+  unsigned prefix = (unsigned) (pow (sim_uniform (world->sim), 2) * 20);
 
   job->block_count = total;
   for (unsigned i = 0; i < total; i++)
-    job->blocks[i] = i < common ? (uint64_t) (job->class_index + 1) << 40
-                                      | (uint64_t) (beginning + 1) << 20 | (i + 1)
-                                : (job->number << 24 | (i + 1)) ^ G_GUINT64_CONSTANT (1) << 63;
+    job->blocks[i]
+        = i < shared_blocks
+              ? (uint64_t) (job->class_index + 1) << 40 | (uint64_t) (prefix + 1) << 20 | (i + 1)
+              : (job->number << 24 | (i + 1)) ^ G_GUINT64_CONSTANT (1) << 63;
 }
 
 static void
-arrive (Sim *sim, void *data)
+on_arrival (Sim *sim, void *data)
 {
   World *world = data;
-  const ClassModel *class = pick_class (world);
+  const ClassModel *class = choose_class (world);
   Job *job = g_new0 (Job, 1);
   int64_t now = sim_now (sim);
 
@@ -163,19 +167,19 @@
   job->tier = class->tier;
   job->class_index = (unsigned) (class - world->profile->classes);
   g_strlcpy (job->class_name, class->name, sizeof job->class_name);
-  job->org = pick_org (world);
-  job->prompt = length (sim, class->prompt, class->spread, 30000);
-  job->out = length (sim, class->out, class->spread, 4000);
-  job->arrived = now;
-  job->first_by = now + class->first_ms * FT_MS;
-  job->due = now + class->due_ms * FT_MS;
+  job->org = choose_org (world);
+  job->prompt_tokens = random_length (sim, class->prompt_tokens, class->spread, 30000);
+  job->output_tokens = random_length (sim, class->output_tokens, class->spread, 4000);
+  job->arrived_at = now;
+  job->first_token_deadline = now + class->first_ms * FT_MS;
+  job->deadline = now + class->due_ms * FT_MS;
   set_blocks (world, job, class);
   world->tiers[job->tier].offered++;
-  world->policy.ops->arrive (world, job);
-  double rate = world->capacity * world->load * world->burst;
+  world->policy.ops->on_arrival (world, job);
+  double rate = world->capacity * world->load * world->load_factor;
   int64_t next = now + (int64_t) (-log (1 - sim_uniform (sim)) / rate * FT_SECOND);
   if (next < world->arrivals_until)
-    sim_at (sim, next, arrive, world);
+    sim_at (sim, next, on_arrival, world);
 }
 
 void
@@ -184,15 +188,15 @@
   int64_t now = sim_now (world->sim);
 
   if (++job->dispatches > 1)
-    world->doubled++;
-  if (world->gap_watch)
-    world->grant_gap = MAX (world->grant_gap, now - world->last_grant);
-  world->last_grant = now;
+    world->duplicate_dispatches++;
+  if (world->measure_grant_gap)
+    world->longest_grant_gap = MAX (world->longest_grant_gap, now - world->last_grant_at);
+  world->last_grant_at = now;
   world->decisions++;
   job->state = JOB_RUNNING;
   job->granted_at = now;
   if (engine->dead)
-    world_lost (world, job);
+    world_fail_job (world, job);
   else
     engine_start (engine, job);
 }
@@ -202,7 +206,7 @@
 {
   (void) shortage;
   if (job->dispatches > 0)
-    world->untrue++; /* "not run" of one that was sent */
+    world->false_not_run++; /* it was dispatched, so "not run" is false */
   world->decisions++;
   job->state = JOB_REFUSED;
   job->ended_at = sim_now (world->sim);
@@ -210,58 +214,58 @@
 }
 
 void
-world_lost (World *world, Job *job)
+world_fail_job (World *world, Job *job)
 {
   job->state = JOB_LOST;
   job->ended_at = sim_now (world->sim);
   world->tiers[job->tier].lost++;
-  world->policy.ops->ended (world, job);
+  world->policy.ops->on_end (world, job);
 }
 
 void
-world_prefilled (World *world, Job *job, double tokens)
+world_count_prefill (World *world, Job *job, double tokens)
 {
   world->tiers[job->tier].prefill += tokens;
 }
 
 static void
-complete (World *world, Job *job)
+complete_job (World *world, Job *job)
 {
-  Tally *tally = &world->tiers[job->tier];
+  TierStats *tally = &world->tiers[job->tier];
 
-  job->state = JOB_WHOLE;
+  job->state = JOB_COMPLETE;
   job->ended_at = sim_now (world->sim);
-  if (job->ended_at <= job->due)
+  if (job->ended_at <= job->deadline)
     tally->completed++;
   else
     tally->late++;
-  world->policy.ops->ended (world, job);
+  world->policy.ops->on_end (world, job);
 }
 
 void
-world_token (World *world, Job *job)
+world_on_token (World *world, Job *job)
 {
-  Tally *tally = &world->tiers[job->tier];
+  TierStats *tally = &world->tiers[job->tier];
   int64_t now = sim_now (world->sim);
 
-  if (job->first_at == 0)
+  if (job->first_token_at == 0)
     {
-      float ms = (float) (now - job->arrived) / FT_MS;
-      job->first_at = now;
+      float ms = (float) (now - job->arrived_at) / FT_MS;
+      job->first_token_at = now;
       g_array_append_val (tally->first_ms, ms);
     }
-  else if (job->number % 8 == 0) /* a sample of requests is enough for a quantile of gaps */
+  else if (job->number % 8 == 0) /* every eighth request is a large enough sample for quantiles */
     {
-      float ms = (float) (now - job->last_at) / FT_MS;
+      float ms = (float) (now - job->last_token_at) / FT_MS;
       g_array_append_val (tally->gap_ms, ms);
     }
-  job->last_at = now;
-  if (job->produced == job->out)
-    complete (world, job);
-  else if (job->produced == 1 || now - job->told_at >= TELL_EVERY)
+  job->last_token_at = now;
+  if (job->produced == job->output_tokens)
+    complete_job (world, job);
+  else if (job->produced == 1 || now - job->progress_sent_at >= PROGRESS_INTERVAL)
     {
-      job->told_at = now;
-      world->policy.ops->progress (world, job);
+      job->progress_sent_at = now;
+      world->policy.ops->on_progress (world, job);
     }
 }
 
@@ -284,10 +288,10 @@
   world->policy.ops = ops;
   world->seed = seed;
   world->load = load;
-  world->burst = 1;
+  world->load_factor = 1;
   world->jobs = g_ptr_array_new_with_free_func (g_free);
   if (ops != &policy_foxtail)
-    conf.instances = conf.voters = 1; /* baselines need no nodes but the clock */
+    conf.instances = conf.voters = 1; /* baselines use only the clock */
   world->sim = sim_new (&conf, &foxtail_sim_ops, world);
   world->engine_count = profile->engines;
   for (unsigned i = 0; i < world->engine_count; i++)
@@ -301,7 +305,7 @@
       world->tiers[t].first_ms = g_array_new (FALSE, FALSE, sizeof (float));
       world->tiers[t].gap_ms = g_array_new (FALSE, FALSE, sizeof (float));
     }
-  world->capacity = capacity_of (world);
+  world->capacity = compute_capacity (world);
   ops->start (world);
   return world;
 }
@@ -328,10 +332,9 @@
   g_free (world);
 }
 
-void world_begin (World *world, int64_t at, int64_t until);
 void
-world_begin (World *world, int64_t at, int64_t until)
+world_start_arrivals (World *world, int64_t at, int64_t until)
 {
   world->arrivals_until = until;
-  sim_at (world->sim, at, arrive, world);
+  sim_at (world->sim, at, on_arrival, world);
 }
