--- a/bench/bench.c
+++ b/bench/bench.c
@@ -46,8 +46,8 @@
 static void
 setup_burst (World *world)
 {
-  sim_at (world->sim, FAULT_AT, start_burst, NULL);
-  sim_at (world->sim, FAULT_AT + 20 * FT_SECOND, end_burst, NULL);
+  sim_schedule (world->sim, FAULT_AT, start_burst, NULL);
+  sim_schedule (world->sim, FAULT_AT + 20 * FT_SECOND, end_burst, NULL);
 }
 
 static void
@@ -63,7 +63,7 @@
 static void
 setup_slowdown (World *world)
 {
-  sim_at (world->sim, FAULT_AT, slow_down_third, NULL);
+  sim_schedule (world->sim, FAULT_AT, slow_down_third, NULL);
 }
 
 static void
@@ -79,7 +79,7 @@
 static void
 setup_gray (World *world)
 {
-  sim_at (world->sim, FAULT_AT, start_gray_failure, NULL);
+  sim_schedule (world->sim, FAULT_AT, start_gray_failure, NULL);
 }
 
 static void
@@ -137,14 +137,15 @@
   if (scheduler == 0)
     return;
   sim_kill (sim, scheduler);
-  sim_at (sim, sim_now (sim) + 15 * FT_SECOND, restart_instance, GUINT_TO_POINTER (scheduler));
+  sim_schedule (sim, sim_now (sim) + 15 * FT_SECOND, restart_instance,
+                GUINT_TO_POINTER (scheduler));
 }
 
 static void
 setup_schedloss (World *world)
 {
-  sim_at (world->sim, FAULT_AT, kill_scheduler, NULL);
-  sim_at (world->sim, FAULT_AT + 6 * FT_SECOND, kill_scheduler, NULL);
+  sim_schedule (world->sim, FAULT_AT, kill_scheduler, NULL);
+  sim_schedule (world->sim, FAULT_AT + 6 * FT_SECOND, kill_scheduler, NULL);
 }
 
 static void
@@ -159,8 +160,8 @@
   for (unsigned i = 1; scheduler && i <= world->profile->instances; i++)
     if (i != scheduler)
       {
-        sim_cut (sim, scheduler, i, true);
-        sim_cut (sim, i, scheduler, true);
+        sim_set_link_cut (sim, scheduler, i, true);
+        sim_set_link_cut (sim, i, scheduler, true);
       }
 }
 
@@ -168,14 +169,14 @@
 heal_links (Sim *sim, void *data)
 {
   (void) data;
-  sim_heal (sim);
+  sim_heal_links (sim);
 }
 
 static void
 setup_partition (World *world)
 {
-  sim_at (world->sim, FAULT_AT, isolate_scheduler, NULL);
-  sim_at (world->sim, FAULT_AT + 25 * FT_SECOND, heal_links, NULL);
+  sim_schedule (world->sim, FAULT_AT, isolate_scheduler, NULL);
+  sim_schedule (world->sim, FAULT_AT + 25 * FT_SECOND, heal_links, NULL);
 }
 
 static void
@@ -194,7 +195,7 @@
 static void
 setup_drain (World *world)
 {
-  sim_at (world->sim, FAULT_AT, drain_third, NULL);
+  sim_schedule (world->sim, FAULT_AT, drain_third, NULL);
 }
 
 typedef struct
@@ -218,14 +219,14 @@
   ft_node_status (node, &status);
   if (!left || status.requests > 0)
     {
-      sim_at (sim, sim_now (sim) + 100 * FT_MS, continue_rolling_restart, roll);
+      sim_schedule (sim, sim_now (sim) + 100 * FT_MS, continue_rolling_restart, roll);
       return;
     }
   sim_kill (sim, roll->instance);
   sim_restart (sim, roll->instance);
   report_servers (world);
   if (++roll->instance <= world->profile->instances)
-    sim_at (sim, sim_now (sim) + 4 * FT_SECOND, continue_rolling_restart, roll);
+    sim_schedule (sim, sim_now (sim) + 4 * FT_SECOND, continue_rolling_restart, roll);
   else
     g_free (roll);
 }
@@ -242,7 +243,7 @@
     }
   roll->instance = 1;
   world->last_grant_at = WARMUP_END;
-  sim_at (world->sim, WARMUP_END + 5 * FT_SECOND, continue_rolling_restart, roll);
+  sim_schedule (world->sim, WARMUP_END + 5 * FT_SECOND, continue_rolling_restart, roll);
 }
 
 static void
@@ -265,7 +266,7 @@
 static void
 setup_failuredomain (World *world)
 {
-  sim_at (world->sim, FAULT_AT, fail_domain, NULL);
+  sim_schedule (world->sim, FAULT_AT, fail_domain, NULL);
 }
 
 static void
@@ -356,7 +357,7 @@
       counts->violations[i] = stats.tier_violations;
       counts->decisions[i] = stats.decisions;
     }
-  sim_at (sim, sim_now (sim) + 10 * FT_MS, collect_violations, counts);
+  sim_schedule (sim, sim_now (sim) + 10 * FT_MS, collect_violations, counts);
 }
 
 static void
@@ -464,7 +465,7 @@
 
   experiment->setup (world);
   world_run (world, WARMUP_END);
-  sim_at (world->sim, WARMUP_END, collect_violations, counts);
+  sim_schedule (world->sim, WARMUP_END, collect_violations, counts);
   world_start_arrivals (world, WARMUP_END, WARMUP_END + ARRIVAL_DURATION);
   world_run (world, WARMUP_END + ARRIVAL_DURATION + DRAIN_DURATION);
   collect_result (world, result);
--- a/bench/engine.c
+++ b/bench/engine.c
@@ -36,7 +36,7 @@
     engine->reported_running = message->running;
   bool is_cache_event = message->number && engine->world->policy.ops == &policy_foxtail;
   for (unsigned i = 1; is_cache_event && i <= engine->world->profile->instances; i++)
-    if (sim_node (engine->world->sim, i) && !sim_frozen (engine->world->sim, i))
+    if (sim_node (engine->world->sim, i) && !sim_is_frozen (engine->world->sim, i))
       ft_node_cache_event (sim_node (engine->world->sim, i), engine->pool, engine->name,
                            message->number, message->stored, message->block);
   g_free (message);
@@ -48,7 +48,8 @@
   Report *message = g_new (Report, 1);
 
   *message = (Report){ engine, number, block, engine->running, stored };
-  sim_at (engine->world->sim, sim_now (engine->world->sim) + REPORT_DELAY, deliver_report, message);
+  sim_schedule (engine->world->sim, sim_now (engine->world->sim) + REPORT_DELAY, deliver_report,
+                message);
 }
 
 static void
@@ -100,7 +101,7 @@
   if (engine->step_scheduled || engine->running == 0 || engine->gray || engine->dead)
     return;
   engine->step_scheduled = true;
-  sim_at (engine->world->sim, sim_now (engine->world->sim), run_step, engine);
+  sim_schedule (engine->world->sim, sim_now (engine->world->sim), run_step, engine);
 }
 
 static double
@@ -147,7 +148,8 @@
     world_on_token (engine->world, job);
   }
   ms += prefill_chunk (engine);
-  sim_at (sim, sim_now (sim) + (int64_t) (ms * engine->slow_factor * FT_MS), run_step, engine);
+  sim_schedule (sim, sim_now (sim) + (int64_t) (ms * engine->slow_factor * FT_MS), run_step,
+                engine);
 }
 
 static void
@@ -156,7 +158,7 @@
   Engine *engine = data;
 
   send_report (engine, 0, 0, false);
-  sim_at (sim, sim_now (sim) + FT_SECOND, send_load_report, engine);
+  sim_schedule (sim, sim_now (sim) + FT_SECOND, send_load_report, engine);
 }
 
 Engine *
@@ -174,8 +176,8 @@
   CDS_INIT_LIST_HEAD (&engine->decoding);
   engine->cache_index = g_hash_table_new (g_int64_hash, g_int64_equal);
   g_queue_init (&engine->cache);
-  sim_at (world->sim, (int64_t) (sim_random (world->sim) % (uint64_t) FT_SECOND), send_load_report,
-          engine);
+  sim_schedule (world->sim, (int64_t) (sim_random (world->sim) % (uint64_t) FT_SECOND),
+                send_load_report, engine);
   return engine;
 }
 
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -33,7 +33,7 @@
 entry_is_alive (World *world, const Job *job)
 {
   return sim_node (world->sim, job->entry)
-         && sim_life (world->sim, job->entry) == job->entry_start_count;
+         && sim_start_count (world->sim, job->entry) == job->entry_start_count;
 }
 
 static void
@@ -170,7 +170,7 @@
     {
       unsigned at = 1 + (unsigned) ((number + i) % count);
       FtNode *node = sim_node (world->sim, at);
-      if (node && !sim_frozen (world->sim, at) && ft_node_is_fresh (node))
+      if (node && !sim_is_frozen (world->sim, at) && ft_node_is_fresh (node))
         return at;
     }
   return 0;
@@ -187,7 +187,7 @@
       world_refuse (world, job, false);
       return;
     }
-  job->entry_start_count = sim_life (world->sim, job->entry);
+  job->entry_start_count = sim_start_count (world->sim, job->entry);
   g_snprintf (org, sizeof org, "o%u", job->org);
   g_snprintf (pool, sizeof pool, "p%u", (unsigned) (job->number % world->profile->pools));
   FtNodeRequest request = { .request = job->number,
@@ -208,7 +208,7 @@
 static void
 foxtail_on_progress (World *world, Job *job)
 {
-  if (!entry_is_alive (world, job) || sim_frozen (world->sim, job->entry))
+  if (!entry_is_alive (world, job) || sim_is_frozen (world->sim, job->entry))
     return;
   int64_t started = sim_cpu_begin ();
   ft_node_progress (sim_node (world->sim, job->entry), job->number, job->produced);
--- a/bench/sim.c
+++ b/bench/sim.c
@@ -1,8 +1,9 @@
-/* sim.c - virtual time, links and disks for real nodes.
+/* sim.c - simulates time, links and disks for real nodes.
  *
- * Links are what the daemon's are: in order, once, and after RESET_AFTER without a way through
- * both ends are told to start over. Only messages among voters may be lost or doubled, since the
- * replicated log alone promises to bear that.
+ * As in the daemon, a link delivers each message once and in order. When it has been cut for
+ * RESET_TIMEOUT with messages waiting, it is reset: the messages are dropped, the sender is told,
+ * and the receiver sees a new incarnation of the link. Only messages between voters may be lost or
+ * duplicated, because only the replicated log tolerates that.
  */
 #include "sim.h"
 #include "msg.h"
@@ -10,20 +11,20 @@
 #include <string.h>
 #include <time.h>
 
-#define TICK        (20 * FT_MS)
-#define RESET_AFTER (4 * FT_SECOND)
+#define TICK_INTERVAL (20 * FT_MS)
+#define RESET_TIMEOUT (4 * FT_SECOND)
 
 typedef struct
 {
   GByteArray *data;
-  size_t synced;
+  size_t synced_size; /* bytes that survive a crash */
 } File;
 
 typedef struct
 {
   FtDisk base;
   GHashTable *files; /* name -> File */
-  bool fails;
+  bool failing;      /* each write returns FT_IO */
 } SimDisk;
 
 typedef struct
@@ -43,7 +44,7 @@
 typedef struct
 {
   Sim *sim;
-  unsigned id, life;
+  unsigned id, start_count;
   bool frozen;
   FtNode *node;
   SimClock clock;
@@ -54,17 +55,17 @@
 typedef struct
 {
   uint64_t incarnation;
-  int64_t arrives; /* of the last message: order is kept */
+  int64_t last_arrival; /* no later message arrives before it */
   int64_t cut_since;
   bool cut;
-  GQueue held; /* GByteArray, while cut or frozen */
-} Pipe;
+  GQueue queue; /* GByteArray; messages that wait until the link and the receiver work again */
+} SimLink;
 
 typedef struct
 {
   FtHeapNode heap;
-  uint64_t order;
-  SimFn fn;
+  uint64_t number;
+  SimEventFunc fn;
   void *data;
 } Event;
 
@@ -74,20 +75,20 @@
   const SimOps *ops;
   void *user;
   int64_t now;
-  uint64_t random_state, orders;
+  uint64_t random_state, event_count;
   FtHeap events;
   SimRandom random;
   Instance *instances; /* by id - 1 */
-  Pipe *pipes;         /* [from - 1][to - 1] */
+  SimLink *links;      /* [from - 1][to - 1] */
   uint64_t cpu_ns;
 };
 
 typedef struct
 {
-  unsigned from, to, to_life;
+  unsigned from, to, to_start_count;
   uint64_t incarnation;
   GByteArray *bytes;
-} Flight;
+} Delivery;
 
 /* ---- Clock and randomness ---- */
 
@@ -128,11 +129,11 @@
 /* ---- Disk ---- */
 
 static File *
-find_file (SimDisk *disk, const char *name, bool make)
+find_file (SimDisk *disk, const char *name, bool create)
 {
   File *file = g_hash_table_lookup (disk->files, name);
 
-  if (file == NULL && make)
+  if (file == NULL && create)
     {
       file = g_new0 (File, 1);
       file->data = g_byte_array_new ();
@@ -166,7 +167,7 @@
 {
   SimDisk *disk = (SimDisk *) base;
 
-  if (disk->fails)
+  if (disk->failing)
     return FT_IO;
   g_byte_array_append (find_file (disk, name, true)->data, data, (guint) size);
   return FT_OK;
@@ -178,9 +179,9 @@
   SimDisk *disk = (SimDisk *) base;
   File *file = find_file (disk, name, true);
 
-  if (disk->fails)
+  if (disk->failing)
     return FT_IO;
-  file->synced = file->data->len;
+  file->synced_size = file->data->len;
   return FT_OK;
 }
 
@@ -189,12 +190,12 @@
 {
   SimDisk *disk = (SimDisk *) base;
 
-  if (disk->fails)
+  if (disk->failing)
     return FT_IO;
   File *file = find_file (disk, name, true);
   g_byte_array_set_size (file->data, 0);
   g_byte_array_append (file->data, data, (guint) size);
-  file->synced = size;
+  file->synced_size = size;
   return FT_OK;
 }
 
@@ -204,16 +205,17 @@
   File *file = find_file ((SimDisk *) base, name, true);
 
   g_byte_array_set_size (file->data, (guint) size);
-  file->synced = MIN (file->synced, size);
+  file->synced_size = MIN (file->synced_size, size);
   return FT_OK;
 }
 
 static const FtDiskOps disk_ops
     = { disk_read, disk_append, disk_sync, disk_replace, disk_truncate };
 
-/* A crash keeps what was synced and any part of the rest, perhaps with its last bytes unwritten. */
+/* A crash keeps the synced data and a random part of the rest. Half of the time the second half of
+ * that part is zeros, as when a file grew but its last blocks were not written. */
 static void
-tear (Sim *sim, SimDisk *disk)
+lose_unsynced (Sim *sim, SimDisk *disk)
 {
   GHashTableIter iter;
   void *data;
@@ -222,18 +224,18 @@
   while (g_hash_table_iter_next (&iter, NULL, &data))
     {
       File *file = data;
-      size_t loose = file->data->len - file->synced;
-      if (loose == 0)
+      size_t unsynced = file->data->len - file->synced_size;
+      if (unsynced == 0)
         continue;
-      size_t kept = sim_random (sim) % (loose + 1);
-      g_byte_array_set_size (file->data, (guint) (file->synced + kept));
+      size_t kept = sim_random (sim) % (unsynced + 1);
+      g_byte_array_set_size (file->data, (guint) (file->synced_size + kept));
       if (kept > 0 && sim_random (sim) % 2)
-        memset (file->data->data + file->synced + kept / 2, 0, kept - kept / 2);
-      file->synced = file->data->len;
+        memset (file->data->data + file->synced_size + kept / 2, 0, kept - kept / 2);
+      file->synced_size = file->data->len;
     }
 }
 
-/* ---- Processor time of the nodes ---- */
+/* ---- Time spent in the nodes ---- */
 
 int64_t
 sim_cpu_begin (void)
@@ -245,9 +247,9 @@
 }
 
 void
-sim_cpu_end (Sim *sim, int64_t begun)
+sim_cpu_end (Sim *sim, int64_t started)
 {
-  sim->cpu_ns += (uint64_t) (sim_cpu_begin () - begun);
+  sim->cpu_ns += (uint64_t) (sim_cpu_begin () - started);
 }
 
 uint64_t
@@ -259,16 +261,16 @@
 /* ---- Events ---- */
 
 void
-sim_at (Sim *sim, int64_t at, SimFn fn, void *data)
+sim_schedule (Sim *sim, int64_t at, SimEventFunc fn, void *data)
 {
   Event *event = g_new (Event, 1);
 
   event->fn = fn;
   event->data = data;
-  /* Equal times run in the order in which they were asked for. */
-  event->order = ++sim->orders;
+  /* Events of the same time run in the order in which they were scheduled. */
+  event->number = ++sim->event_count;
   ft_heap_push (&sim->events, &event->heap,
-                (double) MAX (at, sim->now) + (double) (event->order % 1000000) * 1e-7);
+                (double) MAX (at, sim->now) + (double) (event->number % 1000000) * 1e-7);
 }
 
 void
@@ -301,52 +303,53 @@
 
 /* ---- Links ---- */
 
-static Pipe *
-pipe_of (Sim *sim, unsigned from, unsigned to)
+static SimLink *
+find_link (Sim *sim, unsigned from, unsigned to)
 {
-  return &sim->pipes[(from - 1) * sim->conf.instances + to - 1];
+  return &sim->links[(from - 1) * sim->conf.instances + to - 1];
 }
 
 static void
-arrive (Sim *sim, void *data)
+deliver (Sim *sim, void *data)
 {
-  Flight *flight = data;
-  Instance *to = &sim->instances[flight->to - 1];
-  Pipe *pipe = pipe_of (sim, flight->from, flight->to);
+  Delivery *delivery = data;
+  Instance *to = &sim->instances[delivery->to - 1];
+  SimLink *link = find_link (sim, delivery->from, delivery->to);
 
-  if (to->node == NULL || to->life != flight->to_life || pipe->incarnation != flight->incarnation)
-    g_byte_array_unref (flight->bytes);
-  else if (to->frozen || pipe->cut)
-    g_queue_push_tail (&pipe->held, flight->bytes);
+  if (to->node == NULL || to->start_count != delivery->to_start_count
+      || link->incarnation != delivery->incarnation)
+    g_byte_array_unref (delivery->bytes);
+  else if (to->frozen || link->cut)
+    g_queue_push_tail (&link->queue, delivery->bytes);
   else
     {
-      int64_t begun = sim_cpu_begin ();
-      ft_node_receive (to->node, flight->from, flight->incarnation, flight->bytes->data,
-                       flight->bytes->len);
+      int64_t started = sim_cpu_begin ();
+      ft_node_receive (to->node, delivery->from, delivery->incarnation, delivery->bytes->data,
+                       delivery->bytes->len);
       ft_node_flush (to->node);
-      sim_cpu_end (sim, begun);
-      g_byte_array_unref (flight->bytes);
+      sim_cpu_end (sim, started);
+      g_byte_array_unref (delivery->bytes);
     }
-  g_free (flight);
+  g_free (delivery);
 }
 
 static void
-launch (Sim *sim, unsigned from, unsigned to, GByteArray *bytes, bool ordered)
+send_message (Sim *sim, unsigned from, unsigned to, GByteArray *bytes, bool ordered)
 {
-  Pipe *pipe = pipe_of (sim, from, to);
-  Flight *flight = g_new (Flight, 1);
+  SimLink *link = find_link (sim, from, to);
+  Delivery *delivery = g_new (Delivery, 1);
   int64_t at
       = sim->now + sim->conf.delay
         + (sim->conf.jitter ? (int64_t) (sim_random (sim) % (uint64_t) sim->conf.jitter) : 0);
 
   if (ordered)
-    at = pipe->arrives = MAX (at, pipe->arrives);
-  *flight = (Flight){ from, to, sim->instances[to - 1].life, pipe->incarnation, bytes };
-  sim_at (sim, at, arrive, flight);
+    at = link->last_arrival = MAX (at, link->last_arrival);
+  *delivery = (Delivery){ from, to, sim->instances[to - 1].start_count, link->incarnation, bytes };
+  sim_schedule (sim, at, deliver, delivery);
 }
 
 static bool
-among_voters (const GByteArray *bytes)
+is_voter_message (const GByteArray *bytes)
 {
   uint32_t kind = 0;
 
@@ -360,81 +363,81 @@
 {
   Instance *from = host;
   Sim *sim = from->sim;
-  Pipe *pipe = pipe_of (sim, from->id, to);
-  bool lossy = among_voters (bytes);
+  SimLink *link = find_link (sim, from->id, to);
+  bool unreliable = is_voter_message (bytes);
 
   from->traffic.messages++;
   from->traffic.bytes += bytes->len;
-  if (pipe->cut)
+  if (link->cut)
     {
-      g_queue_push_tail (&pipe->held, bytes);
+      g_queue_push_tail (&link->queue, bytes);
       return;
     }
-  if (lossy && sim_uniform (sim) < sim->conf.loss)
+  if (unreliable && sim_uniform (sim) < sim->conf.loss)
     {
       g_byte_array_unref (bytes);
       return;
     }
-  if (lossy && sim_uniform (sim) < sim->conf.doubling)
-    launch (sim, from->id, to, g_byte_array_ref (bytes), false);
-  launch (sim, from->id, to, bytes, !lossy || sim->conf.loss == 0);
+  if (unreliable && sim_uniform (sim) < sim->conf.duplication)
+    send_message (sim, from->id, to, g_byte_array_ref (bytes), false);
+  send_message (sim, from->id, to, bytes, !unreliable || sim->conf.loss == 0);
 }
 
 static void
-drop_held (Pipe *pipe)
+drop_queued (SimLink *link)
 {
   GByteArray *bytes;
 
-  while ((bytes = g_queue_pop_head (&pipe->held)) != NULL)
+  while ((bytes = g_queue_pop_head (&link->queue)) != NULL)
     g_byte_array_unref (bytes);
 }
 
 static void
-release_held (Sim *sim, unsigned from, unsigned to)
+send_queued (Sim *sim, unsigned from, unsigned to)
 {
-  Pipe *pipe = pipe_of (sim, from, to);
+  SimLink *link = find_link (sim, from, to);
   GByteArray *bytes;
 
-  while ((bytes = g_queue_pop_head (&pipe->held)) != NULL)
-    launch (sim, from, to, bytes, true);
+  while ((bytes = g_queue_pop_head (&link->queue)) != NULL)
+    send_message (sim, from, to, bytes, true);
 }
 
 static void
-check_reset (Sim *sim, Instance *from)
+reset_cut_links (Sim *sim, Instance *from)
 {
   for (unsigned to = 1; to <= sim->conf.instances; to++)
     {
-      Pipe *pipe = pipe_of (sim, from->id, to);
-      if (!pipe->cut || pipe->held.length == 0 || sim->now - pipe->cut_since < RESET_AFTER)
+      SimLink *link = find_link (sim, from->id, to);
+      if (!link->cut || link->queue.length == 0 || sim->now - link->cut_since < RESET_TIMEOUT)
         continue;
-      drop_held (pipe);
-      pipe->incarnation = sim_random (sim) | 1;
-      pipe->cut_since = sim->now;
+      drop_queued (link);
+      link->incarnation = sim_random (sim) | 1;
+      link->cut_since = sim->now;
       ft_node_link_reset (from->node, to);
     }
 }
 
 void
-sim_cut (Sim *sim, unsigned from, unsigned to, bool cut)
+sim_set_link_cut (Sim *sim, unsigned from, unsigned to, bool cut)
 {
-  Pipe *pipe = pipe_of (sim, from, to);
+  SimLink *link = find_link (sim, from, to);
 
-  if (cut && !pipe->cut)
-    pipe->cut_since = sim->now;
-  pipe->cut = cut;
+  if (cut && !link->cut)
+    link->cut_since = sim->now;
+  link->cut = cut;
   if (!cut && !sim->instances[to - 1].frozen)
-    release_held (sim, from, to);
+    send_queued (sim, from, to);
 }
 
 void
-sim_heal (Sim *sim)
+sim_heal_links (Sim *sim)
 {
   for (unsigned from = 1; from <= sim->conf.instances; from++)
     for (unsigned to = 1; to <= sim->conf.instances; to++)
-      sim_cut (sim, from, to, false);
+      sim_set_link_cut (sim, from, to, false);
 }
 
-/* ---- Shells ---- */
+/* ---- Callbacks of the nodes ---- */
 
 #define FORWARD(name, ...)                                                                         \
   Instance *self = host;                                                                           \
@@ -478,13 +481,13 @@
 }
 
 static void
-on_found (void *host, uint64_t number, FtStatus status, const void *body, size_t size)
+on_query_reply (void *host, uint64_t number, FtStatus status, const void *body, size_t size)
 {
   FORWARD (found, number, status, body, size);
 }
 
 static void
-on_question (void *host, uint32_t from, uint64_t number, const char *id)
+on_query (void *host, uint32_t from, uint64_t number, const char *id)
 {
   Instance *self = host;
 
@@ -492,8 +495,8 @@
   ft_node_reply_query (self->node, from, number, FT_NOT_FOUND, "", 0);
 }
 
-static const FtNodeOps node_ops = { on_send,    on_grant,     on_refuse,   on_pause, on_resume,
-                                    on_verdict, on_catalogue, on_question, on_found };
+static const FtNodeOps node_ops = { on_send,    on_grant,     on_refuse, on_pause,      on_resume,
+                                    on_verdict, on_catalogue, on_query,  on_query_reply };
 
 /* ---- Instances ---- */
 
@@ -504,13 +507,13 @@
 
   if (self->node && !self->frozen)
     {
-      int64_t begun = sim_cpu_begin ();
-      check_reset (sim, self);
+      int64_t started = sim_cpu_begin ();
+      reset_cut_links (sim, self);
       ft_node_tick (self->node);
       ft_node_flush (self->node);
-      sim_cpu_end (sim, begun);
+      sim_cpu_end (sim, started);
     }
-  sim_at (sim, sim->now + TICK, tick, self);
+  sim_schedule (sim, sim->now + TICK_INTERVAL, tick, self);
 }
 
 FtStatus
@@ -530,12 +533,12 @@
                       .instance_count = sim->conf.instances,
                       .voters = ids,
                       .voter_count = sim->conf.voters };
-  self->life++;
+  self->start_count++;
   self->frozen = false;
   self->traffic = (SimTraffic){ 0, 0 };
   for (unsigned to = 1; to <= sim->conf.instances; to++)
-    pipe_of (sim, instance, to)->incarnation = sim_random (sim) | 1;
-  /* A process's clock starts anywhere. */
+    find_link (sim, instance, to)->incarnation = sim_random (sim) | 1;
+  /* The monotonic clock of a new process starts at an arbitrary value. */
   self->clock.offset
       = (int64_t) (sim_random (sim) % (uint64_t) (1000 * FT_SECOND)) + 10 * FT_SECOND;
   return ft_node_new (&conf, &self->clock.base, &sim->random.base,
@@ -554,16 +557,16 @@
     sim->ops->killed (sim, instance);
   ft_node_free (self->node);
   self->node = NULL;
-  tear (sim, &self->disk);
+  lose_unsynced (sim, &self->disk);
   for (unsigned other = 1; other <= sim->conf.instances; other++)
     {
-      drop_held (pipe_of (sim, instance, other));
-      drop_held (pipe_of (sim, other, instance));
+      drop_queued (find_link (sim, instance, other));
+      drop_queued (find_link (sim, other, instance));
     }
 }
 
 void
-sim_wipe (Sim *sim, unsigned instance)
+sim_wipe_disk (Sim *sim, unsigned instance)
 {
   g_hash_table_remove_all (sim->instances[instance - 1].disk.files);
 }
@@ -573,24 +576,24 @@
 {
   sim->instances[instance - 1].frozen = frozen;
   for (unsigned from = 1; !frozen && from <= sim->conf.instances; from++)
-    if (!pipe_of (sim, from, instance)->cut)
-      release_held (sim, from, instance);
+    if (!find_link (sim, from, instance)->cut)
+      send_queued (sim, from, instance);
 }
 
 bool
-sim_frozen (Sim *sim, unsigned instance)
+sim_is_frozen (Sim *sim, unsigned instance)
 {
   return sim->instances[instance - 1].frozen;
 }
 
 void
-sim_disk_fails (Sim *sim, unsigned instance, bool fails)
+sim_set_disk_failing (Sim *sim, unsigned instance, bool fails)
 {
-  sim->instances[instance - 1].disk.fails = fails;
+  sim->instances[instance - 1].disk.failing = fails;
 }
 
 bool
-sim_damage (Sim *sim, unsigned instance, const char *name, size_t offset)
+sim_corrupt_file (Sim *sim, unsigned instance, const char *name, size_t offset)
 {
   File *file = find_file (&sim->instances[instance - 1].disk, name, false);
 
@@ -615,9 +618,9 @@
 }
 
 unsigned
-sim_life (Sim *sim, unsigned instance)
+sim_start_count (Sim *sim, unsigned instance)
 {
-  return sim->instances[instance - 1].life;
+  return sim->instances[instance - 1].start_count;
 }
 
 void
@@ -644,9 +647,9 @@
   sim->random.base.ops = &random_ops;
   sim->random.sim = sim;
   sim->instances = g_new0 (Instance, conf->instances);
-  sim->pipes = g_new0 (Pipe, (gsize) conf->instances * conf->instances);
+  sim->links = g_new0 (SimLink, (gsize) conf->instances * conf->instances);
   for (unsigned i = 0; i < conf->instances * conf->instances; i++)
-    g_queue_init (&sim->pipes[i].held);
+    g_queue_init (&sim->links[i].queue);
   for (unsigned i = 1; i <= conf->instances; i++)
     {
       Instance *self = &sim->instances[i - 1];
@@ -658,7 +661,7 @@
       self->disk.base.ops = &disk_ops;
       self->disk.files = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, file_free);
       sim_restart (sim, i);
-      sim_at (sim, (int64_t) (sim_random (sim) % (uint64_t) TICK), tick, self);
+      sim_schedule (sim, (int64_t) (sim_random (sim) % (uint64_t) TICK_INTERVAL), tick, self);
     }
   return sim;
 }
@@ -666,11 +669,11 @@
 static void
 free_event (Event *event)
 {
-  if (event->fn == arrive)
+  if (event->fn == deliver)
     {
-      Flight *flight = event->data;
-      g_byte_array_unref (flight->bytes);
-      g_free (flight);
+      Delivery *delivery = event->data;
+      g_byte_array_unref (delivery->bytes);
+      g_free (delivery);
     }
   g_free (event);
 }
@@ -691,8 +694,8 @@
       g_hash_table_unref (sim->instances[i - 1].disk.files);
     }
   for (unsigned i = 0; i < sim->conf.instances * sim->conf.instances; i++)
-    drop_held (&sim->pipes[i]);
+    drop_queued (&sim->links[i]);
   g_free (sim->instances);
-  g_free (sim->pipes);
+  g_free (sim->links);
   g_free (sim);
 }
--- a/bench/sim.h
+++ b/bench/sim.h
@@ -1,7 +1,7 @@
-/* sim.h - many nodes in one process with a clock, links and disks of the test's own.
+/* sim.h - discrete-event simulation of many nodes in one process.
  *
- * Small fakes at the library's interfaces, no more: the nodes are the real ones. The same seed
- * gives the same run. Times are virtual microseconds from 0. */
+ * The nodes are the real library; only their clock, links, disks and random numbers are simulated.
+ * The same seed gives the same run. Times are virtual microseconds from 0. */
 #ifndef SIM_H
 #define SIM_H
 
@@ -9,7 +9,7 @@
 
 typedef struct Sim Sim;
 
-/* What nodes want of their shells; any may be NULL. instance: 1 and on. */
+/* Callbacks of the nodes, see FtNodeOps; any may be NULL. Instances are numbered from 1. */
 typedef struct
 {
   void (*grant) (Sim *sim, unsigned instance, uint64_t request, const char *server);
@@ -26,11 +26,11 @@
 
 typedef struct
 {
-  unsigned instances, voters; /* the first voters instances are voters */
+  unsigned instances, voters; /* instances 1 to voters are voters */
   uint64_t seed;
-  int64_t delay, jitter; /* one way, between instances */
-  double loss, doubling; /* share of the voters' messages lost and doubled */
-  double clock_error;    /* each clock runs faster or slower by up to this share */
+  int64_t delay, jitter;    /* one way, between instances; jitter is added at random */
+  double loss, duplication; /* fractions of the messages between voters */
+  double clock_error;       /* each clock runs faster or slower by up to this fraction */
 } SimConf;
 
 Sim *sim_new (const SimConf *conf, const SimOps *ops, void *user);
@@ -38,44 +38,46 @@
 void *sim_user (Sim *sim);
 int64_t sim_now (const Sim *sim);
 uint64_t sim_random (Sim *sim);
-double sim_uniform (Sim *sim); /* 0 to 1 */
-/* Runs fn (sim, data) at a time; data must live until then. */
-typedef void (*SimFn) (Sim *sim, void *data);
-void sim_at (Sim *sim, int64_t at, SimFn fn, void *data);
+double sim_uniform (Sim *sim); /* from 0 inclusive to 1 exclusive */
+/* sim_schedule calls fn (sim, data) at the given time; data must stay valid until then. */
+typedef void (*SimEventFunc) (Sim *sim, void *data);
+void sim_schedule (Sim *sim, int64_t at, SimEventFunc fn, void *data);
 void sim_run (Sim *sim, int64_t until);
 
 /* NULL while the instance is dead. */
 FtNode *sim_node (Sim *sim, unsigned instance);
-/* Counts the starts of the instance. */
-unsigned sim_life (Sim *sim, unsigned instance);
-/* To be called after using a node from outside. */
+/* Number of times the instance was started. */
+unsigned sim_start_count (Sim *sim, unsigned instance);
+/* Sends the node's queued messages; call it after each direct use of a node. */
 void sim_flush (Sim *sim, unsigned instance);
-bool sim_frozen (Sim *sim, unsigned instance);
+bool sim_is_frozen (Sim *sim, unsigned instance);
 
-/* Dies at once: what was not synced is gone or torn. */
+/* Kills the instance as a crash does: data not synced is lost or partly written. */
 void sim_kill (Sim *sim, unsigned instance);
-/* FT_CORRUPT or FT_IO when the disk refuses. */
+/* Starts the instance with its disk as it is. FT_CORRUPT or FT_IO if that cannot be read. */
 FtStatus sim_restart (Sim *sim, unsigned instance);
-void sim_wipe (Sim *sim, unsigned instance); /* its disk, while it is dead */
+void sim_wipe_disk (Sim *sim, unsigned instance); /* only while the instance is dead */
+/* A frozen instance does nothing; messages to it wait. */
 void sim_freeze (Sim *sim, unsigned instance, bool frozen);
-/* One way; both calls for both ways. */
-void sim_cut (Sim *sim, unsigned from, unsigned to, bool cut);
-void sim_heal (Sim *sim); /* all cuts */
-void sim_disk_fails (Sim *sim, unsigned instance, bool fails);
-/* Flips a bit of a file; false: there is no such byte. */
-bool sim_damage (Sim *sim, unsigned instance, const char *file, size_t offset);
+/* Cuts or restores the link in one direction. */
+void sim_set_link_cut (Sim *sim, unsigned from, unsigned to, bool cut);
+void sim_heal_links (Sim *sim); /* restores all links */
+void sim_set_disk_failing (Sim *sim, unsigned instance, bool fails);
+/* Flips a bit of a file; false if the file has no byte at the offset. */
+bool sim_corrupt_file (Sim *sim, unsigned instance, const char *file, size_t offset);
 size_t sim_file_size (Sim *sim, unsigned instance, const char *file);
 
 typedef struct
 {
   uint64_t messages, bytes;
 } SimTraffic;
-/* Sent by the instance since its last start. */
+/* What the instance sent since its last start. */
 SimTraffic sim_traffic (const Sim *sim, unsigned instance);
 
-/* Real time spent in nodes, nanoseconds; a caller that uses a node itself adds its part. */
+/* Real time spent in nodes, in nanoseconds. A caller that uses a node directly adds its time with
+ * sim_cpu_begin and sim_cpu_end. */
 int64_t sim_cpu_begin (void);
-void sim_cpu_end (Sim *sim, int64_t begun);
+void sim_cpu_end (Sim *sim, int64_t started);
 uint64_t sim_cpu_ns (const Sim *sim);
 
 #endif
--- a/bench/world.c
+++ b/bench/world.c
@@ -179,7 +179,7 @@
   double rate = world->capacity * world->load * world->load_factor;
   int64_t next = now + (int64_t) (-log (1 - sim_uniform (sim)) / rate * FT_SECOND);
   if (next < world->arrivals_until)
-    sim_at (sim, next, on_arrival, world);
+    sim_schedule (sim, next, on_arrival, world);
 }
 
 void
@@ -336,5 +336,5 @@
 world_start_arrivals (World *world, int64_t at, int64_t until)
 {
   world->arrivals_until = until;
-  sim_at (world->sim, at, on_arrival, world);
+  sim_schedule (world->sim, at, on_arrival, world);
 }
--- a/test/torture.c
+++ b/test/torture.c
@@ -89,7 +89,7 @@
     {
       Asked *asked = &g_array_index (world->asked, Asked, i);
       if (asked->instance == instance && asked->number == number
-          && asked->life == sim_life (sim, instance))
+          && asked->life == sim_start_count (sim, instance))
         return asked;
     }
   return NULL;
@@ -148,9 +148,9 @@
   World *world = sim_user (sim);
   uint64_t revision = ft_cat_revision (cat);
 
-  if (world->seen_life[instance] != sim_life (sim, instance))
+  if (world->seen_life[instance] != sim_start_count (sim, instance))
     {
-      world->seen_life[instance] = sim_life (sim, instance);
+      world->seen_life[instance] = sim_start_count (sim, instance);
       world->highest[instance] = 0;
     }
   if (revision <= world->highest[instance])
@@ -176,8 +176,8 @@
   World *world = sim_user (sim);
   char key[64];
 
-  g_snprintf (key, sizeof key, "%u/%u/%" G_GUINT64_FORMAT, instance, sim_life (sim, instance),
-              number);
+  g_snprintf (key, sizeof key, "%u/%u/%" G_GUINT64_FORMAT, instance,
+              sim_start_count (sim, instance), number);
   uint64_t *revision = g_hash_table_lookup (world->force_questions, key);
   if (revision && status == FT_OK && g_strstr_len (body, (gssize) size, "\"in_force\":true"))
     world->in_force = MAX (world->in_force, *revision);
@@ -196,7 +196,7 @@
   for (unsigned i = 1; i <= INSTANCES; i++)
     {
       FtNode *node = sim_node (sim, i);
-      if (node == NULL || sim_frozen (sim, i))
+      if (node == NULL || sim_is_frozen (sim, i))
         continue;
       FtCat *cat = ft_node_catalogue (node);
       if (ft_node_is_fresh (node) && ft_cat_revision (cat) < world->in_force)
@@ -223,7 +223,7 @@
   for (unsigned tries = 0; tries < 50; tries++)
     {
       unsigned i = 1 + pick (sim, INSTANCES);
-      if (sim_node (sim, i) && !sim_frozen (sim, i))
+      if (sim_node (sim, i) && !sim_is_frozen (sim, i))
         return i;
     }
   return 0;
@@ -233,7 +233,7 @@
 send_change (World *world, Sim *sim, unsigned at, unsigned index)
 {
   Change *change = &world->changes[index];
-  Asked asked = { at, sim_life (sim, at), 0, (int) index, -1, 0 };
+  Asked asked = { at, sim_start_count (sim, at), 0, (int) index, -1, 0 };
 
   asked.number = ft_node_propose_catalogue (sim_node (sim, at), change->id, "operator",
                                             change->base, change->text, 1);
@@ -274,7 +274,7 @@
 
   if (at == 0)
     return;
-  Asked asked = { at, sim_life (sim, at), 0, -1, (int) key, world->claims++ };
+  Asked asked = { at, sim_start_count (sim, at), 0, -1, (int) key, world->claims++ };
   g_snprintf (name, sizeof name, "key-%u", key);
   g_snprintf (request, sizeof request, "claim-%u", asked.claimer);
   asked.number = ft_node_claim (sim_node (sim, at), name, "digest", request, 1);
@@ -296,7 +296,7 @@
   uint64_t number = ft_node_query (sim_node (sim, at), FT_QUERY_IN_FORCE, text);
   g_hash_table_replace (
       world->force_questions,
-      g_strdup_printf ("%u/%u/%" G_GUINT64_FORMAT, at, sim_life (sim, at), number),
+      g_strdup_printf ("%u/%u/%" G_GUINT64_FORMAT, at, sim_start_count (sim, at), number),
       g_memdup2 (&revision, sizeof revision));
   sim_flush (sim, at);
 }
@@ -331,8 +331,8 @@
   for (unsigned k = 1; k <= INSTANCES; k++)
     if (k != lagging)
       {
-        sim_cut (sim, lagging, k, true);
-        sim_cut (sim, k, lagging, true);
+        sim_set_link_cut (sim, lagging, k, true);
+        sim_set_link_cut (sim, k, lagging, true);
       }
   for (unsigned i = 0; i < 4; i++)
     {
@@ -342,9 +342,9 @@
   unsigned wiped = 1 + lagging % 3, dead = 1 + wiped % 3;
   sim_kill (sim, dead);
   sim_kill (sim, wiped);
-  sim_wipe (sim, wiped);
+  sim_wipe_disk (sim, wiped);
   sim_restart (sim, wiped);
-  sim_heal (sim);
+  sim_heal_links (sim);
   sim_run (sim, sim_now (sim) + 4 * FT_SECOND);
 }
 
@@ -364,7 +364,7 @@
         {
           i = 1 + pick (sim, 3);
           sim_kill (sim, i);
-          sim_wipe (sim, i);
+          sim_wipe_disk (sim, i);
           sim_restart (sim, i);
         }
       break;
@@ -375,13 +375,13 @@
       for (unsigned k = 1; k <= INSTANCES; k++)
         if (k != i)
           {
-            sim_cut (sim, i, k, true);
-            sim_cut (sim, k, i, pick (sim, 2));
+            sim_set_link_cut (sim, i, k, true);
+            sim_set_link_cut (sim, k, i, pick (sim, 2));
           }
       break;
     case 5:
       if (i != j)
-        sim_cut (sim, i, j, true);
+        sim_set_link_cut (sim, i, j, true);
       break;
     case 7:
       lose_two (world, sim);
@@ -403,11 +403,11 @@
     {
       if (sim_node (sim, i) == NULL)
         sim_restart (sim, i);
-      if (sim_frozen (sim, i))
+      if (sim_is_frozen (sim, i))
         sim_freeze (sim, i, false);
     }
   if (pick (sim, 2))
-    sim_heal (sim);
+    sim_heal_links (sim);
 }
 
 static void
@@ -451,7 +451,7 @@
   uint64_t last = 0;
 
   mend (sim);
-  sim_heal (sim);
+  sim_heal_links (sim);
   sim_run (sim, sim_now (sim) + 20 * FT_SECOND);
   check (world, sim);
   for (unsigned r = 1; r <= CHANGES; r++)
@@ -478,7 +478,7 @@
                    .delay = 500,
                    .jitter = (seed % 3) * 20 * FT_MS,
                    .loss = (double) (seed % 4) * 0.05,
-                   .doubling = (double) (seed % 2) * 0.1,
+                   .duplication = (double) (seed % 2) * 0.1,
                    .clock_error = 0.005 };
 
   world.asked = g_array_new (FALSE, FALSE, sizeof (Asked));
