--- a/bench/load.c
+++ b/bench/load.c
@@ -1,18 +1,19 @@
-/* load.c - foxtailload: a bounded, seeded load on running instances, every answer checked.
+/* load.c - foxtailload: a load generator for running instances that checks every answer.
  *
- * The stand-in's answers say their own length and order ("w0 w1 ..."), so that an answer that is
- * cut, doubled or mixed up is seen. A request ends as one of
+ * The length of a run is limited, and its seed determines arrivals and lengths. The stand-in
+ * numbers the words of an answer ("w0 w1 ..."), so that missing, repeated or reordered parts are
+ * detected. A request ends as one of
  *
- *   whole     the answer is complete and right
- *   refused   a problem that says "ran": "no"
- *   unknown   a problem or error event that says "unknown"
- *   cut       shown as complete, but is not
- *   lost      no answer, no problem, and no instance knows the request any more
+ *   whole     the answer is complete and correct
+ *   refused   a problem document with "ran": "no"
+ *   unknown   a problem document or error event with "unknown"
+ *   cut       the answer ended as if complete, but is incomplete or wrong
+ *   lost      no answer and no problem document, and no instance knows the request
  *
- * A connection that breaks is tried again as a caller would: GET /v1/requests/ID at every instance.
- * When the instance that had it died, perhaps to come back as another process, and nobody knows the
- * request, that is unknown. New requests go to instances whose /readyz says so, as behind a
- * balancer.
+ * After a broken connection the answer is fetched as a caller would fetch it, with
+ * GET /v1/requests/ID from every instance. If none knows the request and the instance that accepted
+ * it died, even if it has restarted since, the request counts as unknown. New requests go to
+ * instances whose /readyz answers 200, as a load balancer does.
  */
 #include "body.h"
 #include "http.h"
@@ -24,26 +25,26 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CLASSES_MOST 16
-#define ENTRIES_MOST 64
-#define FETCH_TRIES  40
-#define MISSED_MOST  8 /* rounds in which a gone instance may still come back */
-#define FETCH_WAIT   (250 * 1000)
+#define CLASSES_MAX        16
+#define ENTRIES_MAX        64
+#define FETCH_ATTEMPTS_MAX 40
+#define MISSED_ROUNDS_MAX  8 /* rounds in which a dead instance may still come back */
+#define FETCH_INTERVAL_US  (250 * 1000)
 
 typedef enum
 {
-  END_WHOLE,
+  END_COMPLETE,
   END_REFUSED,
   END_UNKNOWN,
-  END_CUT,
+  END_DAMAGED,
   END_LOST,
-  ENDS
+  END_COUNT
 } End;
 
 typedef struct
 {
   char name[64];
-  unsigned tier, share, prompt, tokens;
+  unsigned tier, share, prompt_tokens, tokens; /* tokens: mean length of an answer */
   bool service;
 } Class;
 
@@ -53,16 +54,16 @@
   unsigned number, tokens;
   guint32 seed;
   char id[48];
-  unsigned entry; /* of load.entries */
-  guint life;     /* of that instance when the request was sent */
-} Shot;
+  unsigned entry;         /* index into load.entries */
+  guint incarnation_hash; /* of that instance when the request was sent */
+} Request;
 
 typedef struct
 {
-  unsigned offered, ends[ENDS];
+  unsigned offered, ends[END_COUNT];
   GArray *first_ms; /* double */
   GHashTable *reasons;
-} Row;
+} TierStats;
 
 static struct
 {
@@ -70,18 +71,19 @@
   unsigned entry_count;
   const char *key, *ca_folder, *service_path;
   GMutex lock;
-  Row rows[6];
-  unsigned done, offered;
-  gint ready[ENTRIES_MOST], stopped;
-  guint life[ENTRIES_MOST]; /* hash of the instance's incarnation, 0: not known yet */
+  TierStats tiers[6]; /* by tier, from 1 */
+  unsigned ended, offered;
+  gint ready[ENTRIES_MAX], stopping;
+  /* Hash of the answer to /healthz, which names the incarnation; 0: not known yet. */
+  guint incarnation_hash[ENTRIES_MAX];
 } load;
 
 typedef struct
 {
   GString *bytes, *content;
-  gint64 started, first;
-  unsigned pieces;
-  gint64 total; /* from [DONE], -1: not seen */
+  gint64 started_at, first_piece_at;
+  unsigned piece_count;
+  gint64 total_pieces; /* id of the [DONE] event; -1: not seen */
   bool in_order, error_event;
   bool stream;
   Sse sse;
@@ -93,9 +95,9 @@
   memset (answer, 0, sizeof *answer);
   answer->bytes = g_string_new (NULL);
   answer->content = g_string_new (NULL);
-  answer->total = -1;
+  answer->total_pieces = -1;
   answer->in_order = true;
-  answer->started = g_get_monotonic_time ();
+  answer->started_at = g_get_monotonic_time ();
   sse_init (&answer->sse);
 }
 
@@ -115,20 +117,20 @@
   if (event && strcmp (event, "error") == 0)
     answer->error_event = true;
   else if (strcmp (data, "[DONE]") == 0)
-    answer->total = id;
+    answer->total_pieces = id;
   else
     {
-      if (answer->first == 0)
-        answer->first = g_get_monotonic_time ();
-      answer->in_order &= id == answer->pieces;
-      answer->pieces++;
+      if (answer->first_piece_at == 0)
+        answer->first_piece_at = g_get_monotonic_time ();
+      answer->in_order &= id == answer->piece_count;
+      answer->piece_count++;
       body_append_delta (data, answer->content);
     }
   return true;
 }
 
 static size_t
-on_bytes (void *contents, size_t size, size_t count, void *user)
+on_body (void *contents, size_t size, size_t count, void *user)
 {
   Answer *answer = user;
 
@@ -138,46 +140,46 @@
   return size * count;
 }
 
-/* HTTP status; 0: the exchange broke. */
+/* Returns the HTTP status, or 0 if the exchange failed. */
 static long
-exchange_within (const char *entry, const char *method, const char *path, const Shot *shot,
-                 const char *body, Answer *answer, unsigned long seconds)
+send_http_timeout (const char *entry, const char *method, const char *path, const Request *request,
+                   const char *body, Answer *answer, unsigned long seconds)
 {
-  struct _u_request request;
-  struct _u_response response;
+  struct _u_request http_request;
+  struct _u_response http_response;
   long status = 0;
   char *bearer = g_strdup_printf ("Bearer %s", load.key);
 
-  ulfius_init_request (&request);
-  ulfius_init_response (&response);
-  request.http_verb = o_strdup (method);
-  request.http_url = msprintf ("%s%s", entry, path);
-  request.timeout = seconds;
+  ulfius_init_request (&http_request);
+  ulfius_init_response (&http_response);
+  http_request.http_verb = o_strdup (method);
+  http_request.http_url = msprintf ("%s%s", entry, path);
+  http_request.timeout = seconds;
   if (load.ca_folder)
-    request.ca_path = o_strdup (load.ca_folder);
-  u_map_put (request.map_header, "Authorization", bearer);
+    http_request.ca_path = o_strdup (load.ca_folder);
+  u_map_put (http_request.map_header, "Authorization", bearer);
   if (body)
     {
-      u_map_put (request.map_header, "Content-Type", "application/json");
-      u_map_put (request.map_header, "X-Request-Id", shot->id);
-      u_map_put (request.map_header, "X-Class", shot->class->name);
-      if (shot->class->service)
-        u_map_put (request.map_header, "Idempotency-Key", shot->id);
-      ulfius_set_binary_body_request (&request, body, strlen (body));
+      u_map_put (http_request.map_header, "Content-Type", "application/json");
+      u_map_put (http_request.map_header, "X-Request-Id", request->id);
+      u_map_put (http_request.map_header, "X-Class", request->class->name);
+      if (request->class->service)
+        u_map_put (http_request.map_header, "Idempotency-Key", request->id);
+      ulfius_set_binary_body_request (&http_request, body, strlen (body));
     }
-  if (ulfius_send_http_streaming_request (&request, &response, on_bytes, answer) == U_OK)
-    status = response.status;
-  ulfius_clean_request (&request);
-  ulfius_clean_response (&response);
+  if (ulfius_send_http_streaming_request (&http_request, &http_response, on_body, answer) == U_OK)
+    status = http_response.status;
+  ulfius_clean_request (&http_request);
+  ulfius_clean_response (&http_response);
   g_free (bearer);
   return status;
 }
 
 static long
-exchange (const char *entry, const char *method, const char *path, const Shot *shot,
-          const char *body, Answer *answer)
+send_http (const char *entry, const char *method, const char *path, const Request *request,
+           const char *body, Answer *answer)
 {
-  return exchange_within (entry, method, path, shot, body, answer, 120);
+  return send_http_timeout (entry, method, path, request, body, answer, 120);
 }
 
 static char *
@@ -190,9 +192,9 @@
   return g_string_free (out, FALSE);
 }
 
-/* The text of a whole, not streamed answer. */
+/* The text of an answer that was not streamed. */
 static char *
-whole_content (const char *text)
+parse_content (const char *text)
 {
   struct json_object *choices = NULL, *root = json_tokener_parse (text);
   const char *content = NULL;
@@ -207,16 +209,16 @@
 }
 
 static void
-count_reason (Row *row, const char *reason)
+count_reason (TierStats *stats, const char *reason)
 {
-  guint count = GPOINTER_TO_UINT (g_hash_table_lookup (row->reasons, reason));
+  guint count = GPOINTER_TO_UINT (g_hash_table_lookup (stats->reasons, reason));
 
-  g_hash_table_replace (row->reasons, g_strdup (reason), GUINT_TO_POINTER (count + 1));
+  g_hash_table_replace (stats->reasons, g_strdup (reason), GUINT_TO_POINTER (count + 1));
 }
 
-/* What a problem object says of itself. */
+/* Classifies an answer by its problem document. */
 static End
-judge_problem (const Shot *shot, const char *text)
+classify_problem (const Request *request, const char *text)
 {
   struct json_object *root = json_tokener_parse (text);
   const char *ran = NULL, *reason = NULL;
@@ -231,7 +233,7 @@
     {
       end = strcmp (ran, "no") == 0 ? END_REFUSED : END_UNKNOWN;
       g_mutex_lock (&load.lock);
-      count_reason (&load.rows[shot->class->tier], reason);
+      count_reason (&load.tiers[request->class->tier], reason);
       g_mutex_unlock (&load.lock);
     }
   json_object_put (root);
@@ -239,40 +241,41 @@
 }
 
 static End
-judge (const Shot *shot, long status, const Answer *answer)
+classify_answer (const Request *request, long status, const Answer *answer)
 {
   if (status != 200)
-    return judge_problem (shot, answer->bytes->str);
-  if (shot->class->service)
-    return strstr (answer->bytes->str, shot->id) ? END_WHOLE : END_CUT;
+    return classify_problem (request, answer->bytes->str);
+  if (request->class->service)
+    return strstr (answer->bytes->str, request->id) ? END_COMPLETE : END_DAMAGED;
   if (answer->error_event)
     return END_UNKNOWN;
-  char *wanted = expected_content (shot->tokens);
+  char *expected = expected_content (request->tokens);
   char *content
-      = answer->stream ? g_strdup (answer->content->str) : whole_content (answer->bytes->str);
-  bool whole = strcmp (wanted, content) == 0
-               && (!answer->stream || (answer->in_order && answer->total == answer->pieces));
-  g_free (wanted);
+      = answer->stream ? g_strdup (answer->content->str) : parse_content (answer->bytes->str);
+  bool complete
+      = strcmp (expected, content) == 0
+        && (!answer->stream || (answer->in_order && answer->total_pieces == answer->piece_count));
+  g_free (expected);
   g_free (content);
-  return whole ? END_WHOLE : END_CUT;
+  return complete ? END_COMPLETE : END_DAMAGED;
 }
 
-/* One instance's word on the request; *known: it answered at all. */
+/* Asks one instance for the answer. Sets *answered to whether the instance responded at all. */
 static End
-fetch_from (const char *entry, const char *path, const Shot *shot, bool *known)
+fetch_from (const char *entry, const char *path, const Request *request, bool *answered)
 {
   Answer answer;
   End end = END_LOST;
 
   answer_init (&answer);
-  long status = exchange (entry, "GET", path, shot, NULL, &answer);
-  *known = status != 0;
+  long status = send_http (entry, "GET", path, request, NULL, &answer);
+  *answered = status != 0;
   if (status == 200)
     {
-      answer.stream = !shot->class->service && g_str_has_prefix (answer.bytes->str, "id:");
+      answer.stream = !request->class->service && g_str_has_prefix (answer.bytes->str, "id:");
       if (answer.stream)
         sse_feed (&answer.sse, answer.bytes->str, answer.bytes->len, on_event, &answer);
-      end = judge (shot, status, &answer);
+      end = classify_answer (request, status, &answer);
     }
   else if (status != 404 && strstr (answer.bytes->str, "\"ran\":\"unknown\""))
     end = END_UNKNOWN;
@@ -280,62 +283,65 @@
   return end;
 }
 
-/* The connection broke: asks every instance for the answer, as long as one may still have it. */
+/* After a broken connection, asks every instance for the answer until one has it, or until the
+ * request must be given up as unknown or lost. */
 static End
-fetch_again (const Shot *shot)
+fetch_from_all (const Request *request)
 {
-  char *path = g_strdup_printf ("/v1/requests/%s", shot->id);
+  char *path = g_strdup_printf ("/v1/requests/%s", request->id);
   End end = END_LOST;
-  unsigned missed = 0;
+  unsigned missed_rounds = 0;
 
-  for (unsigned tries = 0; tries < FETCH_TRIES && end == END_LOST; tries++)
+  for (unsigned attempt = 0; attempt < FETCH_ATTEMPTS_MAX && end == END_LOST; attempt++)
     {
-      bool gone = false;
+      bool unreachable = false;
       for (unsigned i = 0; i < load.entry_count && end == END_LOST; i++)
         {
-          bool known;
-          end = fetch_from (load.entries[i], path, shot, &known);
-          gone |= !known;
+          bool answered;
+          end = fetch_from (load.entries[i], path, request, &answered);
+          unreachable |= !answered;
         }
-      bool died = gone || (guint) g_atomic_int_get (&load.life[shot->entry]) != shot->life;
-      if (end == END_LOST && died && ++missed == MISSED_MOST)
+      bool may_have_died = unreachable
+                           || (guint) g_atomic_int_get (&load.incarnation_hash[request->entry])
+                                  != request->incarnation_hash;
+      if (end == END_LOST && may_have_died && ++missed_rounds == MISSED_ROUNDS_MAX)
         end = END_UNKNOWN;
       if (end == END_LOST)
-        g_usleep (FETCH_WAIT);
+        g_usleep (FETCH_INTERVAL_US);
     }
   g_free (path);
   return end;
 }
 
 static void
-watch_entry (unsigned i)
+poll_entry (unsigned i)
 {
   Answer answer;
 
   answer_init (&answer);
-  bool ready = exchange_within (load.entries[i], "GET", "/readyz", NULL, NULL, &answer, 1) == 200;
+  bool ready = send_http_timeout (load.entries[i], "GET", "/readyz", NULL, NULL, &answer, 1) == 200;
   g_string_truncate (answer.bytes, 0);
-  if (exchange_within (load.entries[i], "GET", "/healthz", NULL, NULL, &answer, 1) == 200)
-    g_atomic_int_set (&load.life[i], g_str_hash (answer.bytes->str));
+  if (send_http_timeout (load.entries[i], "GET", "/healthz", NULL, NULL, &answer, 1) == 200)
+    g_atomic_int_set (&load.incarnation_hash[i], g_str_hash (answer.bytes->str));
   g_atomic_int_set (&load.ready[i], ready);
   answer_clear (&answer);
 }
 
 static void *
-watch_ready (void *data)
+poll_entries (void *data)
 {
   (void) data;
-  while (!g_atomic_int_get (&load.stopped))
+  while (!g_atomic_int_get (&load.stopping))
     {
       for (unsigned i = 0; i < load.entry_count; i++)
-        watch_entry (i);
+        poll_entry (i);
       g_usleep (50000);
     }
   return NULL;
 }
 
 static unsigned
-pick_entry (unsigned number)
+choose_entry (unsigned number)
 {
   for (unsigned i = 0; i < load.entry_count; i++)
     if (g_atomic_int_get (&load.ready[(number + i) % load.entry_count]))
@@ -344,65 +350,68 @@
 }
 
 static void
-record (const Shot *shot, End end, const Answer *answer)
+record_end (const Request *request, End end, const Answer *answer)
 {
-  Row *row = &load.rows[shot->class->tier];
+  TierStats *stats = &load.tiers[request->class->tier];
 
   if (end == END_LOST)
-    fprintf (stderr, "LOST %s e%u life %u now %u bytes %s\n", shot->id, shot->entry, shot->life,
-             load.life[shot->entry], answer->bytes->str);
+    fprintf (stderr, "LOST %s entry %u incarnation hash %u, now %u, received: %s\n", request->id,
+             request->entry, request->incarnation_hash, load.incarnation_hash[request->entry],
+             answer->bytes->str);
   g_mutex_lock (&load.lock);
-  row->ends[end]++;
-  if (end == END_WHOLE && answer->first)
+  stats->ends[end]++;
+  if (end == END_COMPLETE && answer->first_piece_at)
     {
-      double ms = (double) (answer->first - answer->started) / 1000;
-      g_array_append_val (row->first_ms, ms);
+      double ms = (double) (answer->first_piece_at - answer->started_at) / 1000;
+      g_array_append_val (stats->first_ms, ms);
     }
-  load.done++;
+  load.ended++;
   g_mutex_unlock (&load.lock);
 }
 
 static char *
-make_body (const Shot *shot)
+make_body (const Request *request)
 {
   GString *prompt = g_string_new (NULL);
 
-  /* Callers of a class share its first part, as system prompts do. */
-  while (prompt->len < shot->class->prompt * 2)
-    g_string_append_printf (prompt, "class %s rule %zu. ", shot->class->name, prompt->len);
-  while (prompt->len < shot->class->prompt * 4)
-    g_string_append_printf (prompt, "%u-%zu ", shot->number, prompt->len);
+  /* The first half is the same for all requests of a class, like a system prompt. */
+  while (prompt->len < request->class->prompt_tokens * 2)
+    g_string_append_printf (prompt, "class %s rule %zu. ", request->class->name, prompt->len);
+  while (prompt->len < request->class->prompt_tokens * 4)
+    g_string_append_printf (prompt, "%u-%zu ", request->number, prompt->len);
   char *body = g_strdup_printf (
       "{\"model\":\"standin\",\"stream\":%s,\"max_tokens\":%u,\"messages\":[{\"role\":\"user\","
       "\"content\":\"%s\"}]}",
-      shot->number % 4 ? "true" : "false", shot->tokens, prompt->str);
+      request->number % 4 ? "true" : "false", request->tokens, prompt->str);
   g_string_free (prompt, TRUE);
   return body;
 }
 
 static void
-run_shot (void *data, void *user)
+run_request (void *data, void *user)
 {
-  Shot *shot = data;
+  Request *request = data;
   Answer answer;
-  char *body = make_body (shot);
+  char *body = make_body (request);
 
   (void) user;
   answer_init (&answer);
-  answer.stream = !shot->class->service && shot->number % 4 != 0;
-  long status = exchange (load.entries[shot->entry], "POST",
-                          shot->class->service ? load.service_path : "/v1/chat/completions", shot,
-                          body, &answer);
-  record (shot, status ? judge (shot, status, &answer) : fetch_again (shot), &answer);
+  answer.stream = !request->class->service && request->number % 4 != 0;
+  long status = send_http (load.entries[request->entry], "POST",
+                           request->class->service ? load.service_path : "/v1/chat/completions",
+                           request, body, &answer);
+  record_end (request,
+              status ? classify_answer (request, status, &answer) : fetch_from_all (request),
+              &answer);
   answer_clear (&answer);
   g_free (body);
-  g_free (shot);
+  g_free (request);
 }
 
 /* ---- Arrivals ---- */
 
 static const Class *
-pick_class (GRand *random, const Class *classes, unsigned count)
+choose_class (GRand *random, const Class *classes, unsigned count)
 {
   unsigned sum = 0, at;
 
@@ -419,32 +428,33 @@
 }
 
 static void
-offer (GRand *random, GThreadPool *pool, const Class *classes, unsigned count, const char *run)
+start_request (GRand *random, GThreadPool *pool, const Class *classes, unsigned count,
+               const char *run)
 {
-  Shot *shot = g_new0 (Shot, 1);
+  Request *request = g_new0 (Request, 1);
 
-  shot->class = pick_class (random, classes, count);
-  shot->number = ++load.offered;
-  shot->seed = g_rand_int (random);
-  shot->entry = pick_entry (shot->number);
-  shot->life = (guint) g_atomic_int_get (&load.life[shot->entry]);
-  /* Lengths spread about tenfold around the class's own. */
+  request->class = choose_class (random, classes, count);
+  request->number = ++load.offered;
+  request->seed = g_rand_int (random);
+  request->entry = choose_entry (request->number);
+  request->incarnation_hash = (guint) g_atomic_int_get (&load.incarnation_hash[request->entry]);
+  /* A random factor from 0.3 to 3.3 spreads the lengths about tenfold. */
   double spread = exp (g_rand_double_range (random, -1.2, 1.2));
-  shot->tokens = (unsigned) MAX (1, shot->class->tokens * spread);
-  g_snprintf (shot->id, sizeof shot->id, "%s-%u", run, shot->number);
+  request->tokens = (unsigned) MAX (1, request->class->tokens * spread);
+  g_snprintf (request->id, sizeof request->id, "%s-%u", run, request->number);
   g_mutex_lock (&load.lock);
-  load.rows[shot->class->tier].offered++;
+  load.tiers[request->class->tier].offered++;
   g_mutex_unlock (&load.lock);
-  g_thread_pool_push (pool, shot, NULL);
+  g_thread_pool_push (pool, request, NULL);
 }
 
 static void
-progress (gint64 started, bool last)
+print_progress (gint64 started, bool last)
 {
   if (!isatty (2) && !last)
     return;
   fprintf (stderr, "\r%5.1f s: %u offered, %u ended%s",
-           (double) (g_get_monotonic_time () - started) / 1e6, load.offered, load.done,
+           (double) (g_get_monotonic_time () - started) / 1e6, load.offered, load.ended,
            last ? "\n" : "");
 }
 
@@ -452,10 +462,10 @@
 run_load (const Class *classes, unsigned count, double rate, double seconds, guint32 seed)
 {
   GRand *random = g_rand_new_with_seed (seed);
-  GThreadPool *pool = g_thread_pool_new (run_shot, NULL, -1, FALSE, NULL);
-  GThread *watcher = g_thread_new ("ready", watch_ready, NULL);
-  g_usleep (300000); /* the first word on readiness */
-  gint64 started = g_get_monotonic_time (), next = started, shown = started;
+  GThreadPool *pool = g_thread_pool_new (run_request, NULL, -1, FALSE, NULL);
+  GThread *poller = g_thread_new ("ready", poll_entries, NULL);
+  g_usleep (300000); /* time for the first readiness poll */
+  gint64 started = g_get_monotonic_time (), next = started, printed_at = started;
   char *run = g_strdup_printf ("s%u-%x", seed, (unsigned) g_random_int ());
 
   while (next - started < seconds * 1e6)
@@ -463,18 +473,18 @@
       gint64 now = g_get_monotonic_time ();
       if (now < next)
         g_usleep ((gulong) (next - now));
-      offer (random, pool, classes, count, run);
+      start_request (random, pool, classes, count, run);
       next += (gint64) (-log (1 - g_rand_double (random)) / rate * 1e6);
-      if (now - shown > 200000)
+      if (now - printed_at > 200000)
         {
-          progress (started, false);
-          shown = now;
+          print_progress (started, false);
+          printed_at = now;
         }
     }
   g_thread_pool_free (pool, FALSE, TRUE);
-  progress (started, true);
-  g_atomic_int_set (&load.stopped, 1);
-  g_thread_join (watcher);
+  print_progress (started, true);
+  g_atomic_int_set (&load.stopping, 1);
+  g_thread_join (poller);
   g_rand_free (random);
   g_free (run);
 }
@@ -482,7 +492,7 @@
 /* ---- Table ---- */
 
 static int
-compare (gconstpointer a, gconstpointer b)
+compare_double (gconstpointer a, gconstpointer b)
 {
   double x = *(const double *) a, y = *(const double *) b;
 
@@ -494,7 +504,7 @@
 {
   if (values->len == 0)
     return 0;
-  g_array_sort (values, compare);
+  g_array_sort (values, compare_double);
   return g_array_index (values, double, MIN (values->len - 1, (guint) (q * values->len)));
 }
 
@@ -504,13 +514,13 @@
   printf ("tier  offered  answered whole  refused  unknown  first token p50 ms  p95 ms  reasons\n");
   for (unsigned tier = 1; tier <= 5; tier++)
     {
-      Row *row = &load.rows[tier];
+      TierStats *stats = &load.tiers[tier];
       GHashTableIter iter;
       void *reason, *count;
-      printf ("%4u  %7u  %14u  %7u  %7u  %18.0f  %6.0f ", tier, row->offered, row->ends[END_WHOLE],
-              row->ends[END_REFUSED], row->ends[END_UNKNOWN], quantile (row->first_ms, 0.5),
-              quantile (row->first_ms, 0.95));
-      g_hash_table_iter_init (&iter, row->reasons);
+      printf ("%4u  %7u  %14u  %7u  %7u  %18.0f  %6.0f ", tier, stats->offered,
+              stats->ends[END_COMPLETE], stats->ends[END_REFUSED], stats->ends[END_UNKNOWN],
+              quantile (stats->first_ms, 0.5), quantile (stats->first_ms, 0.95));
+      g_hash_table_iter_init (&iter, stats->reasons);
       while (g_hash_table_iter_next (&iter, &reason, &count))
         printf (" %s:%u", (char *) reason, GPOINTER_TO_UINT (count));
       printf ("\n");
@@ -518,18 +528,18 @@
 }
 
 static unsigned
-sum_of (End end)
+sum_ends (End end)
 {
   unsigned sum = 0;
 
   for (unsigned tier = 1; tier <= 5; tier++)
-    sum += load.rows[tier].ends[end];
+    sum += load.tiers[tier].ends[end];
   return sum;
 }
 
-/* Dispatches that came twice, from the stand-ins' own counts. */
+/* Sums the duplicate dispatches that the stand-ins counted. */
 static unsigned
-count_doubled (struct arg_str *standins)
+count_duplicates (struct arg_str *standins)
 {
   unsigned doubled = 0;
 
@@ -537,7 +547,7 @@
     {
       Answer answer;
       answer_init (&answer);
-      if (exchange (standins->sval[i], "GET", "/stats", NULL, NULL, &answer) == 200)
+      if (send_http (standins->sval[i], "GET", "/stats", NULL, NULL, &answer) == 200)
         {
           struct json_object *root = json_tokener_parse (answer.bytes->str);
           doubled += (unsigned) json_object_get_int (json_object_object_get (root, "doubled"));
@@ -554,7 +564,7 @@
   char kind[16] = "model";
 
   return sscanf (text, "%63[^:]:%u:%u:%u:%u:%15s", class->name, &class->tier, &class->share,
-                 &class->prompt, &class->tokens, kind)
+                 &class->prompt_tokens, &class->tokens, kind)
              >= 5
          && class->tier >= 1 && class->tier <= 5
          && ((class->service = strcmp (kind, "service") == 0) || strcmp (kind, "model") == 0);
@@ -563,22 +573,25 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_str *entries = arg_strn ("e", "entry", "URL", 1, 64, "callers' port of an instance");
+  struct arg_str *entries = arg_strn ("e", "entry", "URL", 1, 64, "caller port of an instance");
   struct arg_str *key = arg_str1 ("k", "key", "KEY", "the organisation's key");
-  struct arg_str *ca
-      = arg_str0 (NULL, "ca-folder", "FOLDER", "with certificates to trust with https");
-  struct arg_str *class = arg_strn ("c", "class", "NAME:TIER:SHARE:PROMPT:TOKENS[:service]", 1,
-                                    CLASSES_MOST,
-                                    "a class of the catalogue, its share and mean lengths");
-  struct arg_str *standins = arg_strn (NULL, "standin", "URL", 0, 64, "counts doubled dispatches");
-  struct arg_str *path = arg_str0 (NULL, "service-path", "PATH", "path of service calls");
-  struct arg_str *name = arg_str0 (NULL, "name", "NAME", "name in the closing line, load");
-  struct arg_dbl *rate = arg_dbl0 ("r", "rate", "N", "requests a second, 20");
-  struct arg_dbl *seconds = arg_dbl0 ("t", "seconds", "S", "how long, 10, at most 3600");
-  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "seed of arrivals and lengths, 1");
+  struct arg_str *ca = arg_str0 (NULL, "ca-folder", "FOLDER", "CA certificates to trust for https");
+  struct arg_str *class = arg_strn (
+      "c", "class", "NAME:TIER:SHARE:PROMPT:TOKENS[:service]", 1, CLASSES_MAX,
+      "a class of the catalogue, its share of the requests and its mean lengths in tokens");
+  struct arg_str *standins
+      = arg_strn (NULL, "standin", "URL", 0, 64, "stand-in to ask for duplicate dispatches");
+  struct arg_str *path
+      = arg_str0 (NULL, "service-path", "PATH", "path of service calls, default /");
+  struct arg_str *name
+      = arg_str0 (NULL, "name", "NAME", "name in the last line of output, default load");
+  struct arg_dbl *rate = arg_dbl0 ("r", "rate", "N", "requests per second, default 20");
+  struct arg_dbl *seconds
+      = arg_dbl0 ("t", "seconds", "S", "duration in seconds, default 10, at most 3600");
+  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "seed of arrivals and lengths, default 1");
   struct arg_end *end = arg_end (8);
   void *table[] = { entries, key, ca, class, standins, path, name, rate, seconds, seed, end };
-  Class classes[CLASSES_MOST];
+  Class classes[CLASSES_MAX];
 
   rate->dval[0] = 20;
   seconds->dval[0] = 10;
@@ -587,8 +600,10 @@
   for (int i = 0; i < class->count && errors == 0; i++)
     if (!parse_class (class->sval[i], &classes[i]))
       {
-        fprintf (stderr, "foxtailload: class %s: want NAME:TIER:SHARE:PROMPT:TOKENS[:service]\n",
-                 class->sval[i]);
+        fprintf (
+            stderr,
+            "foxtailload: invalid class %s; expected NAME:TIER:SHARE:PROMPT:TOKENS[:service]\n",
+            class->sval[i]);
         return 2;
       }
   if (errors || seconds->dval[0] > 3600)
@@ -605,16 +620,17 @@
   load.service_path = path->count ? path->sval[0] : "/";
   for (unsigned i = 0; i < 6; i++)
     {
-      load.rows[i].first_ms = g_array_new (FALSE, FALSE, sizeof (double));
-      load.rows[i].reasons = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+      load.tiers[i].first_ms = g_array_new (FALSE, FALSE, sizeof (double));
+      load.tiers[i].reasons = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
     }
   run_load (classes, (unsigned) class->count, rate->dval[0], seconds->dval[0],
             (guint32) seed->ival[0]);
   print_table ();
-  unsigned lost = sum_of (END_LOST), cut = sum_of (END_CUT), doubled = count_doubled (standins);
-  unsigned unknown = sum_of (END_UNKNOWN);
+  unsigned lost = sum_ends (END_LOST), cut = sum_ends (END_DAMAGED),
+           doubled = count_duplicates (standins);
+  unsigned unknown = sum_ends (END_UNKNOWN);
   printf ("%s: %u offered, %u answered whole, %u refused, ", name->count ? name->sval[0] : "load",
-          load.offered, sum_of (END_WHOLE), sum_of (END_REFUSED));
+          load.offered, sum_ends (END_COMPLETE), sum_ends (END_REFUSED));
   if (unknown)
     printf ("%u unknown, ", unknown);
   printf ("%u lost, %u doubled, %u cut\n", lost, doubled, cut);
--- a/bench/pair.c
+++ b/bench/pair.c
@@ -1,7 +1,8 @@
-/* pair.c - foxtailpair: what an instance adds to a call, measured as pairs in one run.
+/* pair.c - foxtailpair: measures the latency that an instance adds to a call, and its throughput.
  *
- * The same client calls the stand-in directly and through an instance, in turn; the difference is
- * taken pair by pair. Then several threads call through the instance as fast as it answers. */
+ * The same client alternates calls to the stand-in directly and through an instance, and the
+ * difference is taken for each pair, so that both share the load of the machine at that moment.
+ * Then several threads call through the instance without a pause. */
 #include "http.h"
 
 #include <argtable2.h>
@@ -12,10 +13,11 @@
 {
   const char *url, *key;
   unsigned calls, failed;
-} Batch;
+} ThreadCalls;
 
+/* Returns the duration of the call in microseconds, or -1 if it failed. */
 static gint64
-call (const char *url, const char *key)
+timed_call (const char *url, const char *key)
 {
   struct _u_request request;
   struct _u_response response;
@@ -29,15 +31,15 @@
   request.timeout = 30;
   u_map_put (request.map_header, "Authorization", bearer);
   ulfius_set_binary_body_request (&request, "x", 1);
-  bool done = ulfius_send_http_request (&request, &response) == U_OK && response.status == 200;
+  bool succeeded = ulfius_send_http_request (&request, &response) == U_OK && response.status == 200;
   ulfius_clean_request (&request);
   ulfius_clean_response (&response);
   g_free (bearer);
-  return done ? g_get_monotonic_time () - started : -1;
+  return succeeded ? g_get_monotonic_time () - started : -1;
 }
 
 static int
-compare (gconstpointer a, gconstpointer b)
+compare_us (gconstpointer a, gconstpointer b)
 {
   gint64 x = *(const gint64 *) a, y = *(const gint64 *) b;
 
@@ -47,38 +49,38 @@
 static double
 quantile_ms (GArray *us, double q)
 {
-  g_array_sort (us, compare);
+  g_array_sort (us, compare_us);
   return us->len ? (double) g_array_index (us, gint64, (guint) (q * (us->len - 1))) / 1000 : 0;
 }
 
 static void *
-run_batch (void *data)
+run_thread_calls (void *data)
 {
-  Batch *batch = data;
+  ThreadCalls *thread_calls = data;
 
-  for (unsigned i = 0; i < batch->calls; i++)
-    batch->failed += call (batch->url, batch->key) < 0;
+  for (unsigned i = 0; i < thread_calls->calls; i++)
+    thread_calls->failed += timed_call (thread_calls->url, thread_calls->key) < 0;
   return NULL;
 }
 
 static void
 measure_rate (const char *url, const char *key, unsigned threads, unsigned calls)
 {
-  Batch batch[64];
-  GThread *running[64];
+  ThreadCalls thread_calls[64];
+  GThread *handles[64];
   unsigned failed = 0;
   gint64 started = g_get_monotonic_time ();
 
-  threads = MIN (threads, G_N_ELEMENTS (batch));
+  threads = MIN (threads, G_N_ELEMENTS (thread_calls));
   for (unsigned i = 0; i < threads; i++)
     {
-      batch[i] = (Batch){ url, key, calls, 0 };
-      running[i] = g_thread_new ("calls", run_batch, &batch[i]);
+      thread_calls[i] = (ThreadCalls){ url, key, calls, 0 };
+      handles[i] = g_thread_new ("calls", run_thread_calls, &thread_calls[i]);
     }
   for (unsigned i = 0; i < threads; i++)
     {
-      g_thread_join (running[i]);
-      failed += batch[i].failed;
+      g_thread_join (handles[i]);
+      failed += thread_calls[i].failed;
     }
   double seconds = (double) (g_get_monotonic_time () - started) / 1e6;
   printf ("%u threads: %.0f requests/s, %u of %u failed\n", threads, threads * calls / seconds,
@@ -88,15 +90,16 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_str *direct = arg_str1 (NULL, "direct", "URL", "the stand-in's");
-  struct arg_str *through = arg_str1 (NULL, "through", "URL", "the instance's");
+  struct arg_str *direct = arg_str1 (NULL, "direct", "URL", "URL of the stand-in");
+  struct arg_str *through = arg_str1 (NULL, "through", "URL", "the same path through the instance");
   struct arg_str *key = arg_str1 ("k", "key", "KEY", "the organisation's key");
-  struct arg_int *count = arg_int0 ("n", "count", "N", "pairs, 1000");
-  struct arg_int *threads = arg_int0 (NULL, "threads", "N", "for the rate, 16, at most 64");
+  struct arg_int *count = arg_int0 ("n", "count", "N", "number of pairs, default 1000");
+  struct arg_int *threads = arg_int0 (
+      NULL, "threads", "N", "threads that measure the throughput, default 16, at most 64");
   struct arg_end *end = arg_end (4);
   void *table[] = { direct, through, key, count, threads, end };
-  GArray *plain = g_array_new (FALSE, FALSE, sizeof (gint64));
-  GArray *added = g_array_new (FALSE, FALSE, sizeof (gint64));
+  GArray *direct_us = g_array_new (FALSE, FALSE, sizeof (gint64));
+  GArray *added_us = g_array_new (FALSE, FALSE, sizeof (gint64));
 
   count->ival[0] = 1000;
   threads->ival[0] = 16;
@@ -109,16 +112,17 @@
   ulfius_global_init ();
   for (int i = 0; i < MIN (100000, count->ival[0]); i++)
     {
-      gint64 a = call (direct->sval[0], key->sval[0]), b = call (through->sval[0], key->sval[0]);
+      gint64 a = timed_call (direct->sval[0], key->sval[0]),
+             b = timed_call (through->sval[0], key->sval[0]);
       gint64 difference = b - a;
       if (a < 0 || b < 0)
         continue;
-      g_array_append_val (plain, a);
-      g_array_append_val (added, difference);
+      g_array_append_val (direct_us, a);
+      g_array_append_val (added_us, difference);
     }
-  printf ("%u pairs: direct p50 %.2f ms, p99 %.2f ms; added p50 %.2f ms, p99 %.2f ms\n", plain->len,
-          quantile_ms (plain, 0.5), quantile_ms (plain, 0.99), quantile_ms (added, 0.5),
-          quantile_ms (added, 0.99));
+  printf ("%u pairs: direct p50 %.2f ms, p99 %.2f ms; added p50 %.2f ms, p99 %.2f ms\n",
+          direct_us->len, quantile_ms (direct_us, 0.5), quantile_ms (direct_us, 0.99),
+          quantile_ms (added_us, 0.5), quantile_ms (added_us, 0.99));
   measure_rate (through->sval[0], key->sval[0], (unsigned) threads->ival[0], 500);
   return 0;
 }
