--- a/bench/sim.c
+++ b/bench/sim.c
@@ -355,7 +355,7 @@
 
   memcpy (&kind, bytes->data, 4);
   kind = GUINT32_FROM_BE (kind);
-  return kind >= MSG_VOTE && kind <= MSG_BLANK;
+  return kind >= MSG_VOTE && kind <= MSG_BOOTSTRAP;
 }
 
 static void
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -276,10 +276,10 @@
   FtError error;
 
   (void) user;
-  if (id == NULL || body_read_chat (text, &chat, &error) != FT_OK)
+  if (id == NULL || body_parse_chat (text, &chat, &error) != FT_OK)
     {
       g_free (text);
-      http_json (response, 400, "{\"error\":\"bad request\"}");
+      http_set_json (response, 400, "{\"error\":\"bad request\"}");
       return U_CALLBACK_COMPLETE;
     }
   g_mutex_lock (&engine.lock);
@@ -291,7 +291,7 @@
       engine.turned_away++;
       g_mutex_unlock (&engine.lock);
       u_map_put (response->map_header, "Retry-After", seconds);
-      http_json (response, 503, "{\"error\":\"busy\"}");
+      http_set_json (response, 503, "{\"error\":\"busy\"}");
       body_clear_chat (&chat);
       g_free (text);
       return U_CALLBACK_COMPLETE;
@@ -327,7 +327,7 @@
       start_response (stream, offset ? (unsigned) atoi (offset) : 0, response);
     }
   else
-    http_json (response, 404, "{\"error\":\"no such stream\"}");
+    http_set_json (response, 404, "{\"error\":\"no such stream\"}");
   g_mutex_unlock (&engine.lock);
   return U_CALLBACK_COMPLETE;
 }
@@ -342,7 +342,7 @@
     stream->paused = true;
   g_cond_broadcast (&engine.cond);
   g_mutex_unlock (&engine.lock);
-  http_json (response, stream ? 200 : 404, "{}");
+  http_set_json (response, stream ? 200 : 404, "{}");
   return U_CALLBACK_COMPLETE;
 }
 
@@ -374,7 +374,7 @@
     }
   g_mutex_unlock (&engine.lock);
   g_string_append (out, "]}");
-  http_json (response, 200, out->str);
+  http_set_json (response, 200, out->str);
   g_string_free (out, TRUE);
   return U_CALLBACK_COMPLETE;
 }
@@ -390,8 +390,8 @@
   bool is_stale = engine.conf.fencing && fencing < engine.fencing;
   engine.fencing = MAX (engine.fencing, fencing);
   g_mutex_unlock (&engine.lock);
-  http_json (response, is_stale ? 409 : 200,
-             is_stale ? "{\"error\":\"old fencing number\"}" : "{}");
+  http_set_json (response, is_stale ? 409 : 200,
+                 is_stale ? "{\"error\":\"old fencing number\"}" : "{}");
   return U_CALLBACK_COMPLETE;
 }
 
@@ -408,7 +408,7 @@
               "\"turned_away\":%u}",
               engine.dispatches, engine.duplicates, engine.finished, engine.turned_away);
   g_mutex_unlock (&engine.lock);
-  http_json (response, 200, text);
+  http_set_json (response, 200, text);
   return U_CALLBACK_COMPLETE;
 }
 
@@ -432,7 +432,7 @@
     engine.retry_after_s = (unsigned) atoi (backoff);
   g_cond_broadcast (&engine.cond);
   g_mutex_unlock (&engine.lock);
-  http_json (response, 200, "{}");
+  http_set_json (response, 200, "{}");
   return U_CALLBACK_COMPLETE;
 }
 
--- a/standin/service.c
+++ b/standin/service.c
@@ -30,7 +30,7 @@
     service.duplicates++;
   g_mutex_unlock (&service.lock);
   g_snprintf (text, sizeof text, "{\"call\":%u,\"id\":\"%s\"}", number, id ? id : "");
-  http_json (response, 200, text);
+  http_set_json (response, 200, text);
   return U_CALLBACK_COMPLETE;
 }
 
@@ -45,7 +45,7 @@
   g_snprintf (text, sizeof text, "{\"dispatches\":%u,\"doubled\":%u,\"finished\":%u}",
               service.calls, service.duplicates, service.calls);
   g_mutex_unlock (&service.lock);
-  http_json (response, 200, text);
+  http_set_json (response, 200, text);
   return U_CALLBACK_COMPLETE;
 }
 
@@ -66,9 +66,9 @@
 
   (void) request;
   if (g_file_get_contents (user, &text, NULL, NULL))
-    http_json (response, 200, text);
+    http_set_json (response, 200, text);
   else
-    http_json (response, 500, "{}");
+    http_set_json (response, 500, "{}");
   g_free (text);
   return U_CALLBACK_COMPLETE;
 }
