--- a/test/clock.h
+++ b/test/clock.h
@@ -1,4 +1,4 @@
-/* clock.h - a clock that a test moves. */
+/* clock.h - a simulated clock that tests advance. */
 #ifndef TEST_CLOCK_H
 #define TEST_CLOCK_H
 
--- a/test/engines.h
+++ b/test/engines.h
@@ -1,5 +1,5 @@
-/* engines.h - a scheduler on a clock of the test's own, before a small model of engines that run,
- * fail and vanish as the test says. */
+/* engines.h - simulation of a scheduler and a pool of inference servers on a simulated clock.
+ * Servers fail or become unreachable as the test sets it. */
 #ifndef TEST_ENGINES_H
 #define TEST_ENGINES_H
 
@@ -10,109 +10,110 @@
 #include <stdio.h>
 #include <string.h>
 
-/* ---- A model of engines: places, prompts one after another, tokens at one speed ---- */
+/* ---- Simulated servers: places, prefill of one prompt at a time, constant output speed ---- */
 
-#define SERVERS 12
-#define JOBS    20000
+#define SERVERS  12
+#define JOBS_MAX 20000
 
 typedef struct
 {
   char id[16];
-  double speed; /* times the normal duration */
-  bool dark;    /* takes no connection */
-  bool gone;    /* another answers at its address and runs nothing */
-  bool failing; /* answers with failure */
-  bool gray;    /* so to four in ten requests */
-  double rate;  /* its answers name it, requests a second; 0: none */
+  double speed;        /* factor on all durations */
+  bool unreachable;    /* accepts no connection */
+  bool replaced;       /* another server answers at its address and runs no request for it */
+  bool failing;        /* answers every request with a failure */
+  bool partly_failing; /* answers 40 % of its requests with a failure */
+  double rate;         /* rate limit that its answers announce, requests per second; 0: none */
   unsigned running;
-  int64_t prompts_until;
+  int64_t prefill_until;
 } Server;
 
 typedef struct
 {
-  int64_t arrived, sent_at, first_at, end_at; /* 0: not yet */
+  int64_t arrived_at, sent_at, first_event_at, end_at; /* 0: not yet */
   unsigned tier, prompt, output;
-  int server; /* -1: waits */
-  bool first_told, refused, done, failed;
-  unsigned owner; /* by ask_as_owners */
+  int server; /* -1: waiting or refused */
+  bool first_event_reported, refused, done, failed;
+  unsigned owner; /* set by run_owners in health.c */
   bool counted;
-  int64_t refused_after, advice;
-  bool promised; /* the refusal's rule says that the advice is a promise */
-  double rate;   /* its answer named it */
-} Work;
+  int64_t refused_after_us, advice_us;
+  bool promised; /* the rule of the refusal states that capacity is reserved for the advised time */
+  double rate;   /* rate limit that its answer announced */
+} Job;
 
 typedef struct
 {
   TestClock clock;
   Sched *sched;
-  int64_t max_idle_us;  /* of the last grant */
-  int64_t out_at;       /* when the first server was last taken out */
-  unsigned outs;        /* how often */
-  int64_t least_out_us; /* the shortest time from there until it was back */
+  int64_t max_idle_us;      /* as passed to the last grant */
+  int64_t taken_out_at;     /* when server 0 was last taken out of use */
+  unsigned taken_out_count; /* how often server 0 was taken out of use */
+  int64_t min_out_us;       /* shortest time for which server 0 was out of use */
   Server servers[SERVERS];
-  unsigned count, slots;
-  Work *work;
-  unsigned works;
-  int64_t aim, patience;
-  const char *org; /* that asks from now on; NULL: "o" */
-  double prompt_us, growth,
-      latency_us; /* a prompt of n: latency + n x prompt_us x (1 + n x growth) */
+  unsigned server_count, slots;
+  Job *jobs;
+  unsigned job_count;
+  int64_t aim_us, max_wait_us;
+  const char *org; /* organisation of the next requests; NULL: "o" */
+  /* prefill of n tokens takes latency_us + n x prompt_token_us x (1 + n x growth) */
+  double prompt_token_us, growth, latency_us;
   uint64_t seed;
-} World;
+} Model;
 
-static World *world;
+static Model *model;
 
 static inline double
-draw (void)
+random_unit (void)
 {
-  world->seed = world->seed * 6364136223846793005u + 1442695040888963407u;
-  return (double) (world->seed >> 11) / 9007199254740992.0;
+  model->seed = model->seed * 6364136223846793005u + 1442695040888963407u;
+  return (double) (model->seed >> 11) / 9007199254740992.0;
 }
 
 static inline void
 on_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *id,
           int64_t max_idle_us)
 {
-  Work *work = &world->work[request];
+  Job *job = &model->jobs[request];
 
   (void) host;
   (void) owner;
   (void) org;
-  world->max_idle_us = max_idle_us;
-  work->server = atoi (id + 1);
-  work->sent_at = world->clock.now;
-  Server *server = &world->servers[work->server];
+  model->max_idle_us = max_idle_us;
+  job->server = atoi (id + 1);
+  job->sent_at = model->clock.now;
+  Server *server = &model->servers[job->server];
   server->running++;
-  g_assert_cmpuint (server->running, <=, world->slots); /* never beyond the places */
-  if (server->dark || server->gone)
+  g_assert_cmpuint (server->running, <=, model->slots); /* no more requests than places */
+  if (server->unreachable || server->replaced)
     {
-      work->end_at = world->clock.now + 1 * FT_MS;
-      work->failed = true;
+      job->end_at = model->clock.now + 1 * FT_MS;
+      job->failed = true;
       return;
     }
-  int64_t start = MAX (world->clock.now, server->prompts_until);
-  double prompt = work->prompt * world->prompt_us * (1 + work->prompt * world->growth);
-  server->prompts_until = start + (int64_t) (prompt * server->speed);
-  work->first_at = server->prompts_until + (int64_t) (world->latency_us + 18000 * server->speed);
-  work->end_at = work->first_at + (int64_t) (work->output * 6000 * server->speed);
-  if (server->failing || (server->gray && draw () < 0.4))
+  int64_t start = MAX (model->clock.now, server->prefill_until);
+  double prompt = job->prompt * model->prompt_token_us * (1 + job->prompt * model->growth);
+  server->prefill_until = start + (int64_t) (prompt * server->speed);
+  job->first_event_at
+      = server->prefill_until + (int64_t) (model->latency_us + 18000 * server->speed);
+  job->end_at = job->first_event_at + (int64_t) (job->output * 6000 * server->speed);
+  if (server->failing || (server->partly_failing && random_unit () < 0.4))
     {
-      work->end_at = world->clock.now + 20 * FT_MS;
-      work->failed = true;
+      job->end_at = model->clock.now + 20 * FT_MS;
+      job->failed = true;
     }
 }
 
 static inline void
 on_refuse (void *host, uint64_t owner, uint64_t request, const SchedRefusal *refusal)
 {
-  Work *work = &world->work[request];
+  Job *job = &model->jobs[request];
 
   (void) host;
   (void) owner;
-  work->refused = work->done = true;
-  work->refused_after = world->clock.now - work->arrived;
-  work->advice = refusal->retry_after_us;
-  work->promised = strstr (refusal->rule, "; promised in ") != NULL;
+  job->refused = job->done = true;
+  job->refused_after_us = model->clock.now - job->arrived_at;
+  job->advice_us = refusal->retry_after_us;
+  job->promised = strstr (refusal->rule, "; promised in ") != NULL;
   g_assert_true (*refusal->rule);
 }
 
@@ -125,7 +126,7 @@
 }
 
 static inline void
-on_believes (void *host, const char *server, bool out, const char *why, int64_t for_us)
+on_server_state (void *host, const char *server, bool out, const char *why, int64_t for_us)
 {
   (void) host;
   (void) why;
@@ -134,143 +135,149 @@
     return;
   if (!out)
     {
-      world->least_out_us = MIN (world->least_out_us, world->clock.now - world->out_at);
+      model->min_out_us = MIN (model->min_out_us, model->clock.now - model->taken_out_at);
       return;
     }
-  world->out_at = world->clock.now;
-  world->outs++;
+  model->taken_out_at = model->clock.now;
+  model->taken_out_count++;
 }
 
-static const SchedOps ops = { on_grant, on_refuse, on_unused, on_believes, NULL, NULL };
+static const SchedOps ops = { on_grant, on_refuse, on_unused, on_server_state, NULL, NULL };
 
 static inline void
-give_list (void)
+set_server_list (void)
 {
   SchedServer list[SERVERS];
 
-  for (unsigned i = 0; i < world->count; i++)
-    list[i] = (SchedServer){ world->servers[i].id, "s", "d", world->slots, false, 0, NULL };
-  sched_set_servers (world->sched, list, world->count);
+  for (unsigned i = 0; i < model->server_count; i++)
+    list[i] = (SchedServer){ model->servers[i].id, "s", "d", model->slots, false, 0, NULL };
+  sched_set_servers (model->sched, list, model->server_count);
 }
 
-/* One in three servers is more than four times slower, as in pools of several generations. */
+/* mixed_speeds: every third server is more than four times slower, as in a pool of several
+ * hardware generations. */
 static inline void
-begin (unsigned servers, unsigned slots, bool unlike)
+model_begin (unsigned servers, unsigned slots, bool mixed_speeds)
 {
   SchedServiceConf conf = { true, 3, 0 };
 
-  world = g_new0 (World, 1);
-  world->clock = test_clock ();
-  world->seed = 7;
-  world->least_out_us = INT64_MAX;
-  world->count = servers;
-  world->slots = slots;
-  world->aim = 800 * FT_MS;
-  world->patience = 3200 * FT_MS;
-  world->prompt_us = 20;
-  world->work = g_new0 (Work, JOBS);
-  world->sched = sched_new (&world->clock.base, &ops, NULL);
+  model = g_new0 (Model, 1);
+  model->clock = test_clock ();
+  model->seed = 7;
+  model->min_out_us = INT64_MAX;
+  model->server_count = servers;
+  model->slots = slots;
+  model->aim_us = 800 * FT_MS;
+  model->max_wait_us = 3200 * FT_MS;
+  model->prompt_token_us = 20;
+  model->jobs = g_new0 (Job, JOBS_MAX);
+  model->sched = sched_new (&model->clock.base, &ops, NULL);
   for (unsigned i = 0; i < servers; i++)
     {
-      snprintf (world->servers[i].id, sizeof world->servers[i].id, "s%u", i);
-      world->servers[i].speed = unlike && i % 3 == 2 ? 3.0 : 0.68;
+      snprintf (model->servers[i].id, sizeof model->servers[i].id, "s%u", i);
+      model->servers[i].speed = mixed_speeds && i % 3 == 2 ? 3.0 : 0.68;
     }
-  sched_set_service (world->sched, "s", &conf);
-  give_list ();
+  sched_set_service (model->sched, "s", &conf);
+  set_server_list ();
 }
 
 static inline void
-end (void)
+model_end (void)
 {
-  sched_free (world->sched);
-  g_free (world->work);
-  g_free (world);
+  sched_free (model->sched);
+  g_free (model->jobs);
+  g_free (model);
 }
 
 static inline unsigned
-ask_kept (unsigned tier, unsigned prompt, unsigned output, const uint32_t *kept, unsigned count)
+ask_with_connections (unsigned tier, unsigned prompt, unsigned output, const uint32_t *kept,
+                      unsigned count)
 {
-  unsigned number = world->works++;
-  Work *work = &world->work[number];
-  int64_t now = world->clock.now;
+  unsigned number = model->job_count++;
+  Job *job = &model->jobs[number];
+  int64_t now = model->clock.now;
 
-  *work = (Work){ .arrived = now, .tier = tier, .prompt = prompt, .output = output, .server = -1 };
+  *job = (Job){ .arrived_at = now, .tier = tier, .prompt = prompt, .output = output, .server = -1 };
   SchedAsk ask = { .owner = 1,
                    .request = number,
                    .service = "s",
-                   .org = world->org ? world->org : "o",
+                   .org = model->org ? model->org : "o",
                    .tier = tier,
                    .stream = true,
                    .repeatable = true,
                    .prompt_tokens = prompt,
                    .output_tokens = output,
                    .gap_us = 300 * FT_MS,
-                   .aim_at = now + world->aim,
-                   .limit_at = now + world->patience,
+                   .aim_at = now + model->aim_us,
+                   .limit_at = now + model->max_wait_us,
                    .end_at = now + 12 * FT_SECOND,
                    .kept = kept,
                    .kept_count = count };
-  sched_ask (world->sched, &ask);
+  sched_ask (model->sched, &ask);
   return number;
 }
 
 static inline unsigned
 ask (unsigned tier, unsigned prompt, unsigned output)
 {
-  return ask_kept (tier, prompt, output, NULL, 0);
+  return ask_with_connections (tier, prompt, output, NULL, 0);
 }
 
 static inline void
-finish (unsigned number, Work *work)
+finish_job (unsigned number, Job *job)
 {
   SchedResult result = { .outcome = SCHED_OK };
-  Server *server = &world->servers[work->server];
+  Server *server = &model->servers[job->server];
 
-  work->done = true;
+  job->done = true;
   server->running--;
-  if (work->failed)
-    result.outcome = server->dark ? SCHED_UNREACHED : server->gone ? SCHED_GONE : SCHED_FAILED;
+  if (job->failed)
+    result.outcome = server->unreachable ? SCHED_UNREACHED
+                     : server->replaced  ? SCHED_GONE
+                                         : SCHED_FAILED;
   else
     result.event_us = (int64_t) (18000 * server->speed);
-  sched_done (world->sched, 1, number, &result);
+  sched_done (model->sched, 1, number, &result);
 }
 
-/* The head of the answer has come. */
+/* Reports the head of an answer, which may announce a rate limit. */
 static inline void
-tell_notice (unsigned number)
+report_notice (unsigned number)
 {
-  Work *work = &world->work[number];
-  Notice notice = { .rate = world->servers[work->server].rate };
+  Job *job = &model->jobs[number];
+  Notice notice = { .rate = model->servers[job->server].rate };
 
-  work->rate = notice.rate;
-  sched_notice (world->sched, 1, number, world->servers[work->server].id, &notice);
+  job->rate = notice.rate;
+  sched_notice (model->sched, 1, number, model->servers[job->server].id, &notice);
 }
 
 static inline void
 step (void)
 {
-  world->clock.now += 2 * FT_MS;
-  for (unsigned i = 0; i < world->works; i++)
+  model->clock.now += 2 * FT_MS;
+  for (unsigned i = 0; i < model->job_count; i++)
     {
-      Work *work = &world->work[i];
-      if (work->server < 0 || work->done)
+      Job *job = &model->jobs[i];
+      if (job->server < 0 || job->done)
         continue;
-      if (!work->first_told && work->first_at && work->first_at <= world->clock.now)
+      if (!job->first_event_reported && job->first_event_at
+          && job->first_event_at <= model->clock.now)
         {
-          work->first_told = true;
-          tell_notice (i);
-          sched_first_event (world->sched, 1, i, work->first_at - work->sent_at);
+          job->first_event_reported = true;
+          report_notice (i);
+          sched_first_event (model->sched, 1, i, job->first_event_at - job->sent_at);
         }
-      if (work->end_at <= world->clock.now)
-        finish (i, work);
+      if (job->end_at <= model->clock.now)
+        finish_job (i, job);
     }
-  if (world->clock.now % (20 * FT_MS) == 0)
-    sched_tick (world->sched);
+  if (model->clock.now % (20 * FT_MS) == 0)
+    sched_tick (model->sched);
 }
 
-/* Sends per_s requests a second of three tiers for seconds. */
+/* Submits per_s requests per second for this many simulated seconds. mix: the shares of the
+ * three tiers. */
 static inline void
-load (double seconds, double per_s, const double *parts)
+run_load (double seconds, double per_s, const double *mix)
 {
   double due = 0;
 
@@ -280,10 +287,10 @@
       while (due >= 1)
         {
           due -= 1;
-          double which = draw (), size = 0.4 + 1.2 * draw ();
-          if (which < parts[0])
+          double which = random_unit (), size = 0.4 + 1.2 * random_unit ();
+          if (which < mix[0])
             ask (0, (unsigned) (3700 * size), (unsigned) (120 * size));
-          else if (which < parts[0] + parts[1])
+          else if (which < mix[0] + mix[1])
             ask (1, (unsigned) (2900 * size), (unsigned) (50 * size));
           else
             ask (2, (unsigned) (1100 * size), (unsigned) (170 * size));
@@ -292,8 +299,9 @@
     }
 }
 
+/* Runs for 20 s without new requests, so that all jobs end. */
 static inline void
-settle (void)
+drain_jobs (void)
 {
   for (int i = 0; i < 10000; i++)
     step ();
@@ -302,30 +310,30 @@
 typedef struct
 {
   unsigned asked, in_time, refused, failed;
-  int64_t late_refusal; /* the longest that one was held */
-} Tally;
+  int64_t max_refusal_us; /* longest wait of a request that was refused */
+} TierCounts;
 
-static inline Tally
-tally (unsigned tier, unsigned from)
+static inline TierCounts
+count_tier (unsigned tier, unsigned from)
 {
-  Tally out = { 0 };
+  TierCounts out = { 0 };
 
-  for (unsigned i = from; i < world->works; i++)
+  for (unsigned i = from; i < model->job_count; i++)
     {
-      const Work *work = &world->work[i];
-      if (work->tier != tier)
+      const Job *job = &model->jobs[i];
+      if (job->tier != tier)
         continue;
-      g_assert_true (work->done); /* each request gets a verdict and an end */
+      g_assert_true (job->done); /* each request is refused or comes to its end */
       out.asked++;
-      out.refused += work->refused;
-      out.failed += work->failed;
-      out.in_time
-          += !work->refused && !work->failed && work->first_at - work->arrived <= world->aim;
-      out.late_refusal = MAX (out.late_refusal, work->refused ? work->refused_after : 0);
+      out.refused += job->refused;
+      out.failed += job->failed;
+      out.in_time += !job->refused && !job->failed
+                     && job->first_event_at - job->arrived_at <= model->aim_us;
+      out.max_refusal_us = MAX (out.max_refusal_us, job->refused ? job->refused_after_us : 0);
     }
   return out;
 }
 
-static const double usual[] = { 0.32, 0.24, 0.44 }, only_low[] = { 0, 0, 1 };
+static const double default_mix[] = { 0.32, 0.24, 0.44 }, lowest_tier_only[] = { 0, 0, 1 };
 
 #endif
--- a/test/pace.c
+++ b/test/pace.c
@@ -1,25 +1,24 @@
-/* pace.c - servers that name the rate that they take, before a scheduler on a clock of the test's
- * own. */
+/* pace.c - tests of rate limits that servers announce, with a simulated clock. */
 #include "engines.h"
 #include "rules.h"
 
-#define SETTLE (3 * FT_SECOND)
+#define SETTLE_US (3 * FT_SECOND)
 
-/* What the servers saw, by the records of the world. */
+/* The requests that servers received, as Arrival, from the records of the model. */
 static GArray *
-seen (void)
+list_arrivals (void)
 {
   GArray *arrivals = g_array_new (FALSE, FALSE, sizeof (Arrival));
 
-  for (unsigned i = 0; i < world->works; i++)
+  for (unsigned i = 0; i < model->job_count; i++)
     {
-      const Work *work = &world->work[i];
-      Arrival arrival = { .server = (unsigned) work->server,
+      const Job *job = &model->jobs[i];
+      Arrival arrival = { .server = (unsigned) job->server,
                           .instance = 1,
-                          .at = work->sent_at,
-                          .answered_at = work->first_told ? work->first_at : 0,
-                          .rate = work->rate };
-      if (work->server >= 0)
+                          .at = job->sent_at,
+                          .answered_at = job->first_event_reported ? job->first_event_at : 0,
+                          .rate = job->rate };
+      if (job->server >= 0)
         g_array_append_val (arrivals, arrival);
     }
   return arrivals;
@@ -28,8 +27,8 @@
 static unsigned
 over_rate (void)
 {
-  GArray *arrivals = seen ();
-  Rules rules = { .arrivals = arrivals, .settle_us = SETTLE };
+  GArray *arrivals = list_arrivals ();
+  Rules rules = { .arrivals = arrivals, .settle_us = SETTLE_US };
   unsigned over = rules_over_rate (&rules);
 
   g_array_unref (arrivals);
@@ -41,241 +40,247 @@
 {
   unsigned count = 0;
 
-  for (unsigned i = 0; i < world->works; i++)
+  for (unsigned i = 0; i < model->job_count; i++)
     {
-      const Work *work = &world->work[i];
-      count += work->server == (int) server && work->sent_at >= from && work->sent_at < to;
+      const Job *job = &model->jobs[i];
+      count += job->server == (int) server && job->sent_at >= from && job->sent_at < to;
     }
   return count;
 }
 
-/* Two of twelve servers name rates while more is asked for than all can take. */
+/* Two of twelve servers announce rate limits in an overload. */
 static void
 rate_under_overload (void)
 {
-  begin (SERVERS, 6, true);
-  load (4, 60, usual);
-  world->servers[0].rate = 1.6;
-  world->servers[1].rate = 3.2;
-  load (14, 150, usual);
+  model_begin (SERVERS, 6, true);
+  run_load (4, 60, default_mix);
+  model->servers[0].rate = 1.6;
+  model->servers[1].rate = 3.2;
+  run_load (14, 150, default_mix);
   g_assert_cmpuint (over_rate (), ==, 0);
-  int64_t now = world->clock.now;
+  int64_t now = model->clock.now;
   g_assert_cmpuint (sent_to (0, now - 10 * FT_SECOND, now), <=, 17);
-  g_assert_cmpuint (sent_to (0, now - 10 * FT_SECOND, now), >=, 14); /* what it takes it gets */
-  settle ();
-  end ();
+  g_assert_cmpuint (sent_to (0, now - 10 * FT_SECOND, now), >=,
+                    14); /* it gets what its limit allows */
+  drain_jobs ();
+  model_end ();
 }
 
-/* Rates below one request in four seconds, and beyond what a server runs at once. */
+/* Limits below one request in four seconds, and above what a server can run at once. */
 static void
 lowest_and_highest_rates (void)
 {
-  begin (SERVERS, 6, false);
-  load (2, 60, usual);
-  world->servers[0].rate = 0.1;
-  world->servers[1].rate = NOTICE_RATE_MIN;
-  world->servers[2].rate = 1000;
-  load (2, 60, usual);
-  int64_t from = world->clock.now;
-  load (20, 60, usual);
+  model_begin (SERVERS, 6, false);
+  run_load (2, 60, default_mix);
+  model->servers[0].rate = 0.1;
+  model->servers[1].rate = NOTICE_RATE_MIN;
+  model->servers[2].rate = 1000;
+  run_load (2, 60, default_mix);
+  int64_t from = model->clock.now;
+  run_load (20, 60, default_mix);
   g_assert_cmpuint (over_rate (), ==, 0);
-  g_assert_cmpuint (sent_to (0, from, world->clock.now), <=, 3);
-  g_assert_cmpuint (sent_to (1, from, world->clock.now), <=, 2);
-  g_assert_cmpuint (sent_to (2, from, world->clock.now) * 2, >=,
-                    sent_to (3, from, world->clock.now));
-  settle ();
-  end ();
+  g_assert_cmpuint (sent_to (0, from, model->clock.now), <=, 3);
+  g_assert_cmpuint (sent_to (1, from, model->clock.now), <=, 2);
+  g_assert_cmpuint (sent_to (2, from, model->clock.now) * 2, >=,
+                    sent_to (3, from, model->clock.now));
+  drain_jobs ();
+  model_end ();
 }
 
-/* A server that names a rate no more gets as much as the others again. */
+/* A server that stops announcing a limit gets as much as the others again. */
 static void
-rate_that_ends (void)
+withdrawn_rate (void)
 {
-  begin (4, 6, false);
-  load (2, 45, usual);
-  world->servers[0].rate = 1;
-  load (6, 45, usual);
-  world->servers[0].rate = 0;
-  load (2, 45, usual);
-  int64_t from = world->clock.now;
-  load (4, 45, usual);
-  g_assert_cmpuint (sent_to (0, from, world->clock.now), >, 8);
+  model_begin (4, 6, false);
+  run_load (2, 45, default_mix);
+  model->servers[0].rate = 1;
+  run_load (6, 45, default_mix);
+  model->servers[0].rate = 0;
+  run_load (2, 45, default_mix);
+  int64_t from = model->clock.now;
+  run_load (4, 45, default_mix);
+  g_assert_cmpuint (sent_to (0, from, model->clock.now), >, 8);
   g_assert_cmpuint (over_rate (), ==, 0);
-  settle ();
-  end ();
+  drain_jobs ();
+  model_end ();
 }
 
-/* All servers of a service name rates: the highest tier goes first, nothing is held to its end, and
- * refusals say when to come back. */
+/* All servers of a service have rate limits: the highest tier goes first, no request is held
+ * until its caller gives up, and refusals advise a wait. */
 static void
 all_servers_limited (void)
 {
-  begin (4, 6, false);
-  load (3, 20, usual);
+  model_begin (4, 6, false);
+  run_load (3, 20, default_mix);
   for (unsigned i = 0; i < 4; i++)
-    world->servers[i].rate = 2;
-  load (2, 20, usual);
-  unsigned from = world->works;
-  load (10, 20, usual);
-  settle ();
+    model->servers[i].rate = 2;
+  run_load (2, 20, default_mix);
+  unsigned from = model->job_count;
+  run_load (10, 20, default_mix);
+  drain_jobs ();
   g_assert_cmpuint (over_rate (), ==, 0);
-  Tally high = tally (0, from), low = tally (2, from);
-  g_assert_cmpuint (high.in_time * 100, >=, high.asked * 75); /* 6.4 of the 8 a second */
+  TierCounts high = count_tier (0, from), low = count_tier (2, from);
+  g_assert_cmpuint (high.in_time * 100, >=,
+                    high.asked
+                        * 75); /* it sends 6.4 of the 8 requests a second that the limits allow */
   g_assert_cmpuint (low.refused * 2, >, low.asked);
   unsigned refused = 0, at_once = 0;
-  for (unsigned i = from; i < world->works; i++)
-    if (world->work[i].refused)
+  for (unsigned i = from; i < model->job_count; i++)
+    if (model->jobs[i].refused)
       {
-        g_assert_cmpint (world->work[i].advice, >, 0);
+        g_assert_cmpint (model->jobs[i].advice_us, >, 0);
         refused++;
-        at_once += world->work[i].refused_after < 100 * FT_MS;
+        at_once += model->jobs[i].refused_after_us < 100 * FT_MS;
       }
   g_test_message ("%u refused, %u at once", refused, at_once);
-  g_assert_cmpuint (at_once * 2, >, refused); /* as early as it is known */
-  g_assert_cmpint (low.late_refusal, <=, world->patience);
-  end ();
+  g_assert_cmpuint (at_once * 2, >, refused); /* as soon as it is known */
+  g_assert_cmpint (low.max_refusal_us, <=, model->max_wait_us);
+  model_end ();
 }
 
-/* A server that answers slower than its rate, or turns away beyond it, is not taken for failing. */
+/* A server that is idle because of its rate limit, or rejects what exceeds the limit, is not
+ * taken for failing. */
 static void
-limited_is_not_failing (void)
+limited_server_is_not_failing (void)
 {
-  begin (4, 6, false);
-  load (2, 20, usual);
-  world->servers[0].rate = 0.5;
-  load (20, 20, usual);
-  g_assert_cmpuint (world->outs, ==, 0);
-  settle ();
-  end ();
+  model_begin (4, 6, false);
+  run_load (2, 20, default_mix);
+  model->servers[0].rate = 0.5;
+  run_load (20, 20, default_mix);
+  g_assert_cmpuint (model->taken_out_count, ==, 0);
+  drain_jobs ();
+  model_end ();
 }
 
-/* One scheduler that grants by hand, to see words on a rate one by one. */
+/* ---- Single notices, with requests granted one by one ---- */
 
 static unsigned
-granted_at_server (void)
+try_grant (void)
 {
   unsigned number = ask (0, 100, 10);
 
-  return world->work[number].server >= 0 ? number : G_MAXUINT;
+  return model->jobs[number].server >= 0 ? number : G_MAXUINT;
 }
 
 static void
-say (unsigned request, double rate)
+announce (unsigned request, double rate)
 {
   Notice notice = { .rate = rate };
 
-  sched_notice (world->sched, 1, request, "s0", &notice);
+  sched_notice (model->sched, 1, request, "s0", &notice);
 }
 
 static bool
 is_paced (void)
 {
-  return sched_is_paced (world->sched, "s0");
+  return sched_is_paced (model->sched, "s0");
 }
 
-/* An answer that names none, to a request from before the rate was named, comes late. */
+/* An answer without a limit, to a request sent before the limit was announced, arrives late. */
 static void
-overtaken_words (void)
+overtaken_notices (void)
 {
-  begin (1, 6, false);
-  unsigned early = granted_at_server ();
-  world->clock.now += 100 * FT_MS;
-  unsigned told = granted_at_server ();
-  world->clock.now += 100 * FT_MS;
-  say (told, 2);
+  model_begin (1, 6, false);
+  unsigned early = try_grant ();
+  model->clock.now += 100 * FT_MS;
+  unsigned current = try_grant ();
+  model->clock.now += 100 * FT_MS;
+  announce (current, 2);
   g_assert_true (is_paced ());
-  say (early, 0); /* says how it was before */
+  announce (early, 0); /* older than the announcement */
   g_assert_true (is_paced ());
-  say (early, 50);
-  world->clock.now += 500 * FT_MS;
-  unsigned later = granted_at_server (); /* one in half a second */
+  announce (early, 50);
+  model->clock.now += 500 * FT_MS;
+  unsigned later = try_grant (); /* one in half a second */
   g_assert_cmpuint (later, !=, G_MAXUINT);
-  g_assert_cmpuint (granted_at_server (), ==, G_MAXUINT);
-  say (early, 1); /* a lower one counts at once */
-  world->clock.now += 600 * FT_MS;
-  g_assert_cmpuint (granted_at_server (), ==, G_MAXUINT);
-  say (later, 0);
-  g_assert_true (is_paced ()); /* since the lower one was heard after that was granted */
-  world->clock.now += 500 * FT_MS;
-  sched_tick (world->sched);
-  unsigned last = world->works - 1;
-  for (unsigned i = 0; i < world->works; i++)
-    if (world->work[i].server >= 0)
+  g_assert_cmpuint (try_grant (), ==, G_MAXUINT);
+  announce (early, 1); /* a lower limit applies at once, even from an older answer */
+  model->clock.now += 600 * FT_MS;
+  g_assert_cmpuint (try_grant (), ==, G_MAXUINT);
+  announce (later, 0);
+  g_assert_true (is_paced ()); /* the lower limit was announced after this request was granted */
+  model->clock.now += 500 * FT_MS;
+  sched_tick (model->sched);
+  unsigned last = model->job_count - 1;
+  for (unsigned i = 0; i < model->job_count; i++)
+    if (model->jobs[i].server >= 0)
       last = i;
-  say (last, 0);
+  announce (last, 0);
   g_assert_false (is_paced ());
-  end ();
+  model_end ();
 }
 
-/* It got what it got until it named the rate: nothing more goes there at once. */
+/* Until the announcement the server got requests at an unlimited rate, so the token bucket
+ * starts empty and nothing more is sent at once. */
 static void
-bucket_opens_empty (void)
+bucket_starts_empty (void)
 {
-  begin (1, 6, false);
-  unsigned told = granted_at_server ();
-  world->clock.now += 10 * FT_MS;
-  say (told, 2);
-  g_assert_cmpuint (granted_at_server (), ==, G_MAXUINT);
-  end ();
+  model_begin (1, 6, false);
+  unsigned current = try_grant ();
+  model->clock.now += 10 * FT_MS;
+  announce (current, 2);
+  g_assert_cmpuint (try_grant (), ==, G_MAXUINT);
+  model_end ();
 }
 
-/* A successor learns a rate from those who heard it, and gives no more at once than they waited. */
+/* A new scheduler learns a rate limit from nodes that received it, and grants no more at once
+ * than the time since the announcement allows. */
 static void
 successor_of_a_scheduler (void)
 {
   Notice two = { .rate = 2 };
 
-  begin (1, 6, false);
-  sched_older_notice (world->sched, 1, "s0", &two, 0);
-  g_assert_cmpuint (granted_at_server (), ==, G_MAXUINT);
-  end ();
-  begin (1, 6, false);
-  sched_older_notice (world->sched, 1, "s0", &two, 60 * FT_SECOND);
-  g_assert_cmpuint (granted_at_server (), !=, G_MAXUINT);
-  g_assert_cmpuint (granted_at_server (), ==, G_MAXUINT);
-  end ();
+  model_begin (1, 6, false);
+  sched_older_notice (model->sched, 1, "s0", &two, 0);
+  g_assert_cmpuint (try_grant (), ==, G_MAXUINT);
+  model_end ();
+  model_begin (1, 6, false);
+  sched_older_notice (model->sched, 1, "s0", &two, 60 * FT_SECOND);
+  g_assert_cmpuint (try_grant (), !=, G_MAXUINT);
+  g_assert_cmpuint (try_grant (), ==, G_MAXUINT);
+  model_end ();
 }
 
-/* Seven schedulers that have a seventh of each rate pass no more than all of it together. */
+/* Seven schedulers with a seventh of each rate limit stay within the limit together. */
 static void
-parts_of_a_rate (void)
+shares_of_a_rate (void)
 {
   GArray *arrivals = g_array_new (FALSE, FALSE, sizeof (Arrival));
-  Rules rules = { .arrivals = arrivals, .settle_us = SETTLE };
+  Rules rules = { .arrivals = arrivals, .settle_us = SETTLE_US };
   Notice notice = { .rate = 7 };
-  World *worlds[7];
+  Model *models[7];
 
   for (unsigned i = 0; i < 7; i++)
     {
-      begin (2, 6, false);
-      worlds[i] = world;
-      sched_set_rate_share (world->sched, 1.0 / 7);
-      sched_older_notice (world->sched, 1, "s0", &notice, 0);
+      model_begin (2, 6, false);
+      models[i] = model;
+      sched_set_rate_share (model->sched, 1.0 / 7);
+      sched_older_notice (model->sched, 1, "s0", &notice, 0);
     }
   for (unsigned t = 0; t < 7500; t++) /* 15 s */
     for (unsigned i = 0; i < 7; i++)
       {
-        world = worlds[i];
-        world->servers[0].rate = 7;
+        model = models[i];
+        model->servers[0].rate = 7;
         if (t % 5 == i % 5)
           ask (2, 100, 10);
         step ();
       }
   for (unsigned i = 0; i < 7; i++)
     {
-      world = worlds[i];
-      GArray *part = seen ();
-      g_array_append_vals (arrivals, part->data, part->len);
-      g_array_unref (part);
+      model = models[i];
+      GArray *one = list_arrivals ();
+      g_array_append_vals (arrivals, one->data, one->len);
+      g_array_unref (one);
     }
-  for (unsigned i = 0; i < arrivals->len; i++) /* servers of other numbers have no rate */
+  for (unsigned i = 0; i < arrivals->len; i++) /* other servers have no limit */
     g_assert_true (g_array_index (arrivals, Arrival, i).server < 2);
-  g_array_sort (arrivals, rules_by_arrival);
+  g_array_sort (arrivals, rules_compare_arrivals);
   g_assert_cmpuint (rules_over_rate (&rules), ==, 0);
   for (unsigned i = 0; i < 7; i++)
     {
-      world = worlds[i];
-      end ();
+      model = models[i];
+      model_end ();
     }
   g_array_unref (arrivals);
 }
@@ -286,12 +291,12 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/pace/overload", rate_under_overload);
   g_test_add_func ("/pace/lowest_and_highest", lowest_and_highest_rates);
-  g_test_add_func ("/pace/ends", rate_that_ends);
+  g_test_add_func ("/pace/ends", withdrawn_rate);
   g_test_add_func ("/pace/all_limited", all_servers_limited);
-  g_test_add_func ("/pace/not_failing", limited_is_not_failing);
-  g_test_add_func ("/pace/overtaken", overtaken_words);
-  g_test_add_func ("/pace/opens_empty", bucket_opens_empty);
+  g_test_add_func ("/pace/not_failing", limited_server_is_not_failing);
+  g_test_add_func ("/pace/overtaken", overtaken_notices);
+  g_test_add_func ("/pace/opens_empty", bucket_starts_empty);
   g_test_add_func ("/pace/successor", successor_of_a_scheduler);
-  g_test_add_func ("/pace/parts", parts_of_a_rate);
+  g_test_add_func ("/pace/parts", shares_of_a_rate);
   return g_test_run ();
 }
--- a/test/returns.c
+++ b/test/returns.c
@@ -21,7 +21,7 @@
 {
   uint64_t content;
   Manner manner;
-  int64_t arrived, end_at, next_at, served_at;
+  int64_t arrived_at, end_at, next_at, served_at;
   bool told, promised, done, served, in_time;
   unsigned refusals;
   int request; /* -1: none is open */
@@ -54,7 +54,7 @@
   g_assert_cmpuint (caller_count, <, CALLERS);
   *caller = (Caller){ .content = caller_count,
                       .manner = manner,
-                      .arrived = now,
+                      .arrived_at = now,
                       .end_at = now + PATIENCE,
                       .next_at = now,
                       .request = -1 };
@@ -63,7 +63,7 @@
 
 /* What the caller does with a refusal; some milliseconds pass on the way. */
 static void
-take_refusal (Caller *caller, int64_t now, int64_t advice, bool promised, uint64_t number)
+take_refusal (Caller *caller, int64_t now, int64_t advice_us, bool promised, uint64_t number)
 {
   int64_t third = (caller->end_at - now) / RET_WAIT_DIVISOR;
   int64_t way = 2 * FT_MS + (int64_t) (number * 2654435761u % 20) * FT_MS;
@@ -71,7 +71,7 @@
   caller->refusals++;
   caller->told = true;
   caller->promised = promised;
-  caller->next_at = now + (caller->manner == AT_ONCE ? 10 * FT_MS : MIN (advice, third) + way);
+  caller->next_at = now + (caller->manner == AT_ONCE ? 10 * FT_MS : MIN (advice_us, third) + way);
   caller->done = caller->manner == NEVER || caller->next_at + 50 * FT_MS > caller->end_at;
 }
 
@@ -183,7 +183,7 @@
     sum->promised_cost += COST;
   caller->served = served;
   caller->served_at = now;
-  caller->in_time = served && now - caller->arrived <= 500 * FT_MS;
+  caller->in_time = served && now - caller->arrived_at <= 500 * FT_MS;
   if (served)
     caller->done = true;
   else
@@ -464,15 +464,15 @@
 static void
 come_to_places (Caller *caller, unsigned tier)
 {
-  unsigned number = world->works++;
-  g_assert_cmpuint (number, <, JOBS);
-  int64_t now = world->clock.now;
+  unsigned number = model->job_count++;
+  g_assert_cmpuint (number, <, JOBS_MAX);
+  int64_t now = model->clock.now;
   uint64_t mixed = caller->content * 2654435761u >> 8;
   unsigned prompt = 500 + (unsigned) (mixed % 1000);
   unsigned output = 70 + (unsigned) (mixed / 1000 % 200);
 
-  world->work[number]
-      = (Work){ .arrived = now, .tier = tier, .prompt = prompt, .output = output, .server = -1 };
+  model->jobs[number]
+      = (Job){ .arrived_at = now, .tier = tier, .prompt = prompt, .output = output, .server = -1 };
   SchedAsk ask = { .owner = 1,
                    .request = number,
                    .service = "s",
@@ -484,27 +484,27 @@
                    .output_tokens = output,
                    .content = caller->content,
                    .gap_us = 300 * FT_MS,
-                   .aim_at = caller->arrived + world->aim,
-                   .limit_at = MIN (now + world->patience, caller->end_at),
+                   .aim_at = caller->arrived_at + model->aim_us,
+                   .limit_at = MIN (now + model->max_wait_us, caller->end_at),
                    .end_at = caller->end_at };
   caller->request = (int) number;
-  sched_ask (world->sched, &ask);
+  sched_ask (model->sched, &ask);
 }
 
 static void
 look_at (Caller *caller, Sum *sum)
 {
-  const Work *work = &world->work[caller->request];
+  const Job *job = &model->jobs[caller->request];
 
-  if (!work->done)
+  if (!job->done)
     return;
   caller->request = -1;
-  note_back (sum, caller, !work->refused);
-  caller->served = caller->done = !work->refused;
-  caller->served_at = work->first_at;
-  caller->in_time = caller->served && work->first_at - caller->arrived <= world->aim;
+  note_back (sum, caller, !job->refused);
+  caller->served = caller->done = !job->refused;
+  caller->served_at = job->first_event_at;
+  caller->in_time = caller->served && job->first_event_at - caller->arrived_at <= model->aim_us;
   if (!caller->served)
-    take_refusal (caller, world->clock.now, work->advice / FT_MS * FT_MS, work->promised,
+    take_refusal (caller, model->clock.now, job->advice_us / FT_MS * FT_MS, job->promised,
                   caller->content);
 }
 
@@ -512,30 +512,30 @@
 places_begin (double part)
 {
   forget_callers ();
-  begin (SERVERS, 6, true);
-  sched_set_return_share (world->sched, part);
-  load (4, 30, usual); /* speeds are learned */
+  model_begin (SERVERS, 6, true);
+  sched_set_return_share (model->sched, part);
+  run_load (4, 30, default_mix); /* speeds are learned */
 }
 
 static Sum
 run_places (double per_s, double seconds, const Manner *manners, unsigned kinds)
 {
   Sum sum = { 0 };
-  int64_t until = world->clock.now + (int64_t) (seconds * FT_SECOND);
+  int64_t until = model->clock.now + (int64_t) (seconds * FT_SECOND);
   double due = 0;
 
-  while (world->clock.now < until + 2 * PATIENCE)
+  while (model->clock.now < until + 2 * PATIENCE)
     {
-      if (world->clock.now < until)
+      if (model->clock.now < until)
         due += per_s / 500;
       while (caller_count < (unsigned) due)
-        new_caller (world->clock.now, manners[(caller_count * 2654435761u >> 16) % kinds]);
+        new_caller (model->clock.now, manners[(caller_count * 2654435761u >> 16) % kinds]);
       for (unsigned j = 0; j < caller_count; j++)
         {
           Caller *caller = &callers[j];
           if (caller->request >= 0)
             look_at (caller, &sum);
-          if (!caller->done && caller->request < 0 && caller->next_at <= world->clock.now)
+          if (!caller->done && caller->request < 0 && caller->next_at <= model->clock.now)
             come_to_places (caller, 2);
         }
       step ();
@@ -558,10 +558,10 @@
       places_begin (i * PART);
       sums[i] = run_places (150, 5, obey, 1);
       report ("twice the places for 5 s", i * PART, &sums[i]);
-      RetCounts counts = sched_return_counts (world->sched);
+      RetCounts counts = sched_return_counts (model->sched);
       g_assert_cmpuint (counts.promised, ==, counts.kept + counts.lapsed + counts.lost);
       g_assert_cmpuint (counts.kept, ==, sums[i].promised_served);
-      end ();
+      model_end ();
     }
   g_assert_cmpuint (sums[1].promised, >, 50);
   g_assert_cmpuint (sums[1].promised_served * 100, >=, sums[1].promised * 97);
@@ -582,14 +582,14 @@
 promised_caller (int64_t *due)
 {
   forget_callers ();
-  begin (2, 2, false);
-  sched_set_return_share (world->sched, PART);
+  model_begin (2, 2, false);
+  sched_set_return_share (model->sched, PART);
   for (int i = 0; i < 100; i++)
     {
-      Caller *caller = new_caller (world->clock.now, OBEYS);
-      const Work *work = &world->work[place_asked (caller, 2)];
-      *due = world->clock.now + work->advice;
-      if (work->refused && work->promised)
+      Caller *caller = new_caller (model->clock.now, OBEYS);
+      const Job *job = &model->jobs[place_asked (caller, 2)];
+      *due = model->clock.now + job->advice_us;
+      if (job->refused && job->promised)
         return caller;
     }
   g_assert_not_reached ();
@@ -604,21 +604,21 @@
   int64_t due;
   Caller *caller = promised_caller (&due);
 
-  for (; world->clock.now < due - RET_EARLY_US; step ())
+  for (; model->clock.now < due - RET_EARLY_US; step ())
     {
-      const Work *work = &world->work[place_asked (caller, 2)];
-      g_assert_true (work->refused);
-      g_assert_true (work->promised);
-      g_assert_cmpint (world->clock.now + work->advice, ==, due);
-      Caller *newcomer = new_caller (world->clock.now, NEVER);
-      queued += !world->work[place_asked (newcomer, 2)].refused;
+      const Job *job = &model->jobs[place_asked (caller, 2)];
+      g_assert_true (job->refused);
+      g_assert_true (job->promised);
+      g_assert_cmpint (model->clock.now + job->advice_us, ==, due);
+      Caller *newcomer = new_caller (model->clock.now, NEVER);
+      queued += !model->jobs[place_asked (newcomer, 2)].refused;
     }
   g_assert_cmpuint (queued, >, 0);
-  g_assert_cmpuint (sched_return_counts (world->sched).kept, ==, 0);
+  g_assert_cmpuint (sched_return_counts (model->sched).kept, ==, 0);
   place_asked (caller, 2);
-  settle ();
-  g_assert_cmpuint (sched_return_counts (world->sched).kept, ==, 1);
-  end ();
+  drain_jobs ();
+  g_assert_cmpuint (sched_return_counts (model->sched).kept, ==, 1);
+  model_end ();
 }
 
 /* No refused caller comes back. No place is kept free for them, so newcomers get all of it. */
@@ -634,10 +634,10 @@
       Sum sum = run_places (150, 5, never, 1);
       report ("twice the places, nobody comes back", i * PART, &sum);
       in_time[i] = sum.in_time;
-      RetCounts counts = sched_return_counts (world->sched);
+      RetCounts counts = sched_return_counts (model->sched);
       g_assert_cmpuint (counts.lapsed, ==, counts.promised);
       g_assert_cmpuint (counts.promised > 0, ==, i > 0);
-      end ();
+      model_end ();
     }
   g_assert_cmpuint (in_time[1] * 100, >=, in_time[0] * 93);
 }
@@ -651,19 +651,19 @@
   int64_t due;
   Caller *caller = promised_caller (&due);
 
-  while (world->clock.now < due)
+  while (model->clock.now < due)
     step ();
   waiting[2] = ask (2, 1000, 50);
-  g_assert_cmpint (world->work[waiting[2]].server, ==, -1);
+  g_assert_cmpint (model->jobs[waiting[2]].server, ==, -1);
   waiting[1] = place_asked (caller, 2);
   waiting[0] = ask (1, 1000, 50);
-  g_assert_cmpint (world->work[waiting[1]].server, ==, -1);
-  g_assert_cmpint (world->work[waiting[0]].server, ==, -1);
-  settle ();
+  g_assert_cmpint (model->jobs[waiting[1]].server, ==, -1);
+  g_assert_cmpint (model->jobs[waiting[0]].server, ==, -1);
+  drain_jobs ();
   for (unsigned i = 0; i < 2; i++)
-    g_assert_cmpint (world->work[waiting[i]].sent_at, <, world->work[waiting[i + 1]].sent_at);
-  g_assert_cmpuint (sched_return_counts (world->sched).kept, ==, 1);
-  end ();
+    g_assert_cmpint (model->jobs[waiting[i]].sent_at, <, model->jobs[waiting[i + 1]].sent_at);
+  g_assert_cmpuint (sched_return_counts (model->sched).kept, ==, 1);
+  model_end ();
 }
 
 int
--- a/test/rules.c
+++ b/test/rules.c
@@ -1,23 +1,24 @@
-/* rules.c - counts as the platform's rules say, over whatever the stand-ins recorded. */
+/* rules.c - checks the records of stand-in servers against the platform's rules. */
 #include "rules.h"
 
 #include <math.h>
 
 #define SECOND        G_USEC_PER_SEC
-#define RATE_SPAN     (4 * SECOND)
-#define RATE_TIMES    1.5
+#define RATE_WINDOW   (4 * SECOND)
+#define RATE_FACTOR   1.5
 #define RATE_SLACK    5
-#define HEARD_FOR     (SECOND / 2) /* an answer is known where it went to so long after it left */
 #define BACKOFF_SLACK 2
+/* time until an instance knows what an answer announced */
+#define KNOWN_AFTER (SECOND / 2)
 
 static const Arrival *
-arrival (const Rules *rules, unsigned i)
+get_arrival (const Rules *rules, unsigned i)
 {
   return &g_array_index (rules->arrivals, Arrival, i);
 }
 
 int
-rules_by_arrival (const void *a, const void *b)
+rules_compare_arrivals (const void *a, const void *b)
 {
   int64_t x = ((const Arrival *) a)->at, y = ((const Arrival *) b)->at;
 
@@ -30,51 +31,54 @@
   return rules->excused && rules->excused (rules->data, instance, from, to);
 }
 
-/* When the server first named a rate to anyone; 0: never. */
+/* When the server first announced a rate limit to any instance; 0: never. */
 static int64_t
-first_named (const Rules *rules, unsigned server)
+first_limit_at (const Rules *rules, unsigned server)
 {
   int64_t first = 0;
 
   for (unsigned i = 0; i < rules->arrivals->len; i++)
     {
-      const Arrival *a = arrival (rules, i);
+      const Arrival *a = get_arrival (rules, i);
       if (a->server == server && a->rate > 0 && (first == 0 || a->answered_at < first))
         first = a->answered_at;
     }
   return first;
 }
 
-/* What the span's answers allow; infinite where one of them names no rate. */
+/* Number of requests that the answers sent between these times allow for one window; infinite if
+ * one of the answers announces no limit. */
 static double
-allowed_in (const Rules *rules, unsigned server, int64_t from, int64_t to)
+max_allowed (const Rules *rules, unsigned server, int64_t from, int64_t to)
 {
   double rate = 0;
 
   for (unsigned i = 0; i < rules->arrivals->len; i++)
     {
-      const Arrival *a = arrival (rules, i);
+      const Arrival *a = get_arrival (rules, i);
       if (a->server != server || a->answered_at < from || a->answered_at > to)
         continue;
       if (a->rate <= 0)
         return INFINITY;
       rate = MAX (rate, a->rate);
     }
-  return rate > 0 ? RATE_TIMES * rate * RATE_SPAN / SECOND + RATE_SLACK : INFINITY;
+  return rate > 0 ? RATE_FACTOR * rate * RATE_WINDOW / SECOND + RATE_SLACK : INFINITY;
 }
 
-/* Had its instance been told a rate by then, undisturbed since? */
+/* Whether the instance that sent the request had been told a rate limit by the server before,
+ * and has not been excused since then. */
 static bool
-counts_for_rate (const Rules *rules, const Arrival *late)
+knew_limit (const Rules *rules, const Arrival *request)
 {
   for (unsigned i = 0; i < rules->arrivals->len; i++)
     {
-      const Arrival *told = arrival (rules, i);
-      if (told->at > late->at)
+      const Arrival *earlier = get_arrival (rules, i);
+      if (earlier->at > request->at)
         return false;
-      if (told->server == late->server && told->instance == late->instance && told->rate > 0
-          && told->answered_at > 0 && late->at >= told->answered_at + HEARD_FOR
-          && !is_excused (rules, late->instance, told->answered_at, late->at))
+      if (earlier->server == request->server && earlier->instance == request->instance
+          && earlier->rate > 0 && earlier->answered_at > 0
+          && request->at >= earlier->answered_at + KNOWN_AFTER
+          && !is_excused (rules, request->instance, earlier->answered_at, request->at))
         return true;
     }
   return false;
@@ -87,18 +91,18 @@
 
   for (unsigned i = 0; i < rules->arrivals->len; i++)
     {
-      const Arrival *last = arrival (rules, i);
-      int64_t from = last->at - RATE_SPAN;
-      int64_t first = first_named (rules, last->server);
+      const Arrival *last = get_arrival (rules, i);
+      int64_t from = last->at - RATE_WINDOW;
+      int64_t first = first_limit_at (rules, last->server);
       unsigned count = 0;
       if (first == 0 || from < first + rules->settle_us)
         continue;
       for (unsigned j = 0; j <= i; j++)
         {
-          const Arrival *a = arrival (rules, j);
-          count += a->server == last->server && a->at > from && counts_for_rate (rules, a);
+          const Arrival *a = get_arrival (rules, j);
+          count += a->server == last->server && a->at > from && knew_limit (rules, a);
         }
-      double over = count - allowed_in (rules, last->server, from, last->at);
+      double over = count - max_allowed (rules, last->server, from, last->at);
       if (over > worst)
         worst = (unsigned) ceil (over);
     }
@@ -112,15 +116,17 @@
 
   for (unsigned i = 0; i < rules->arrivals->len; i++)
     {
-      const Arrival *told = arrival (rules, i);
-      int64_t from = told->answered_at + HEARD_FOR, to = told->answered_at + told->backoff_us;
+      const Arrival *earlier = get_arrival (rules, i);
+      int64_t from = earlier->answered_at + KNOWN_AFTER,
+              to = earlier->answered_at + earlier->backoff_us;
       unsigned count = 0;
-      if (told->backoff_us == 0 || is_excused (rules, told->instance, told->answered_at, to))
+      if (earlier->backoff_us == 0
+          || is_excused (rules, earlier->instance, earlier->answered_at, to))
         continue;
       for (unsigned j = 0; j < rules->arrivals->len; j++)
         {
-          const Arrival *a = arrival (rules, j);
-          count += a->server == told->server && a->instance == told->instance && a->at > from
+          const Arrival *a = get_arrival (rules, j);
+          count += a->server == earlier->server && a->instance == earlier->instance && a->at > from
                    && a->at < to;
         }
       worst = MAX (worst, count > BACKOFF_SLACK ? count - BACKOFF_SLACK : 0);
@@ -135,13 +141,14 @@
 
   for (unsigned i = 0; i < rules->arrivals->len; i++)
     {
-      const Arrival *late = arrival (rules, i);
+      const Arrival *request = get_arrival (rules, i);
       for (unsigned j = 0; j < i; j++)
         {
-          const Arrival *told = arrival (rules, j);
-          if (told->server != late->server || told->instance != late->instance || !told->leaving
-              || told->answered_at == 0 || late->at <= told->answered_at + rules->drain_us
-              || is_excused (rules, late->instance, told->answered_at, late->at))
+          const Arrival *earlier = get_arrival (rules, j);
+          if (earlier->server != request->server || earlier->instance != request->instance
+              || !earlier->leaving || earlier->answered_at == 0
+              || request->at <= earlier->answered_at + rules->drain_us
+              || is_excused (rules, request->instance, earlier->answered_at, request->at))
             continue;
           count++;
           break;
--- a/test/rules.h
+++ b/test/rules.h
@@ -1,4 +1,5 @@
-/* rules.h - checks of what servers saw against what they had said of themselves. */
+/* rules.h - checks that requests kept to the rate limits, backoffs and shutdowns that servers
+ * announced. */
 #ifndef RULES_H
 #define RULES_H
 
@@ -6,38 +7,42 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* One request at a server, as the server saw it; times of one clock, microseconds. */
+/* One request as its server recorded it. Times are in microseconds of one clock. */
 typedef struct
 {
-  unsigned server;     /* a number for each lifetime */
-  unsigned instance;   /* who sent it */
-  int64_t at;          /* it arrived */
-  int64_t answered_at; /* its answer's head left; 0: not yet */
-  double rate;         /* the answer named it, requests a second; 0: none */
-  bool leaving;        /* the answer said so */
-  int64_t backoff_us;  /* the answer asked the instance for it; 0: it did not */
+  unsigned server;     /* differs for each incarnation of a server */
+  unsigned instance;   /* instance that sent it */
+  int64_t at;          /* arrival time */
+  int64_t answered_at; /* when the head of its answer was sent; 0: not yet */
+  double rate;         /* rate limit that the answer announced, requests per second; 0: none */
+  bool leaving;        /* the answer announced that the server is leaving */
+  int64_t backoff_us;  /* backoff that the answer asked of the instance; 0: none */
 } Arrival;
 
-/* Was the instance restarted, frozen or cut off in that time? NULL stands for never. */
-typedef bool (*RulesExcused) (void *data, unsigned instance, int64_t from, int64_t to);
+/* Whether the instance was restarted, frozen or disconnected between these times, so that it
+ * need not know what servers announced. NULL: never. */
+typedef bool (*RulesExcusedFunc) (void *data, unsigned instance, int64_t from, int64_t to);
 
 typedef struct
 {
-  const GArray *arrivals; /* Arrival, in order of arrival */
-  int64_t settle_us;      /* from a server's first naming of a rate until it binds */
-  int64_t drain_us;       /* from an instance's hearing that a server leaves until it binds */
-  RulesExcused excused;
+  const GArray *arrivals; /* elements are Arrival, in order of arrival */
+  int64_t settle_us; /* time from a server's first announcement of a rate limit until the limit is
+                        checked */
+  int64_t drain_us;  /* time from a server's announcement to an instance that it is leaving until
+                        this is checked */
+  RulesExcusedFunc excused;
   void *data;
 } Rules;
 
-/* Orders an array of Arrival. */
-int rules_by_arrival (const void *a, const void *b);
-/* Requests beyond what a named rate allows, in the worst span of some seconds; 0: none. */
+/* Compares two Arrival by time, for sorting. */
+int rules_compare_arrivals (const void *a, const void *b);
+/* Number of requests beyond the announced rate limit in the worst window of 4 seconds; 0: none. */
 unsigned rules_over_rate (const Rules *rules);
-/* Requests beyond the two that may pass while a server wants nothing from an instance, in the worst
- * such time; 0: none. */
+/* Number of requests beyond the two allowed that an instance sent to a server during a backoff,
+ * for the worst backoff; 0: none. */
 unsigned rules_in_backoff (const Rules *rules);
-/* Requests that reached a server from an instance which it had told that it leaves. */
+/* Number of requests that reached a server from an instance to which it had announced that it is
+ * leaving. */
 unsigned rules_after_leaving (const Rules *rules);
 
 #endif
--- a/test/shares.c
+++ b/test/shares.c
@@ -15,11 +15,11 @@
   unsigned tier, prompt, output;
   int64_t from, to;                       /* asks between; to 0: always */
   unsigned asked, in_time, refused, kept; /* kept: refused after it had waited for long */
-  double work;                            /* of those in time, tokens */
+  double tokens;                          /* of those in time, tokens */
 } Asker;
 
 static Asker askers[ORGS];
-static unsigned char asker_of[JOBS];
+static unsigned char asker_of[JOBS_MAX];
 static char names[ORGS][8];
 static unsigned slots = 6; /* of each server */
 
@@ -36,16 +36,17 @@
 static void
 ask_all (int64_t begun)
 {
-  int64_t at = world->clock.now - begun;
+  int64_t at = model->clock.now - begun;
 
   for (unsigned i = 0; i < ORGS; i++)
     {
       const Asker *asker = &askers[i];
-      if (at < asker->from || (asker->to && at >= asker->to) || draw () >= asker->per_s / 500)
+      if (at < asker->from || (asker->to && at >= asker->to)
+          || random_unit () >= asker->per_s / 500)
         continue;
-      double size = 0.4 + 1.2 * draw ();
-      world->org = names[i];
-      asker_of[world->works] = (unsigned char) i;
+      double size = 0.4 + 1.2 * random_unit ();
+      model->org = names[i];
+      asker_of[model->job_count] = (unsigned char) i;
       ask (asker->tier, (unsigned) (asker->prompt * size), (unsigned) (asker->output * size));
     }
 }
@@ -53,16 +54,17 @@
 static void
 count (unsigned number)
 {
-  const Work *work = &world->work[number];
+  const Job *job = &model->jobs[number];
   Asker *asker = &askers[asker_of[number]];
-  bool in_time = !work->refused && !work->failed && work->first_at - work->arrived <= world->aim;
+  bool in_time
+      = !job->refused && !job->failed && job->first_event_at - job->arrived_at <= model->aim_us;
 
-  g_assert_true (work->done);
+  g_assert_true (job->done);
   asker->asked++;
-  asker->refused += work->refused;
-  asker->kept += work->refused && work->refused_after > 400 * FT_MS;
+  asker->refused += job->refused;
+  asker->kept += job->refused && job->refused_after_us > 400 * FT_MS;
   asker->in_time += in_time;
-  asker->work += in_time ? work->prompt / 6.0 + work->output : 0;
+  asker->tokens += in_time ? job->prompt / 6.0 + job->output : 0;
 }
 
 static void
@@ -77,27 +79,27 @@
   g_string_free (line, TRUE);
 }
 
-/* The askers' load on a world that has learned its speeds; the caller ends the world. */
+/* The askers' load on a model that has learned its speeds; the caller ends the model. */
 static void
 play (const char *what, bool fair, double seconds)
 {
-  begin (SERVERS, slots, true);
-  sched_set_fair (world->sched, fair);
+  model_begin (SERVERS, slots, true);
+  sched_set_fair (model->sched, fair);
   for (unsigned i = 0; i < ORGS; i++)
     {
-      sched_set_weight (world->sched, names[i], askers[i].limit);
+      sched_set_weight (model->sched, names[i], askers[i].limit);
       askers[i].asked = askers[i].in_time = askers[i].refused = askers[i].kept = 0;
-      askers[i].work = 0;
+      askers[i].tokens = 0;
     }
-  load (4, 30, usual);
-  unsigned first = world->works;
-  for (int64_t begun = world->clock.now; world->clock.now - begun < (int64_t) (seconds * 1e6);)
+  run_load (4, 30, default_mix);
+  unsigned first = model->job_count;
+  for (int64_t begun = model->clock.now; model->clock.now - begun < (int64_t) (seconds * 1e6);)
     {
       ask_all (begun);
       step ();
     }
-  settle ();
-  for (unsigned i = first; i < world->works; i++)
+  drain_jobs ();
+  for (unsigned i = first; i < model->job_count; i++)
     count (i);
   print (what, fair);
 }
@@ -134,12 +136,12 @@
   askers[0].per_s = 28;
   play ("one at six times", false, 20);
   g_assert_cmpfloat (least_part (1, ORGS), <, 0.9);
-  end ();
+  model_end ();
   play ("one at six times", true, 20);
   g_assert_cmpfloat (least_part (1, ORGS), >=, 0.95);
   g_assert_cmpfloat (part (0, 1), >=, 0.5);
   g_assert_cmpuint (askers[0].kept * 3, <=, askers[0].refused);
-  end ();
+  model_end ();
 }
 
 /* One has ordered ten times as much as most, and asks for all of it; two small ones ask for eight
@@ -156,12 +158,12 @@
   askers[1].limit = askers[2].limit = 5;
   play ("skewed sizes", false, 20);
   g_assert_cmpfloat (part (0, 1), <, 0.8);
-  end ();
+  model_end ();
   play ("skewed sizes", true, 20);
   g_assert_cmpfloat (part (0, 1), >=, 0.95);
   g_assert_cmpfloat (part (3, ORGS), >=, 0.9);
   g_assert_cmpfloat (part (1, 3), >=, 0.3);
-  end ();
+  model_end ();
 }
 
 /* One sends answers of three times the usual length, and more of them than the servers can do.
@@ -174,11 +176,11 @@
   askers[0].output = 510;
   play ("long requests only", false, 20);
   g_assert_cmpfloat (part (1, ORGS), <, 0.9);
-  end ();
+  model_end ();
   play ("long requests only", true, 20);
   g_assert_cmpfloat (part (1, ORGS), >=, 0.95);
   g_assert_cmpfloat (part (0, 1), >=, 0.15);
-  end ();
+  model_end ();
 }
 
 /* One organisation takes two thirds of the places for its highest tier, others share what is left:
@@ -195,11 +197,11 @@
   play ("two tiers", false, 20);
   off = part (0, 1);
   g_assert_cmpfloat (part (2, ORGS), <, part (1, 2));
-  end ();
+  model_end ();
   play ("two tiers", true, 20);
   g_assert_cmpfloat (part (0, 1), >=, 0.99 * off);
   g_assert_cmpfloat (part (2, ORGS), >=, 1.25 * part (1, 2));
-  end ();
+  model_end ();
 }
 
 /* A lone organisation gets everything, and each decision is the one by due time. */
@@ -207,28 +209,28 @@
 lone_one_gets_everything (void)
 {
   static const double parts[] = { 0.2, 0.3, 0.5 };
-  Work *before = NULL;
+  Job *before = NULL;
 
   for (unsigned fair = 0; fair < 2; fair++)
     {
-      begin (SERVERS, 6, true);
-      sched_set_fair (world->sched, fair);
-      sched_set_weight (world->sched, "o", 3);
-      sched_set_weight (world->sched, "another", 1000);
-      load (4, 30, parts);
-      load (10, 110, parts);
-      settle ();
+      model_begin (SERVERS, 6, true);
+      sched_set_fair (model->sched, fair);
+      sched_set_weight (model->sched, "o", 3);
+      sched_set_weight (model->sched, "another", 1000);
+      run_load (4, 30, parts);
+      run_load (10, 110, parts);
+      drain_jobs ();
       if (before)
-        for (unsigned i = 0; i < world->works; i++)
+        for (unsigned i = 0; i < model->job_count; i++)
           {
-            g_assert_cmpint (world->work[i].server, ==, before[i].server);
-            g_assert_cmpint (world->work[i].sent_at, ==, before[i].sent_at);
-            g_assert_cmpint (world->work[i].advice, ==, before[i].advice);
-            g_assert_cmpint (world->work[i].refused_after, ==, before[i].refused_after);
+            g_assert_cmpint (model->jobs[i].server, ==, before[i].server);
+            g_assert_cmpint (model->jobs[i].sent_at, ==, before[i].sent_at);
+            g_assert_cmpint (model->jobs[i].advice_us, ==, before[i].advice_us);
+            g_assert_cmpint (model->jobs[i].refused_after_us, ==, before[i].refused_after_us);
           }
       g_free (before);
-      before = g_memdup2 (world->work, JOBS * sizeof *before);
-      end ();
+      before = g_memdup2 (model->jobs, JOBS_MAX * sizeof *before);
+      model_end ();
     }
   g_free (before);
 }
@@ -242,11 +244,11 @@
   askers[0].per_s = 28;
   askers[0].from = 10 * FT_SECOND;
   play ("idle and back", false, 20);
-  end ();
+  model_end ();
   play ("idle and back", true, 20);
   g_assert_cmpfloat (least_part (1, ORGS), >=, 0.95);
   g_assert_cmpfloat (part (0, 1), >=, 0.5);
-  end ();
+  model_end ();
 }
 
 /* Hundreds wait for hundreds of places, and one organisation sends forty times what others do: more
@@ -261,53 +263,54 @@
   slots = 6;
   g_assert_cmpfloat (least_part (1, ORGS), >=, 0.95);
   g_assert_cmpfloat (part (0, 1), >=, 0.42);
-  end ();
+  model_end ();
 }
 
 /* All that wait have become late, most of them at the end of the queue, which no decision looks at.
- * A newcomer of the same organisation is refused for the sake of work that is counted as on time.
+ * A newcomer of the same organisation is refused for the sake of job that is counted as on time.
  */
 static void
 late_ones_are_seen_anywhere (void)
 {
-  begin (1, 1, false);
-  sched_set_fair (world->sched, true);
-  world->patience = 1000 * FT_SECOND;
+  model_begin (1, 1, false);
+  sched_set_fair (model->sched, true);
+  model->max_wait_us = 1000 * FT_SECOND;
   ask (0, 100, 1000);
   for (unsigned i = 0; i < 200; i++)
     {
-      world->org = i % 2 ? "hot" : "o";
+      model->org = i % 2 ? "hot" : "o";
       ask (0, 100, 10);
     }
-  while (world->clock.now < world->work[0].arrived + world->aim + 40 * FT_MS)
+  while (model->clock.now < model->jobs[0].arrived_at + model->aim_us + 40 * FT_MS)
     step ();
-  world->patience = world->aim;
-  g_assert_false (world->work[ask (0, 100, 10)].refused);
-  world->org = "another";
-  g_assert_false (world->work[ask (0, 100, 10)].refused);
-  g_assert_cmpint (world->work[0].server, ==, 0);
-  end ();
+  model->max_wait_us = model->aim_us;
+  g_assert_false (model->jobs[ask (0, 100, 10)].refused);
+  model->org = "another";
+  g_assert_false (model->jobs[ask (0, 100, 10)].refused);
+  g_assert_cmpint (model->jobs[0].server, ==, 0);
+  model_end ();
 }
 
-/* One request waits for a place, and then twenty seconds of another organisation's work that is due
- * earlier come. It is refused as hopeless for the sake of work that goes behind it. */
+/* One request waits for a place, and then twenty seconds of another organisation's job that is due
+ * earlier come. It is refused as hopeless for the sake of job that goes behind it. */
 static void
 hopeless_is_not_what_goes_first (void)
 {
-  begin (1, 1, false);
-  sched_set_fair (world->sched, true);
+  model_begin (1, 1, false);
+  sched_set_fair (model->sched, true);
   ask (0, 100, 100);
   unsigned number = ask (0, 100, 3);
-  world->aim /= 2;
-  world->patience = 1000 * FT_SECOND;
-  world->org = "hot";
+  model->aim_us /= 2;
+  model->max_wait_us = 1000 * FT_SECOND;
+  model->org = "hot";
   for (unsigned i = 0; i < 1000; i++)
     ask (0, 100, 3);
-  while (world->work[number].sent_at == 0 && !world->work[number].refused)
+  while (model->jobs[number].sent_at == 0 && !model->jobs[number].refused)
     step ();
-  g_assert_false (world->work[number].refused);
-  g_assert_cmpint (world->work[number].sent_at, <, world->work[number].arrived + world->aim * 2);
-  end ();
+  g_assert_false (model->jobs[number].refused);
+  g_assert_cmpint (model->jobs[number].sent_at, <,
+                   model->jobs[number].arrived_at + model->aim_us * 2);
+  model_end ();
 }
 
 /* Settings change while requests wait: each is decided on once, and the line for operators names
@@ -319,27 +322,27 @@
   unsigned seen = 0;
 
   everybody (10);
-  begin (SERVERS, 6, true);
-  load (2, 30, usual);
+  model_begin (SERVERS, 6, true);
+  run_load (2, 30, default_mix);
   for (unsigned i = 0; i < 1000; i++)
     {
       if (i % 50 == 0)
-        sched_set_fair (world->sched, i % 100 == 0);
-      ask_all (world->clock.now);
+        sched_set_fair (model->sched, i % 100 == 0);
+      ask_all (model->clock.now);
       step ();
-      char *text = sched_describe (world->sched);
+      char *text = sched_describe (model->sched);
       const char *line = strstr (text, "# shares service=s tier=2 organisations=");
       seen += line != NULL;
       if (line)
         g_assert_cmpuint (strcspn (line, "\n"), <, 400);
       g_free (text);
     }
-  settle ();
+  drain_jobs ();
   g_assert_cmpuint (seen, >, 100);
-  sched_stats (world->sched, &stats);
+  sched_stats (model->sched, &stats);
   g_assert_cmpuint (stats.running + stats.waiting, ==, 0);
-  tally (2, 0);
-  end ();
+  count_tier (2, 0);
+  model_end ();
 }
 
 /* ---- The order alone ---- */
@@ -370,12 +373,12 @@
 }
 
 static ShrItem *
-enqueue (const char *org, double work, unsigned times)
+enqueue (const char *org, double work_us, unsigned times)
 {
   ShrItem *first = &items[used];
 
   for (unsigned i = 0; i < times; i++, used++)
-    shr_add (shares, &items[used], org, work, used, 1);
+    shr_add (shares, &items[used], org, work_us, used, 1);
   return first;
 }
 
@@ -450,18 +453,19 @@
   static unsigned char of[ITEMS];
   const ShrItem *item, *last[5];
 
-  begin (1, 1, false); /* for draw */
+  model_begin (1, 1, false); /* for draw */
   begin_queue ();
   for (unsigned i = 0; i < ITEMS; i++)
     {
-      of[i] = (unsigned char) (5 * draw () * draw ());
-      shr_add (shares, &items[i], orgs[of[i]], 1 + 9 * draw (), i + (int64_t) (50 * draw ()), i);
-      unsigned which = (unsigned) (draw () * (i + 1));
-      if (items[which].org && draw () < 0.5)
+      of[i] = (unsigned char) (5 * random_unit () * random_unit ());
+      shr_add (shares, &items[i], orgs[of[i]], 1 + 9 * random_unit (),
+               i + (int64_t) (50 * random_unit ()), i);
+      unsigned which = (unsigned) (random_unit () * (i + 1));
+      if (items[which].org && random_unit () < 0.5)
         shr_remove (shares, &items[which]);
       else if (items[which].org)
         shr_serve (shares, &items[which], orgs[of[which]], items[which].work_us, i);
-      else if (draw () < 0.2)
+      else if (random_unit () < 0.2)
         shr_serve (shares, NULL, orgs[of[which]], 5, i);
       shr_reorder (shares);
       double tag = 0;
@@ -479,7 +483,7 @@
       }
     }
   end_queue ();
-  end ();
+  model_end ();
 }
 
 /* Thousands of organisations come by: those that wait are known, and some of the others, for
