--- a/test/decide.c
+++ b/test/decide.c
@@ -1,5 +1,5 @@
-/* decide.c - decisions about one request: repeats, events, limits, budgets, routes; and how long
- * prompts take. */
+/* decide.c - tests of decisions about one request: identity, retries, stream events, limits,
+ * returning callers, retry budgets and routes, and of the model of prefill time. */
 #include "budget.h"
 #include "clock.h"
 #include "content.h"
@@ -22,10 +22,11 @@
   return content_id (&content);
 }
 
-/* A caller sends a request again, under another id and to another instance. Both know it by the
- * same identity; whoever asks something else, or asks it for somebody else, has another one. */
+/* A caller sends a request again, with another request id and to another instance. Both
+ * instances compute the same identity; a different request, or one for another organisation, has
+ * a different identity. */
 static void
-identity_of_a_content (void)
+identity_of_content (void)
 {
   uint64_t id = id_of ("POST", "/a/b?x=1", "o", "body"), parsed;
   char text[CONTENT_ID_SIZE];
@@ -36,7 +37,7 @@
   g_assert_cmphex (id, !=, id_of ("POST", "/a/b", "o", "body"));
   g_assert_cmphex (id, !=, id_of ("POST", "/a/b?x=1", "p", "body"));
   g_assert_cmphex (id, !=, id_of ("POST", "/a/b?x=1", "o", "bodz"));
-  g_assert_cmphex (id, !=, id_of ("POST", "/a/b?x=1", "ob", "ody")); /* no byte changes its part */
+  g_assert_cmphex (id, !=, id_of ("POST", "/a/b?x=1", "ob", "ody")); /* fields are delimited */
   g_assert_cmphex (id_of ("GET", "/a", NULL, ""), ==, id_of ("GET", "/a", "", ""));
   g_assert_true (content_parse (content_format (id, text), &parsed));
   g_assert_cmphex (parsed, ==, id);
@@ -45,7 +46,7 @@
   g_assert_false (content_parse ("00000000000000x1", &parsed));
 }
 
-/* ---- Repeats ---- */
+/* ---- Retries ---- */
 
 static RetryFacts
 facts (RtKind kind)
@@ -58,11 +59,11 @@
                        .may_have_run = true };
 }
 
-/* The caller's booking is confirmed twice. It was sent, the connection broke before an answer, and
- * the entry sent it to another server. A request that may run once is never sent again after a byte
- * of it was handed to a connection, and it is not called "not run" either. */
+/* A request that must not be sent twice, such as a booking, is sent to a server, and the
+ * connection breaks before an answer. Sent to another server it would run twice. It is never
+ * sent again once a byte of it was handed to a connection, nor reported as not run. */
 static void
-once_is_once (void)
+at_most_once_is_sent_once (void)
 {
   RetryFacts f = facts (RT_AT_MOST_ONCE);
 
@@ -75,10 +76,10 @@
   g_assert_cmpint (retry_next (RETRY_STREAM_CUT, &f), ==, RETRY_ABORT);
 }
 
-/* A server says that it did not run the request, or takes no connection: then it may go elsewhere,
- * whatever its kind, and "not run" is true. */
+/* If a server states that it did not run the request, or no connection is made, the request may
+ * be sent to another server whatever its kind, and can be reported as not run. */
 static void
-not_run_may_go_elsewhere (void)
+not_run_is_sent_to_another_server (void)
 {
   RetryFacts f = facts (RT_AT_MOST_ONCE);
 
@@ -89,16 +90,17 @@
   g_assert_cmpint (retry_next (RETRY_REJECTED, &f), ==, RETRY_ANSWER_NOT_RUN);
   f.unreached = 10;
   g_assert_cmpint (retry_next (RETRY_NOT_CONNECTED, &f), ==, RETRY_ANSWER_NOT_RUN);
-  /* An earlier try may have run: the later one's word does not cover it. */
+  /* An earlier try may have run; the rejection covers only its own try. */
   f.may_have_run = true;
   g_assert_cmpint (retry_next (RETRY_REJECTED, &f), ==, RETRY_ANSWER_UNKNOWN);
 }
 
-/* A server crashes, another starts at its address and turns a request away that the list still
- * sends there. A request that may run once, at one server, is refused although it has reached none.
- * It goes on to another server, within the budget of repeats and a bound on such tries. */
+/* A server crashes, another starts at its address and rejects a request that was sent there by
+ * an outdated list. A request that must not be sent twice, on a route that allows one server
+ * only, must not be refused for that, since it has reached none. It goes to another server,
+ * within the retry budget and a limit on such tries. */
 static void
-gone_server_is_none_reached (void)
+replaced_server_counts_as_not_reached (void)
 {
   RetryFacts f = facts (RT_AT_MOST_ONCE);
 
@@ -117,7 +119,7 @@
 }
 
 static void
-idempotent_is_repeated_within_bounds (void)
+idempotent_is_retried_within_bounds (void)
 {
   RetryFacts f = facts (RT_IDEMPOTENT);
 
@@ -133,10 +135,10 @@
   g_assert_cmpint (retry_next (RETRY_BROKEN, &f), ==, RETRY_ANSWER_UNKNOWN);
 }
 
-/* A long plain answer that broke after its first part was asked for again, which ended the process.
- */
+/* A long plain answer that broke after its first part must not be requested again; a retry at
+ * that point once crashed the process. */
 static void
-begun_plain_is_not_sent_again (void)
+begun_plain_answer_is_not_retried (void)
 {
   static const RetryEvent events[] = { RETRY_NOT_CONNECTED, RETRY_REJECTED,   RETRY_BROKEN,
                                        RETRY_FAILURE,       RETRY_STREAM_CUT, RETRY_OTHER_SERVER };
@@ -159,7 +161,7 @@
 }
 
 static void
-resumable_stream_goes_on (void)
+resumable_stream_is_resumed (void)
 {
   RetryFacts f = facts (RT_STREAM);
 
@@ -169,12 +171,13 @@
   g_assert_cmpint (retry_next (RETRY_STREAM_CUT, &f), ==, RETRY_ABORT);
 }
 
-/* All engines fail nearly half of their requests for some seconds. The caller of a stream that may
- * run again is given its first server's failure, although nothing of the answer has gone to it and
- * its route allows another try: 807 of 1,100 in one such fault. It goes to another server, as a
- * plain request does, and within the same budget; one that may run once does not. */
+/* All engines fail nearly half of their requests for some seconds. A stream that may run again
+ * must not get its first server's failure while nothing of the answer has been sent to the
+ * caller and its route allows another try; that happened to 807 of 1,100 requests in one such
+ * fault. It is retried as a plain request is, within the same budget; a stream that must not be
+ * sent twice is not. */
 static void
-failed_stream_is_repeated (void)
+failed_stream_is_retried (void)
 {
   RetryFacts f = facts (RT_STREAM);
 
@@ -188,10 +191,11 @@
   g_assert_cmpint (retry_next (RETRY_FAILURE, &f), ==, RETRY_DELIVER);
 }
 
-/* A stream's server ends under it, and so had another one before. It is not resumed: it may be what
- * ends them. A failure that a server answers itself says nothing of that. */
+/* A server crashes while it runs a stream, as another one did before with the same content. The
+ * request is not resumed, because it may be the cause. A failure that a server answers itself is
+ * no sign of that. */
 static void
-suspect_is_not_sent_on (void)
+suspect_is_not_resumed (void)
 {
   RetryFacts f = facts (RT_IDEMPOTENT);
 
@@ -207,7 +211,7 @@
 /* ---- Events ---- */
 
 static void
-take (Events *events, const char *text, unsigned count, const char *passed)
+feed (Events *events, const char *text, unsigned count, const char *passed)
 {
   GString *out = g_string_new (NULL);
 
@@ -216,21 +220,22 @@
   g_string_free (out, TRUE);
 }
 
-/* The caller gets half an event joined to another. A server dies in the middle of event 3, another
- * goes on behind event 2 and says 2 again. The half is dropped and the double too. */
+/* A server fails in the middle of event 3 of a stream; another one resumes after event 2 and
+ * sends event 2 again. The partial event and the duplicate must be dropped, or the caller gets a
+ * partial event joined to another. */
 static void
-half_event_is_dropped (void)
+partial_event_is_dropped (void)
 {
   Events *events = events_new ();
 
-  take (events, "id: 1\ndata: a\n\nid: 2\ndata", 1, "id: 1\ndata: a\n\n");
-  take (events, ": b\n\nid: 3\nda", 1, "id: 2\ndata: b\n\n");
+  feed (events, "id: 1\ndata: a\n\nid: 2\ndata", 1, "id: 1\ndata: a\n\n");
+  feed (events, ": b\n\nid: 3\nda", 1, "id: 2\ndata: b\n\n");
   g_assert_true (events_has_partial (events));
   g_assert_cmpstr (events_last_id (events), ==, "2");
   events_drop_partial (events);
   g_assert_false (events_has_partial (events));
-  take (events, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n", 1, "id: 3\ndata: c\n\n");
-  take (events, ": ping\r\n\r\n", 1, ": ping\r\n\r\n");
+  feed (events, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n", 1, "id: 3\ndata: c\n\n");
+  feed (events, ": ping\r\n\r\n", 1, ": ping\r\n\r\n");
   g_assert_cmpstr (events_last_id (events), ==, "3");
   events_free (events);
 }
@@ -238,7 +243,7 @@
 /* ---- Limits ---- */
 
 static double
-use_for (Quota *quota, TestClock *clock, double seconds, double each, unsigned rank)
+use_quota (Quota *quota, TestClock *clock, double seconds, double cost, unsigned rank)
 {
   double used = 0;
   int64_t wait;
@@ -246,50 +251,51 @@
   for (int i = 0; i < (int) (seconds * 100); i++)
     {
       clock->now += 10 * FT_MS;
-      if (quota_take (quota, "org", each, rank, &wait))
-        used += each;
+      if (quota_take (quota, "org", cost, rank, &wait))
+        used += cost;
     }
   return used;
 }
 
-/* One organisation sends many times its limit for the span of the limit: what passes is at most the
- * rate times the span and the burst, with the small lenience of the bucket. */
+/* One organisation sends many times its limit for the window of the limit. At most the rate
+ * times the window plus the burst passes, within the small tolerance of the bucket. */
 static void
-limit_holds_in_a_window (void)
+limit_holds_in_window (void)
 {
   TestClock clock = test_clock ();
   Quota *quota = quota_new (&clock.base);
 
   quota_set_limit (quota, "org", 1000, 4000);
   clock.now += 60 * FT_SECOND;
-  double used = use_for (quota, &clock, 8, 100, 0);
+  double used = use_quota (quota, &clock, 8, 100, 0);
   g_assert_cmpfloat (used, <=, (1000 * 8 + 4000) * 1.03);
   g_assert_cmpfloat (used, >=, (1000 * 8 + 4000) * 0.97);
   quota_free (quota);
 }
 
-/* The organisation passes its limit when its accountant dies: the next one starts with a full
- * bucket. It must start with little, and yet not refuse who keeps to the rate. */
+/* The scheduler that accounts for an organisation at its limit fails. A successor that started
+ * with a full bucket would grant a second burst; it must start with little, without refusing an
+ * organisation that keeps to the rate. */
 static void
-new_accountant_gives_no_second_burst (void)
+successor_grants_no_second_burst (void)
 {
   TestClock clock = test_clock ();
   Quota *quota = quota_new (&clock.base);
 
   quota_set_limit (quota, "org", 1000, 4000);
-  g_assert_cmpfloat (use_for (quota, &clock, 1, 100, 0), <=, 1000 + 4000 * 0.4);
+  g_assert_cmpfloat (use_quota (quota, &clock, 1, 100, 0), <=, 1000 + 4000 * 0.4);
   quota_free (quota);
   quota = quota_new (&clock.base);
   quota_set_limit (quota, "org", 1000, 4000);
-  g_assert_cmpfloat (use_for (quota, &clock, 4, 9, 0), ==, 9 * 400);
+  g_assert_cmpfloat (use_quota (quota, &clock, 4, 9, 0), ==, 9 * 400);
   quota_free (quota);
 }
 
-/* Everything loses power and starts anew; nobody knows what was used. An account that starts nearly
+/* After a restart of the whole system nobody knows what was used. A bucket that starts nearly
  * empty refuses lower ranks of organisations within their limits for a second. It starts with a
- * part of the limits' margin, and two such starts in one window stay within limit and margin. */
+ * part of the limits' margin, and two such restarts in one window stay within limit and margin. */
 static void
-start_without_a_report (void)
+start_without_report (void)
 {
   TestClock clock = test_clock ();
   double rate = 1000000, allowed = rate * 8 + rate, margin = 0.1 * allowed + 190000, used = 0;
@@ -303,16 +309,17 @@
       clock.now += start == 0 ? 60 * FT_SECOND : 10 * FT_MS;
       if (start > 0)
         g_assert_true (quota_take (quota, "org", 3000, 3, &wait));
-      used += use_for (quota, &clock, 8.0 / 3, 30000, 0);
+      used += use_quota (quota, &clock, 8.0 / 3, 30000, 0);
       quota_free (quota);
     }
   g_assert_cmpfloat (used, <, allowed + margin);
 }
 
-/* An organisation at its limit sends reports and summaries. The summaries are as many and use the
- * limit up before the reports come. Under the limit too the higher rank goes first. */
+/* An organisation at its limit sends requests of two ranks. Those of the lower rank are as many
+ * and would use up the limit before those of the higher rank arrive. The higher rank goes first
+ * under a limit, too. */
 static void
-higher_rank_goes_first_under_a_limit (void)
+higher_rank_goes_first_under_limit (void)
 {
   TestClock clock = test_clock ();
   Quota *quota = quota_new (&clock.base);
@@ -329,16 +336,16 @@
         high += 20;
     }
   g_assert_cmpfloat (high, ==, 20 * 1000); /* all of them: 1,000 a second */
-  g_assert_cmpfloat (low, <, 6000);        /* what the start and the burst left */
+  g_assert_cmpfloat (low, <, 6000);        /* what is left at the start and of the burst */
   quota_free (quota);
 }
 
-/* Half of the entries lose power. Their parts of a limit are held back, since they may only be cut
- * off, and an organisation that keeps to its limit is refused. The margin of the limits covers a
- * part, and what is given away here and might be given there together stays within limit and
- * margin. */
+/* Half of the entries fail. Their shares of a limit are held back, since they may only be
+ * disconnected, and an organisation that keeps to its limit is refused. The margin of the limits
+ * covers a part of this. What is granted here, plus what may be granted there, stays within
+ * limit and margin. */
 static void
-margin_covers_entries_that_are_gone (void)
+margin_covers_failed_entries (void)
 {
   TestClock clock = test_clock ();
   Quota *quota = quota_new (&clock.base);
@@ -347,23 +354,22 @@
   quota_set_limit (quota, "org", 1000, 4000);
   quota_set_share (quota, 0.5);
   clock.now += 60 * FT_SECOND;
-  double bare = use_for (quota, &clock, 8, 100, 0);
+  double without_margin = use_quota (quota, &clock, 8, 100, 0);
   quota_set_margin (quota, 0.1, 3000, 8, true);
   clock.now += 60 * FT_SECOND;
-  double used = use_for (quota, &clock, 8, 100, 0);
-  g_assert_cmpfloat (used, >, bare * 1.3);
+  double used = use_quota (quota, &clock, 8, 100, 0);
+  g_assert_cmpfloat (used, >, without_margin * 1.3);
   g_assert_cmpfloat (used + 0.5 * allowed, <, allowed + margin);
   quota_free (quota);
 }
 
-/* The voters die, and a deputy that gave nothing away before decides about everybody's limits. It
- * starts as if each account were nearly empty, and organisations well within their limits are
- * refused for a second. The report of the one before, passed on by who asks, makes it go on where
- * that one was: neither a second burst nor a refusal. What the one before gave away is not charged
- * again.
- */
+/* The voters fail, and a deputy that has granted nothing before takes over all limits. With
+ * buckets that start nearly empty, organisations well within their limits are refused for a
+ * second. A report of the previous scheduler's bucket, passed on by entries that send requests,
+ * lets it continue at that level: neither a second burst nor a refusal. What the previous
+ * scheduler granted is not charged again. */
 static void
-account_goes_on_elsewhere (void)
+report_moves_account (void)
 {
   TestClock clock = test_clock ();
   Quota *before = quota_new (&clock.base), *after = quota_new (&clock.base);
@@ -377,23 +383,23 @@
   double full = quota_fill_level (before, "org");
   g_assert_cmpfloat (full, >, 0.7);
   g_assert_cmpfloat (full, <, 0.8);
-  int64_t told = clock.now;
+  int64_t reported_at = clock.now;
   clock.now += 150 * FT_MS;
-  quota_apply_report (after, "org", full, told);
+  quota_apply_report (after, "org", full, reported_at);
   quota_set_share (after, 1);
-  quota_charge_remote (after, "org", 3000, told - 10 * FT_SECOND);
+  quota_charge_remote (after, "org", 3000, reported_at - 10 * FT_SECOND);
   g_assert_true (quota_take (after, "org", 2500, 0, &wait));
   g_assert_false (quota_take (after, "org", 2500, 0, &wait));
   quota_free (before);
   quota_free (after);
 }
 
-/* An organisation sends many times its limit through entries that go between two schedulers. Each
- * tells the other what it was given, but the account there is empty already. Charged to nothing,
- * that use is forgotten and the limit is passed; both together must give what one would have given.
- */
+/* An organisation sends many times its limit through entries that switch between two schedulers.
+ * Each scheduler reports what it granted to the other, whose bucket is empty already. The use
+ * must be charged as debt, or it is lost and the limit exceeded; both together grant what one
+ * would have. */
 static void
-empty_account_is_charged (void)
+empty_bucket_is_charged (void)
 {
   TestClock clock = test_clock ();
   Quota *voter = quota_new (&clock.base), *deputy = quota_new (&clock.base);
@@ -407,17 +413,18 @@
   for (int i = 0; i < 800; i++)
     {
       clock.now += 10 * FT_MS;
-      bool apart = i / 40 % 2 == 1; /* two entries of seven, every 0.4 s */
+      bool use_deputy = i / 40 % 2 == 1; /* two entries of seven, for every other 0.4 s */
       if (i % 40 == 0)
         {
-          quota_charge_remote (apart ? deputy : voter, "org",
-                               apart ? from_voter * 2 / 7 : from_deputy, clock.now - 400 * FT_MS);
+          quota_charge_remote (use_deputy ? deputy : voter, "org",
+                               use_deputy ? from_voter * 2 / 7 : from_deputy,
+                               clock.now - 400 * FT_MS);
           from_voter = from_deputy = 0;
         }
       for (int j = 0; j < 10; j++)
         if (quota_take (voter, "org", 50, 0, &wait))
           from_voter += 50, used += 50;
-      for (int j = 0; apart && j < 10; j++)
+      for (int j = 0; use_deputy && j < 10; j++)
         if (quota_take (deputy, "org", 50, 0, &wait))
           from_deputy += 50, used += 50;
     }
@@ -427,10 +434,10 @@
   quota_free (deputy);
 }
 
-/* A deputy that nobody has asked yet holds no part of a limit. The first to ask is refused, and
- * told to come back in days. Without a part nothing is given away, and the advice stays sane. */
+/* A deputy that has had no request holds no share of a limit. It must grant next to nothing, and
+ * the wait it advises to the first caller must not be days. */
 static void
-no_part_of_a_limit (void)
+no_share_of_limit (void)
 {
   TestClock clock = test_clock ();
   Quota *quota = quota_new (&clock.base);
@@ -439,19 +446,19 @@
   quota_set_limit (quota, "org", 1000, 1000);
   clock.now += 60 * FT_SECOND;
   quota_set_share (quota, 0);
-  unsigned given = 0;
+  unsigned granted = 0;
   for (int i = 0; i < 100; i++)
     {
       clock.now += 10 * FT_MS;
-      given += quota_take (quota, "org", 100, 0, &wait);
+      granted += quota_take (quota, "org", 100, 0, &wait);
     }
-  g_assert_cmpuint (given, <=, 1);
+  g_assert_cmpuint (granted, <=, 1);
   g_assert_cmpint (wait, <, 2000 * FT_SECOND);
   quota_free (quota);
 }
 
 static void
-unused_is_given_back (void)
+unused_cost_is_refunded (void)
 {
   TestClock clock = test_clock ();
   Quota *quota = quota_new (&clock.base);
@@ -470,23 +477,23 @@
   quota_free (quota);
 }
 
-/* ---- The time of prompts ---- */
+/* ---- Prefill time ---- */
 
 static double
-prompt_takes (double unit_us, unsigned tokens)
+prefill_us (double unit_us, unsigned tokens)
 {
   return 60000 + unit_us * tokens * (1 + 6e-6 * tokens);
 }
 
-/* Prompts of 500 to 50,000 tokens reach two servers, one five times as fast, with a latency that is
- * the same on both. Taken in proportion to its length a long prompt seems to take half as long as
- * it does, and callers are late. After some hundred samples each length is known to a seventh; what
- * is no time, and a server that was frozen for a while, spoil nothing for good. */
+/* Prompts of 500 to 50,000 tokens are sent to two servers, one five times as fast, with the same
+ * latency. With times proportional to length a long prompt seems to take half as long as it
+ * does, and callers are late. After some hundred samples the time for each length is known to 15
+ * %. Invalid samples, and one from a server that was frozen for a while, have no lasting effect. */
 static void
-time_of_prompts (void)
+prefill_time_is_learned (void)
 {
   static const double units[] = { 8, 40 }, tokens_us[] = { 2600, 13000 };
-  double learned[2] = { 0 };
+  double learned_us[2] = { 0 };
   Curve curve;
 
   curve_init (&curve);
@@ -495,35 +502,35 @@
       unsigned length = 500 + (unsigned) ((uint64_t) i * i * 104729 % 49500);
       unsigned server = i % 2;
       double noise = 0.9 + 0.2 * (i * 31 % 17) / 17;
-      curve_learn (&curve, &learned[server], length, tokens_us[server],
-                   noise * prompt_takes (units[server], length));
+      curve_learn (&curve, &learned_us[server], length, tokens_us[server],
+                   noise * prefill_us (units[server], length));
       if (i == 300)
-        curve_learn (&curve, &learned[1], 900, tokens_us[1], 20e6);
+        curve_learn (&curve, &learned_us[1], 900, tokens_us[1], 20e6);
     }
   Curve before = curve;
-  curve_learn (&curve, &learned[0], 0, 2600, 1000);
-  curve_learn (&curve, &learned[0], 1000, 0, 1000);
-  curve_learn (&curve, &learned[0], 1000, 2600, 0);
-  curve_learn (&curve, &learned[0], 1000, 2600, INFINITY);
-  curve_learn (&curve, &learned[0], 1000, 2600, NAN);
+  curve_learn (&curve, &learned_us[0], 0, 2600, 1000);
+  curve_learn (&curve, &learned_us[0], 1000, 0, 1000);
+  curve_learn (&curve, &learned_us[0], 1000, 2600, 0);
+  curve_learn (&curve, &learned_us[0], 1000, 2600, INFINITY);
+  curve_learn (&curve, &learned_us[0], 1000, 2600, NAN);
   g_assert_cmpmem (&before, sizeof before, &curve, sizeof curve);
   for (unsigned server = 0; server < 2; server++)
     for (unsigned length = 1000; length <= 50000; length += 7000)
       {
-        double expected = curve.latency_us + learned[server] * curve_units (&curve, length);
-        double real = prompt_takes (units[server], length);
+        double expected = curve.latency_us + learned_us[server] * curve_units (&curve, length);
+        double real = prefill_us (units[server], length);
         g_test_message ("%u tokens: %.0f of %.0f us", length, expected, real);
         g_assert_cmpfloat (fabs (expected / real - 1), <, 0.15);
       }
 }
 
-/* ---- Callers that come back ---- */
+/* ---- Returning callers ---- */
 
-/* At worst load every other request is one that was refused and came back. It has waited longer
- * than is on time, and yet takes the place of a newcomer that could be on time. It is told from
- * that one by the patience that it has left, whatever the route allows. */
+/* Under full load every other request is one that was refused and returned. It has waited longer
+ * than the target already, yet takes the place of a new one that could be on time. It is
+ * recognised by its caller's remaining time, whatever the route allows. */
 static void
-callers_that_come_back (void)
+returning_callers_are_recognised (void)
 {
   TestClock clock = test_clock ();
   Patience *patience = patience_new (&clock.base);
@@ -531,51 +538,51 @@
   for (int i = 0; i < 100; i++)
     {
       clock.now += 50 * FT_MS;
-      int64_t newcomer = (850 + i * 37 % 151) * 10 * FT_MS;
-      g_assert_cmpint (patience_record (patience, "r", newcomer), ==, 0);
+      int64_t max_wait = (850 + i * 37 % 151) * 10 * FT_MS;
+      g_assert_cmpint (patience_record (patience, "r", max_wait), ==, 0);
     }
-  int64_t waited = patience_record (patience, "r", 6 * FT_SECOND);
-  g_assert_cmpint (waited, >=, 3900 * FT_MS);
-  g_assert_cmpint (waited, <=, 4 * FT_SECOND);
+  int64_t waited_us = patience_record (patience, "r", 6 * FT_SECOND);
+  g_assert_cmpint (waited_us, >=, 3900 * FT_MS);
+  g_assert_cmpint (waited_us, <=, 4 * FT_SECOND);
   g_assert_cmpint (patience_record (patience, "other", 6 * FT_SECOND), ==, 0);
-  clock.now += 30 * FT_SECOND; /* by then callers have less patience: that is the usual one now */
+  clock.now += 30 * FT_SECOND; /* by now all callers have less time, which is the usual time then */
   g_assert_cmpint (patience_record (patience, "r", 6 * FT_SECOND), ==, 0);
   patience_free (patience);
 }
 
-/* ---- Budgets ---- */
+/* ---- Retry budgets ---- */
 
-/* A service loses every answer and each request is repeated. The repeats of an instance stay within
- * the ratio of its own traffic and its part of the slack, in any window. */
+/* A service loses every answer and each request is retried. The retries of an instance stay
+ * within the ratio to its own traffic plus its share of the slack, in any window. */
 static void
-budget_bounds_repeats (void)
+budget_limits_retries (void)
 {
   TestClock clock = test_clock ();
   BudgetConf conf = { 0.2, 50, 10 * FT_SECOND };
   RetryBudget *budget = budget_new (&clock.base, &conf);
-  unsigned repeats = 0;
+  unsigned retries = 0;
 
   budget_set_share (budget, 0.1);
   for (int i = 0; i < 1000; i++)
     {
       clock.now += 10 * FT_MS;
       budget_count_request (budget, "s");
-      repeats += budget_take (budget, "s");
+      retries += budget_take (budget, "s");
     }
-  g_assert_cmpuint (repeats, <=, 1000 * 0.2 + 50 * 0.1);
-  g_assert_cmpuint (repeats, >=, 150);
+  g_assert_cmpuint (retries, <=, 1000 * 0.2 + 50 * 0.1);
+  g_assert_cmpuint (retries, >=, 150);
   clock.now += 20 * FT_SECOND;
-  repeats = 0;
+  retries = 0;
   for (int i = 0; i < 100; i++)
-    repeats += budget_take (budget, "s");
-  g_assert_cmpuint (repeats, <=, 5);
+    retries += budget_take (budget, "s");
+  g_assert_cmpuint (retries, <=, 5);
   budget_free (budget);
 }
 
 /* ---- Routes ---- */
 
 static RtCat *
-small_cat (void)
+new_catalogue (void)
 {
   RtLimits limits = { 1, 1, 1, 1 };
   RtCat *cat = rt_cat_new (7, &limits);
@@ -604,7 +611,7 @@
 static void
 longest_prefix_wins (void)
 {
-  RtCat *cat = small_cat ();
+  RtCat *cat = new_catalogue ();
 
   g_assert_cmpstr (rt_cat_route (cat, "a.EXAMPLE:80", "/a/b/c?x=/c/")->prefix, ==, "/a/b/");
   g_assert_cmpstr (rt_cat_route (cat, "a.example", "/a/bc")->prefix, ==, "/a/");
@@ -627,28 +634,28 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/content/identity", identity_of_a_content);
-  g_test_add_func ("/retry/once", once_is_once);
-  g_test_add_func ("/retry/not_run", not_run_may_go_elsewhere);
-  g_test_add_func ("/retry/gone", gone_server_is_none_reached);
-  g_test_add_func ("/retry/idempotent", idempotent_is_repeated_within_bounds);
-  g_test_add_func ("/retry/begun_plain", begun_plain_is_not_sent_again);
-  g_test_add_func ("/retry/resume", resumable_stream_goes_on);
-  g_test_add_func ("/retry/failed_stream", failed_stream_is_repeated);
-  g_test_add_func ("/retry/suspect", suspect_is_not_sent_on);
-  g_test_add_func ("/events/half", half_event_is_dropped);
-  g_test_add_func ("/quota/window", limit_holds_in_a_window);
-  g_test_add_func ("/quota/new_accountant", new_accountant_gives_no_second_burst);
-  g_test_add_func ("/quota/start", start_without_a_report);
-  g_test_add_func ("/quota/rank", higher_rank_goes_first_under_a_limit);
-  g_test_add_func ("/quota/margin", margin_covers_entries_that_are_gone);
-  g_test_add_func ("/patience/back", callers_that_come_back);
-  g_test_add_func ("/quota/goes_on", account_goes_on_elsewhere);
-  g_test_add_func ("/quota/debt", empty_account_is_charged);
-  g_test_add_func ("/quota/no_part", no_part_of_a_limit);
-  g_test_add_func ("/quota/give_back", unused_is_given_back);
-  g_test_add_func ("/curve/learned", time_of_prompts);
-  g_test_add_func ("/budget/bounds", budget_bounds_repeats);
+  g_test_add_func ("/content/identity", identity_of_content);
+  g_test_add_func ("/retry/once", at_most_once_is_sent_once);
+  g_test_add_func ("/retry/not_run", not_run_is_sent_to_another_server);
+  g_test_add_func ("/retry/gone", replaced_server_counts_as_not_reached);
+  g_test_add_func ("/retry/idempotent", idempotent_is_retried_within_bounds);
+  g_test_add_func ("/retry/begun_plain", begun_plain_answer_is_not_retried);
+  g_test_add_func ("/retry/resume", resumable_stream_is_resumed);
+  g_test_add_func ("/retry/failed_stream", failed_stream_is_retried);
+  g_test_add_func ("/retry/suspect", suspect_is_not_resumed);
+  g_test_add_func ("/events/half", partial_event_is_dropped);
+  g_test_add_func ("/quota/window", limit_holds_in_window);
+  g_test_add_func ("/quota/new_accountant", successor_grants_no_second_burst);
+  g_test_add_func ("/quota/start", start_without_report);
+  g_test_add_func ("/quota/rank", higher_rank_goes_first_under_limit);
+  g_test_add_func ("/quota/margin", margin_covers_failed_entries);
+  g_test_add_func ("/patience/back", returning_callers_are_recognised);
+  g_test_add_func ("/quota/goes_on", report_moves_account);
+  g_test_add_func ("/quota/debt", empty_bucket_is_charged);
+  g_test_add_func ("/quota/no_part", no_share_of_limit);
+  g_test_add_func ("/quota/give_back", unused_cost_is_refunded);
+  g_test_add_func ("/curve/learned", prefill_time_is_learned);
+  g_test_add_func ("/budget/bounds", budget_limits_retries);
   g_test_add_func ("/route/prefix", longest_prefix_wins);
   return g_test_run ();
 }
