--- a/test/health.c
+++ b/test/health.c
@@ -175,9 +175,8 @@
 
 /* ---- Connections ---- */
 
-#define OWNERS 200
-#define REUSE_MAX                                                                                  \
-  (9 * FT_SECOND) /* connections are reused until then; servers close them after 10 s */
+#define OWNERS    200
+#define REUSE_MAX (9 * FT_SECOND) /* servers close idle connections after 10 s */
 
 /* Digests of the servers to which an owner has connections, as listed in SchedAsk.kept. */
 static unsigned
@@ -245,8 +244,8 @@
   Connections got = run_owners (20, 60);
   drain_jobs ();
   TierCounts counts = count_tier (2, from);
-  g_test_message ("%u opened for %u, %u of %u in time", got.opened, got.asked, counts.in_time,
-                  counts.asked);
+  g_test_message ("%u connections opened for %u requests, %u of %u on time", got.opened, got.asked,
+                  counts.in_time, counts.asked);
   g_assert_cmpuint (got.opened * 100, <, got.asked * 40); /* 64 if connections are ignored */
   g_assert_cmpuint (counts.in_time * 100, >=, counts.asked * 99);
   model_end ();
@@ -264,8 +263,8 @@
   Connections got = run_owners (20, 200);
   drain_jobs ();
   TierCounts counts = count_tier (2, from);
-  g_test_message ("%u opened for %u, %u of %u in time", got.opened, got.asked, counts.in_time,
-                  counts.asked);
+  g_test_message ("%u connections opened for %u requests, %u of %u on time", got.opened, got.asked,
+                  counts.in_time, counts.asked);
   g_assert_cmpuint (got.opened * 100, <,
                     got.asked * 30); /* 52 if the request with the earliest due time goes first */
   g_assert_cmpuint (counts.in_time * 100, >=, counts.asked * 99);
--- a/test/rules.h
+++ b/test/rules.h
@@ -26,10 +26,8 @@
 typedef struct
 {
   const GArray *arrivals; /* elements are Arrival, in order of arrival */
-  int64_t settle_us; /* time from a server's first announcement of a rate limit until the limit is
-                        checked */
-  int64_t drain_us;  /* time from a server's announcement to an instance that it is leaving until
-                        this is checked */
+  int64_t settle_us;      /* a rate limit is checked so long after it was first announced */
+  int64_t drain_us;       /* time in which a leaving server may still get requests */
   RulesExcusedFunc excused;
   void *data;
 } Rules;
--- a/test/sched.c
+++ b/test/sched.c
@@ -50,7 +50,7 @@
   run_load (8, 105, lowest_tier_only);
   drain_jobs ();
   TierCounts got = count_tier (2, from);
-  g_test_message ("newcomers: %u asked, %u in time, %u refused", got.asked, got.in_time,
+  g_test_message ("new requests: %u asked, %u on time, %u refused", got.asked, got.in_time,
                   got.refused);
   g_assert_cmpuint (got.in_time * 100, >=, got.asked * 70);
   model_end ();
@@ -70,7 +70,7 @@
   run_load (8, 120, lowest_tier_only);
   drain_jobs ();
   TierCounts got = count_tier (2, from);
-  g_test_message ("%u asked, %u in time, %u refused", got.asked, got.in_time, got.refused);
+  g_test_message ("%u asked, %u on time, %u refused", got.asked, got.in_time, got.refused);
   /* The servers have a capacity of 74 a second, 0.617 of the load. The queue is as long at the
    * start as at the end. */
   g_assert_cmpuint (got.in_time * 1000, >=, got.asked * 622);
--- a/test/shares.c
+++ b/test/shares.c
@@ -1,11 +1,11 @@
-/* shares.c - organisations that ask for more than the servers can do, on a clock of the test's own:
- * who is served, by due time alone and by fair shares. */
+/* shares.c - tests of fair shares with organisations that together exceed the servers' capacity,
+ * on a simulated clock: who is served by due time alone, and by fair shares. */
 #include "broker.h"
 #include "count.h"
 #include "engines.h"
 #include "shares.h"
 
-/* ---- Replays before the scheduler ---- */
+/* ---- Simulated loads ---- */
 
 #define ORGS 16
 
@@ -13,200 +13,203 @@
 {
   double per_s, limit;
   unsigned tier, prompt, output;
-  int64_t from, to;                       /* asks between; to 0: always */
-  unsigned asked, in_time, refused, kept; /* kept: refused after it had waited for long */
-  double tokens;                          /* of those in time, tokens */
-} Asker;
+  int64_t from, to;                       /* sends requests between these times; to 0: no end */
+  unsigned asked, in_time, refused, late; /* late: refused after more than 400 ms */
+  double tokens; /* of requests on time; 6 prompt tokens count as one output token */
+} Client;
 
-static Asker askers[ORGS];
-static unsigned char asker_of[JOBS_MAX];
+static Client clients[ORGS];
+static unsigned char client_of[JOBS_MAX];
 static char names[ORGS][8];
 static unsigned slots = 6; /* of each server */
 
 static void
-everybody (double per_s)
+set_clients (double per_s)
 {
   for (unsigned i = 0; i < ORGS; i++)
     {
-      askers[i] = (Asker){ .per_s = per_s, .tier = 2, .prompt = 1100, .output = 170 };
+      clients[i] = (Client){ .per_s = per_s, .tier = 2, .prompt = 1100, .output = 170 };
       snprintf (names[i], sizeof names[i], "org%u", i);
     }
 }
 
 static void
-ask_all (int64_t begun)
+submit_requests (int64_t begun)
 {
   int64_t at = model->clock.now - begun;
 
   for (unsigned i = 0; i < ORGS; i++)
     {
-      const Asker *asker = &askers[i];
-      if (at < asker->from || (asker->to && at >= asker->to)
-          || random_unit () >= asker->per_s / 500)
+      const Client *client = &clients[i];
+      if (at < client->from || (client->to && at >= client->to)
+          || random_unit () >= client->per_s / 500)
         continue;
       double size = 0.4 + 1.2 * random_unit ();
       model->org = names[i];
-      asker_of[model->job_count] = (unsigned char) i;
-      ask (asker->tier, (unsigned) (asker->prompt * size), (unsigned) (asker->output * size));
+      client_of[model->job_count] = (unsigned char) i;
+      ask (client->tier, (unsigned) (client->prompt * size), (unsigned) (client->output * size));
     }
 }
 
 static void
-count (unsigned number)
+count_job (unsigned number)
 {
   const Job *job = &model->jobs[number];
-  Asker *asker = &askers[asker_of[number]];
+  Client *client = &clients[client_of[number]];
   bool in_time
       = !job->refused && !job->failed && job->first_event_at - job->arrived_at <= model->aim_us;
 
   g_assert_true (job->done);
-  asker->asked++;
-  asker->refused += job->refused;
-  asker->kept += job->refused && job->refused_after_us > 400 * FT_MS;
-  asker->in_time += in_time;
-  asker->tokens += in_time ? job->prompt / 6.0 + job->output : 0;
+  client->asked++;
+  client->refused += job->refused;
+  client->late += job->refused && job->refused_after_us > 400 * FT_MS;
+  client->in_time += in_time;
+  client->tokens += in_time ? job->prompt / 6.0 + job->output : 0;
 }
 
 static void
-print (const char *what, bool fair)
+print_counts (const char *what, bool fair)
 {
   GString *line = g_string_new (NULL);
 
   for (unsigned i = 0; i < ORGS; i++)
-    if (askers[i].asked > 0)
-      g_string_append_printf (line, " %s=%u/%u", names[i], askers[i].in_time, askers[i].asked);
+    if (clients[i].asked > 0)
+      g_string_append_printf (line, " %s=%u/%u", names[i], clients[i].in_time, clients[i].asked);
   g_test_message ("%s, fair_shares %s, in time of asked:%s", what, fair ? "on" : "off", line->str);
   g_string_free (line, TRUE);
 }
 
-/* The askers' load on a model that has learned its speeds; the caller ends the model. */
+/* Runs the clients' load on a new model whose speeds have been learned. The caller ends the
+ * model. */
 static void
-play (const char *what, bool fair, double seconds)
+run_clients (const char *what, bool fair, double seconds)
 {
   model_begin (SERVERS, slots, true);
   sched_set_fair (model->sched, fair);
   for (unsigned i = 0; i < ORGS; i++)
     {
-      sched_set_weight (model->sched, names[i], askers[i].limit);
-      askers[i].asked = askers[i].in_time = askers[i].refused = askers[i].kept = 0;
-      askers[i].tokens = 0;
+      sched_set_weight (model->sched, names[i], clients[i].limit);
+      clients[i].asked = clients[i].in_time = clients[i].refused = clients[i].late = 0;
+      clients[i].tokens = 0;
     }
   run_load (4, 30, default_mix);
   unsigned first = model->job_count;
   for (int64_t begun = model->clock.now; model->clock.now - begun < (int64_t) (seconds * 1e6);)
     {
-      ask_all (begun);
+      submit_requests (begun);
       step ();
     }
   drain_jobs ();
   for (unsigned i = first; i < model->job_count; i++)
-    count (i);
-  print (what, fair);
+    count_job (i);
+  print_counts (what, fair);
 }
 
 static double
-part (unsigned from, unsigned to)
+on_time_share (unsigned from, unsigned to)
 {
   unsigned asked = 0, in_time = 0;
 
   for (unsigned i = from; i < to; i++)
     {
-      asked += askers[i].asked;
-      in_time += askers[i].in_time;
+      asked += clients[i].asked;
+      in_time += clients[i].in_time;
     }
   return (double) in_time / asked;
 }
 
 static double
-least_part (unsigned from, unsigned to)
+min_on_time_share (unsigned from, unsigned to)
 {
-  double least = 1;
+  double min = 1;
 
   for (unsigned i = from; i < to; i++)
-    least = MIN (least, part (i, i + 1));
-  return least;
+    min = MIN (min, on_time_share (i, i + 1));
+  return min;
 }
 
-/* One organisation at six times its share: by due time everybody loses as many of a hundred. What
- * it has too much is refused, and at once: it is known that others will go before it. */
+/* One organisation sends six times its share. By due time alone, all organisations lose the same
+ * percentage. With fair shares its excess is refused, and at once, since it is known that others
+ * go first. */
 static void
-one_at_six_times (void)
+one_sends_six_times_its_share (void)
 {
-  everybody (4);
-  askers[0].per_s = 28;
-  play ("one at six times", false, 20);
-  g_assert_cmpfloat (least_part (1, ORGS), <, 0.9);
+  set_clients (4);
+  clients[0].per_s = 28;
+  run_clients ("one at six times its share", false, 20);
+  g_assert_cmpfloat (min_on_time_share (1, ORGS), <, 0.9);
   model_end ();
-  play ("one at six times", true, 20);
-  g_assert_cmpfloat (least_part (1, ORGS), >=, 0.95);
-  g_assert_cmpfloat (part (0, 1), >=, 0.5);
-  g_assert_cmpuint (askers[0].kept * 3, <=, askers[0].refused);
+  run_clients ("one at six times its share", true, 20);
+  g_assert_cmpfloat (min_on_time_share (1, ORGS), >=, 0.95);
+  g_assert_cmpfloat (on_time_share (0, 1), >=, 0.5);
+  g_assert_cmpuint (clients[0].late * 3, <=, clients[0].refused);
   model_end ();
 }
 
-/* One has ordered ten times as much as most, and asks for all of it; two small ones ask for eight
- * times theirs. With equal shares the large one is refused what it has ordered. */
+/* One organisation has ordered ten times as much as most and uses all of it; two small ones send
+ * eight times their limits. With equal shares the large one would be refused what it has
+ * ordered. */
 static void
-skewed_sizes (void)
+unequal_limits (void)
 {
-  everybody (1.5);
+  set_clients (1.5);
   for (unsigned i = 0; i < ORGS; i++)
-    askers[i].limit = 2;
-  askers[0].per_s = 30;
-  askers[0].limit = 30;
-  askers[1].per_s = askers[2].per_s = 40;
-  askers[1].limit = askers[2].limit = 5;
-  play ("skewed sizes", false, 20);
-  g_assert_cmpfloat (part (0, 1), <, 0.8);
+    clients[i].limit = 2;
+  clients[0].per_s = 30;
+  clients[0].limit = 30;
+  clients[1].per_s = clients[2].per_s = 40;
+  clients[1].limit = clients[2].limit = 5;
+  run_clients ("unequal limits", false, 20);
+  g_assert_cmpfloat (on_time_share (0, 1), <, 0.8);
   model_end ();
-  play ("skewed sizes", true, 20);
-  g_assert_cmpfloat (part (0, 1), >=, 0.95);
-  g_assert_cmpfloat (part (3, ORGS), >=, 0.9);
-  g_assert_cmpfloat (part (1, 3), >=, 0.3);
+  run_clients ("unequal limits", true, 20);
+  g_assert_cmpfloat (on_time_share (0, 1), >=, 0.95);
+  g_assert_cmpfloat (on_time_share (3, ORGS), >=, 0.9);
+  g_assert_cmpfloat (on_time_share (1, 3), >=, 0.3);
   model_end ();
 }
 
-/* One sends answers of three times the usual length, and more of them than the servers can do.
+/* One organisation sends requests with answers of three times the usual length, beyond capacity.
  * Shares are of slot time, so its requests wait and not those of the others. */
 static void
 long_requests_only (void)
 {
-  everybody (4);
-  askers[0].per_s = 30;
-  askers[0].output = 510;
-  play ("long requests only", false, 20);
-  g_assert_cmpfloat (part (1, ORGS), <, 0.9);
+  set_clients (4);
+  clients[0].per_s = 30;
+  clients[0].output = 510;
+  run_clients ("long requests only", false, 20);
+  g_assert_cmpfloat (on_time_share (1, ORGS), <, 0.9);
   model_end ();
-  play ("long requests only", true, 20);
-  g_assert_cmpfloat (part (1, ORGS), >=, 0.95);
-  g_assert_cmpfloat (part (0, 1), >=, 0.15);
+  run_clients ("long requests only", true, 20);
+  g_assert_cmpfloat (on_time_share (1, ORGS), >=, 0.95);
+  g_assert_cmpfloat (on_time_share (0, 1), >=, 0.15);
   model_end ();
 }
 
-/* One organisation takes two thirds of the places for its highest tier, others share what is left:
- * shares hold within a tier only. */
+/* One organisation takes two thirds of the places with its highest tier, and the others share
+ * the rest: shares apply within a tier only. */
 static void
 tiers_are_strict (void)
 {
   double off;
 
-  everybody (3);
-  askers[0].per_s = 45;
-  askers[0].tier = 0;
-  askers[1].per_s = 18;
-  play ("two tiers", false, 20);
-  off = part (0, 1);
-  g_assert_cmpfloat (part (2, ORGS), <, part (1, 2));
+  set_clients (3);
+  clients[0].per_s = 45;
+  clients[0].tier = 0;
+  clients[1].per_s = 18;
+  run_clients ("two tiers", false, 20);
+  off = on_time_share (0, 1);
+  g_assert_cmpfloat (on_time_share (2, ORGS), <, on_time_share (1, 2));
   model_end ();
-  play ("two tiers", true, 20);
-  g_assert_cmpfloat (part (0, 1), >=, 0.99 * off);
-  g_assert_cmpfloat (part (2, ORGS), >=, 1.25 * part (1, 2));
+  run_clients ("two tiers", true, 20);
+  g_assert_cmpfloat (on_time_share (0, 1), >=, 0.99 * off);
+  g_assert_cmpfloat (on_time_share (2, ORGS), >=, 1.25 * on_time_share (1, 2));
   model_end ();
 }
 
-/* A lone organisation gets everything, and each decision is the one by due time. */
+/* An organisation alone gets everything, and each decision is the same as by due time. */
 static void
-lone_one_gets_everything (void)
+single_organisation_gets_everything (void)
 {
   static const double parts[] = { 0.2, 0.3, 0.5 };
   Job *before = NULL;
@@ -235,42 +238,42 @@
   g_free (before);
 }
 
-/* One that asks for nothing for ten seconds and then for six times its share has saved nothing up:
- * others are served as if it had been there always. */
+/* An organisation that is idle for ten seconds and then sends six times its share has saved up
+ * nothing: the others are served as if it had been active all the time. */
 static void
-idle_one_comes_back (void)
+idle_organisation_returns (void)
 {
-  everybody (4);
-  askers[0].per_s = 28;
-  askers[0].from = 10 * FT_SECOND;
-  play ("idle and back", false, 20);
+  set_clients (4);
+  clients[0].per_s = 28;
+  clients[0].from = 10 * FT_SECOND;
+  run_clients ("idle and back", false, 20);
   model_end ();
-  play ("idle and back", true, 20);
-  g_assert_cmpfloat (least_part (1, ORGS), >=, 0.95);
-  g_assert_cmpfloat (part (0, 1), >=, 0.5);
+  run_clients ("idle and back", true, 20);
+  g_assert_cmpfloat (min_on_time_share (1, ORGS), >=, 0.95);
+  g_assert_cmpfloat (on_time_share (0, 1), >=, 0.5);
   model_end ();
 }
 
-/* Hundreds wait for hundreds of places, and one organisation sends forty times what others do: more
- * of its requests wait than are looked at in one decision. */
+/* Hundreds of requests wait for hundreds of places. One organisation sends forty times as much
+ * as the others, so that more of its requests wait than one decision examines. */
 static void
-hundreds_wait (void)
+hundreds_of_requests_wait (void)
 {
-  everybody (10);
-  askers[0].per_s = 400;
+  set_clients (10);
+  clients[0].per_s = 400;
   slots = 24;
-  play ("hundreds wait", true, 8);
+  run_clients ("hundreds wait", true, 8);
   slots = 6;
-  g_assert_cmpfloat (least_part (1, ORGS), >=, 0.95);
-  g_assert_cmpfloat (part (0, 1), >=, 0.42);
+  g_assert_cmpfloat (min_on_time_share (1, ORGS), >=, 0.95);
+  g_assert_cmpfloat (on_time_share (0, 1), >=, 0.42);
   model_end ();
 }
 
-/* All that wait have become late, most of them at the end of the queue, which no decision looks at.
- * A newcomer of the same organisation is refused for the sake of job that is counted as on time.
- */
+/* All waiting requests have become late, most of them at the end of the queue where no decision
+ * examines them. A new request of the same organisation must not be refused because they are
+ * counted as on time. */
 static void
-late_ones_are_seen_anywhere (void)
+late_requests_are_found_anywhere (void)
 {
   model_begin (1, 1, false);
   sched_set_fair (model->sched, true);
@@ -291,10 +294,10 @@
   model_end ();
 }
 
-/* One request waits for a place, and then twenty seconds of another organisation's job that is due
- * earlier come. It is refused as hopeless for the sake of job that goes behind it. */
+/* One request waits for a place, then twenty seconds of another organisation's work arrive that
+ * are due earlier. It must not be refused as hopeless because of work that goes behind it. */
 static void
-hopeless_is_not_what_goes_first (void)
+served_first_is_not_hopeless (void)
 {
   model_begin (1, 1, false);
   sched_set_fair (model->sched, true);
@@ -313,44 +316,44 @@
   model_end ();
 }
 
-/* Settings change while requests wait: each is decided on once, and the line for operators names
- * who waits. */
+/* The setting changes while requests wait: each gets one decision, and the description for
+ * operators names the waiting organisations. */
 static void
-may_be_turned_on_and_off (void)
+setting_changes_while_requests_wait (void)
 {
   SchedStats stats;
-  unsigned seen = 0;
+  unsigned described = 0;
 
-  everybody (10);
+  set_clients (10);
   model_begin (SERVERS, 6, true);
   run_load (2, 30, default_mix);
   for (unsigned i = 0; i < 1000; i++)
     {
       if (i % 50 == 0)
         sched_set_fair (model->sched, i % 100 == 0);
-      ask_all (model->clock.now);
+      submit_requests (model->clock.now);
       step ();
       char *text = sched_describe (model->sched);
       const char *line = strstr (text, "# shares service=s tier=2 organisations=");
-      seen += line != NULL;
+      described += line != NULL;
       if (line)
         g_assert_cmpuint (strcspn (line, "\n"), <, 400);
       g_free (text);
     }
   drain_jobs ();
-  g_assert_cmpuint (seen, >, 100);
+  g_assert_cmpuint (described, >, 100);
   sched_stats (model->sched, &stats);
   g_assert_cmpuint (stats.running + stats.waiting, ==, 0);
   count_tier (2, 0);
   model_end ();
 }
 
-/* ---- The order alone ---- */
+/* ---- The fair queue alone ---- */
 
 #define ITEMS 2000
 
 static ShrItem items[ITEMS];
-static unsigned used;
+static unsigned item_count;
 static struct cds_list_head queue;
 static ShrWeights *weights;
 static Shares *shares;
@@ -359,7 +362,7 @@
 begin_queue (void)
 {
   memset (items, 0, sizeof items);
-  used = 0;
+  item_count = 0;
   CDS_INIT_LIST_HEAD (&queue);
   weights = shr_weights_new ();
   shares = shr_new (weights, &queue);
@@ -375,14 +378,15 @@
 static ShrItem *
 enqueue (const char *org, double work_us, unsigned times)
 {
-  ShrItem *first = &items[used];
+  ShrItem *first = &items[item_count];
 
-  for (unsigned i = 0; i < times; i++, used++)
-    shr_add (shares, &items[used], org, work_us, used, 1);
+  for (unsigned i = 0; i < times; i++, item_count++)
+    shr_add (shares, &items[item_count], org, work_us, item_count, 1);
   return first;
 }
 
-/* How many of the next ones served are among those from first on. */
+/* Serves this many requests and returns how many of them are among the count items from first
+ * on. */
 static unsigned
 serve (unsigned times, const ShrItem *first, unsigned count)
 {
@@ -398,9 +402,10 @@
   return among;
 }
 
-/* One comes back while another is being served: they go by turns, it has no hundred to make up. */
+/* An organisation returns while another is being served: they alternate, and it gets no credit
+ * for the 100 requests served meanwhile. */
 static void
-nothing_is_saved_up (void)
+idle_time_gives_no_credit (void)
 {
   begin_queue ();
   enqueue ("b", 10, 1);
@@ -412,7 +417,7 @@
 }
 
 static void
-limits_are_weights (void)
+limits_are_used_as_weights (void)
 {
   begin_queue ();
   shr_weights_set (weights, "a", 100);
@@ -420,7 +425,7 @@
   shr_weights_set (weights, "b", 300);
   shr_weights_set (weights, "c", 7);
   shr_weights_set (weights, "c", 0);
-  g_assert_cmpfloat (shr_weight (weights, "a"), ==, 1); /* half the mean: an equal part */
+  g_assert_cmpfloat (shr_weight (weights, "a"), ==, 1); /* at least an equal share */
   g_assert_cmpfloat (shr_weight (weights, "b"), ==, 1.5);
   g_assert_cmpfloat (shr_weight (weights, "c"), ==, 1);
   enqueue ("a", 10, 100);
@@ -429,10 +434,10 @@
   end_queue ();
 }
 
-/* Requests leave unserved: refused, late, or their callers went. Their organisation is not charged
- * for them, or it would wait for what it never got. */
+/* Requests are removed unserved, because they were refused or late or their callers left. Their
+ * organisation must not be charged for them, or it would wait for service it never got. */
 static void
-unserved_costs_nothing (void)
+unserved_requests_cost_nothing (void)
 {
   begin_queue ();
   ShrItem *left = enqueue ("b", 10, 10);
@@ -444,16 +449,16 @@
   end_queue ();
 }
 
-/* Whatever leaves in whichever order, the queue is sorted, and an organisation's tags are one
- * behind the other by due time. */
+/* After any additions and removals the queue is sorted by tag, and the tags of an organisation
+ * follow one another in order of due time. */
 static void
-order_is_kept (void)
+queue_stays_sorted (void)
 {
   static const char *const orgs[] = { "a", "b", "c", "d", "e" };
   static unsigned char of[ITEMS];
   const ShrItem *item, *last[5];
 
-  model_begin (1, 1, false); /* for draw */
+  model_begin (1, 1, false); /* for random_unit */
   begin_queue ();
   for (unsigned i = 0; i < ITEMS; i++)
     {
@@ -486,8 +491,8 @@
   model_end ();
 }
 
-/* Thousands of organisations come by: those that wait are known, and some of the others, for
- * seconds. */
+/* Of thousands of organisations, state is kept for those with waiting requests, and for a
+ * bounded number of others for some seconds. */
 static void
 state_is_bounded (void)
 {
@@ -508,40 +513,40 @@
   end_queue ();
 }
 
-/* What goes before a newcomer: of each other as much as its own has waiting, it included, by
- * weight; and as far as that goes what comes until it starts. */
+/* Before a new request, each other organisation is served as much, by weight, as its own has
+ * waiting including itself, from what waits and, beyond that, from what arrives until it starts. */
 static void
-turn_of_a_newcomer (void)
+position_of_a_new_request (void)
 {
-  ShrOvertaking turn;
+  ShrOvertaking overtaking;
 
   begin_queue ();
   enqueue ("a", 10, 10);
   enqueue ("b", 10, 3);
-  shr_overtaking (shares, "c", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.overtakes_us, ==, 90 + 20);
-  g_assert_cmpfloat (turn.overtaken_by_us, ==, 0);
-  shr_overtaking (shares, "b", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.overtakes_us, ==, 60);
-  shr_overtaking (shares, "a", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.overtakes_us, ==, 0);
-  /* b sends half of what the place can do, so behind 130 of it a newcomer waits twice as long, but
-   * for no more than 110 of b's. */
+  shr_overtaking (shares, "c", 10, 130, 1, 1, &overtaking);
+  g_assert_cmpfloat (overtaking.overtakes_us, ==, 90 + 20);
+  g_assert_cmpfloat (overtaking.overtaken_by_us, ==, 0);
+  shr_overtaking (shares, "b", 10, 130, 1, 1, &overtaking);
+  g_assert_cmpfloat (overtaking.overtakes_us, ==, 60);
+  shr_overtaking (shares, "a", 10, 130, 1, 1, &overtaking);
+  g_assert_cmpfloat (overtaking.overtakes_us, ==, 0);
+  /* b sends half of what the place can serve, so the wait behind 130 of b's work doubles, but no
+   * more than 110 of it goes before. */
   shr_note_arrival (shares, "b", 1e6, 1);
-  shr_overtaking (shares, "a", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (turn.overtaken_by_us, ==, 80);
+  shr_overtaking (shares, "a", 10, 130, 1, 1, &overtaking);
+  g_assert_cmpfloat (overtaking.overtaken_by_us, ==, 80);
   enqueue ("a", 10, 20);
-  shr_overtaking (shares, "a", 10, 330, 1, 1, &turn);
-  g_assert_cmpfloat (fabs (turn.overtaken_by_us - 280), <, 1e-6);
-  shr_overtaking (shares, "a", 10, 130, 1, 1, &turn);
-  g_assert_cmpfloat (fabs (turn.overtaken_by_us - 130), <, 1e-6);
+  shr_overtaking (shares, "a", 10, 330, 1, 1, &overtaking);
+  g_assert_cmpfloat (fabs (overtaking.overtaken_by_us - 280), <, 1e-6);
+  shr_overtaking (shares, "a", 10, 130, 1, 1, &overtaking);
+  g_assert_cmpfloat (fabs (overtaking.overtaken_by_us - 130), <, 1e-6);
   end_queue ();
 }
 
 /* ---- Settings and catalogue ---- */
 
 static void
-no_grant (void *host, uint64_t request, const Grant *grant)
+ignore_grant (void *host, uint64_t request, const Grant *grant)
 {
   (void) host;
   (void) request;
@@ -549,7 +554,7 @@
 }
 
 static void
-no_refusal (void *host, uint64_t request, const SchedRefusal *refusal)
+ignore_refusal (void *host, uint64_t request, const SchedRefusal *refusal)
 {
   (void) host;
   (void) request;
@@ -557,7 +562,7 @@
 }
 
 static RtCat *
-catalogue (void)
+new_catalogue (void)
 {
   static const RtLimits limits = { 1000, 1000, FT_SECOND, FT_SECOND };
   RtService service = { .name = (char *) "s" };
@@ -591,12 +596,13 @@
   broker_ask (broker, &asked, 0);
 }
 
-/* The setting and the catalogue's limits reach the scheduler, and operators see it: one that sends
- * little is queued before what another has waiting, and counted. */
+/* The setting and the catalogue's limits reach the scheduler, and operators can see the effect:
+ * a request of an organisation that sends little is queued before another's waiting ones, and is
+ * counted. */
 static void
-operators_see_it (void)
+operators_see_fair_shares (void)
 {
-  static const BrokerOps broker_ops = { no_grant, no_refusal };
+  static const BrokerOps broker_ops = { ignore_grant, ignore_refusal };
   static const char *const orgs[] = { "large", "calls" };
   BrokerConf conf = { .fair_shares = true };
   Loop *loop = loop_new ();
@@ -609,7 +615,7 @@
                         .domain = (char *) "z",
                         .addr = { 1, 1 },
                         .slots = 1 };
-  RtCat *cat = catalogue ();
+  RtCat *cat = new_catalogue ();
 
   g_array_append_val (list, server);
   broker_configure (broker, &conf);
@@ -640,22 +646,22 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/shares/hot", one_at_six_times);
-  g_test_add_func ("/shares/skewed", skewed_sizes);
+  g_test_add_func ("/shares/hot", one_sends_six_times_its_share);
+  g_test_add_func ("/shares/skewed", unequal_limits);
   g_test_add_func ("/shares/long", long_requests_only);
   g_test_add_func ("/shares/tiers", tiers_are_strict);
-  g_test_add_func ("/shares/lone", lone_one_gets_everything);
-  g_test_add_func ("/shares/back", idle_one_comes_back);
-  g_test_add_func ("/shares/hundreds", hundreds_wait);
-  g_test_add_func ("/shares/late", late_ones_are_seen_anywhere);
-  g_test_add_func ("/shares/hopeless", hopeless_is_not_what_goes_first);
-  g_test_add_func ("/shares/switch", may_be_turned_on_and_off);
-  g_test_add_func ("/shares/idle", nothing_is_saved_up);
-  g_test_add_func ("/shares/weights", limits_are_weights);
-  g_test_add_func ("/shares/unserved", unserved_costs_nothing);
-  g_test_add_func ("/shares/order", order_is_kept);
+  g_test_add_func ("/shares/lone", single_organisation_gets_everything);
+  g_test_add_func ("/shares/back", idle_organisation_returns);
+  g_test_add_func ("/shares/hundreds", hundreds_of_requests_wait);
+  g_test_add_func ("/shares/late", late_requests_are_found_anywhere);
+  g_test_add_func ("/shares/hopeless", served_first_is_not_hopeless);
+  g_test_add_func ("/shares/switch", setting_changes_while_requests_wait);
+  g_test_add_func ("/shares/idle", idle_time_gives_no_credit);
+  g_test_add_func ("/shares/weights", limits_are_used_as_weights);
+  g_test_add_func ("/shares/unserved", unserved_requests_cost_nothing);
+  g_test_add_func ("/shares/order", queue_stays_sorted);
   g_test_add_func ("/shares/bounded", state_is_bounded);
-  g_test_add_func ("/shares/turn", turn_of_a_newcomer);
-  g_test_add_func ("/shares/operators", operators_see_it);
+  g_test_add_func ("/shares/turn", position_of_a_new_request);
+  g_test_add_func ("/shares/operators", operators_see_fair_shares);
   return g_test_run ();
 }
