--- a/test/pace.c
+++ b/test/pace.c
@@ -138,8 +138,8 @@
   model_end ();
 }
 
-/* A server that is idle because of its rate limit, or rejects what exceeds the limit, is not
- * taken for failing. */
+/* A server that answers rarely because of its rate limit, or rejects what exceeds the limit, is
+ * not taken for failing. */
 static void
 limited_server_is_not_failing (void)
 {
