--- a/test/shares.c
+++ b/test/shares.c
@@ -608,13 +608,13 @@
   Loop *loop = loop_new ();
   Servers *servers = servers_new ();
   Broker *broker = broker_new (loop, "voter", &broker_ops, NULL);
-  GArray *list = g_array_new (FALSE, FALSE, sizeof (SeamServer));
-  SeamServer server = { .id = (char *) "i",
-                        .name = (char *) "i",
-                        .service = (char *) "s",
-                        .domain = (char *) "z",
-                        .addr = { 1, 1 },
-                        .slots = 1 };
+  GArray *list = g_array_new (FALSE, FALSE, sizeof (AdapterServer));
+  AdapterServer server = { .id = (char *) "i",
+                           .name = (char *) "i",
+                           .service = (char *) "s",
+                           .domain = (char *) "z",
+                           .addr = { 1, 1 },
+                           .slots = 1 };
   RtCat *cat = new_catalogue ();
 
   g_array_append_val (list, server);
