--- a/test/greet.c
+++ b/test/greet.c
@@ -1,4 +1,4 @@
-/* greet.c - the file of entries that a voter keeps, and what it does on links to them. */
+/* greet.c - a voter's file of entries, and the links on which it greets entries. */
 #include "greet.h"
 #include "peer.h"
 
@@ -15,17 +15,17 @@
 static const uint32_t voters[] = { 0x7f000003, 0x7f000004 };
 
 static void
-begin (void)
+set_up (void)
 {
   loop = loop_new ();
-  mesh = test_mesh (loop, MESH_VOTER, PORT);
+  mesh = test_mesh_new (loop, MESH_VOTER, PORT);
   g_assert_nonnull (mesh);
   folder = g_dir_make_tmp ("greet-XXXXXX", NULL);
   file = g_build_filename (folder, "entries", NULL);
 }
 
 static void
-end (void)
+tear_down (void)
 {
   mesh_free (mesh);
   loop_free (loop);
@@ -36,7 +36,7 @@
 }
 
 static unsigned
-known_of (const char *text, gssize size)
+count_known (const char *text, gssize size)
 {
   g_assert_true (g_file_set_contents (file, text, size, NULL));
   greet = greet_new (loop, mesh, 0x7f000001, folder);
@@ -55,44 +55,45 @@
   return g_string_free (text, FALSE);
 }
 
-/* A file that a loss of power or anybody else has spoilt is taken for what it is not: a part of an
- * address is dialled, a voter does not start, or dials what it does not know. */
+/* Guards against a damaged file, for example after a loss of power: a truncated address is dialled,
+ * the voter does not start, or it dials addresses that are not valid. */
 static void
-test_file (void)
+test_damaged_file (void)
 {
-  begin ();
-  greet = greet_new (loop, mesh, 0x7f000001, folder); /* missing */
+  set_up ();
+  greet = greet_new (loop, mesh, 0x7f000001, folder); /* no file */
   g_assert_cmpuint (greet_known_count (greet), ==, 0);
   greet_free (greet);
-  g_assert_cmpuint (known_of ("", 0), ==, 0);
-  g_assert_cmpuint (known_of ("10.0.0.1\n10.0.0.2\n", -1), ==, 2);
-  g_assert_cmpuint (known_of ("10.0.0.1\n10.0.0.2", -1), ==, 1);
-  g_assert_cmpuint (known_of ("10.0.0.1\n10.0.0\n10.0.0.300\n\n0.0.0.0\n10.0.0.2\n", -1), ==, 2);
-  g_assert_cmpuint (known_of ("10.0.0.1\n\0\n\377\200", 13), ==, 1);
-  g_assert_cmpuint (known_of ("127.0.0.1\n10.0.0.1\n10.0.0.1\n224.0.0.1\n255.255.255.255\n", -1),
-                    ==, 1); /* itself, twice, none of an instance */
+  g_assert_cmpuint (count_known ("", 0), ==, 0);
+  g_assert_cmpuint (count_known ("10.0.0.1\n10.0.0.2\n", -1), ==, 2);
+  g_assert_cmpuint (count_known ("10.0.0.1\n10.0.0.2", -1), ==, 1);
+  g_assert_cmpuint (count_known ("10.0.0.1\n10.0.0\n10.0.0.300\n\n0.0.0.0\n10.0.0.2\n", -1), ==, 2);
+  g_assert_cmpuint (count_known ("10.0.0.1\n\0\n\377\200", 13), ==, 1);
+  g_assert_cmpuint (count_known ("127.0.0.1\n10.0.0.1\n10.0.0.1\n224.0.0.1\n255.255.255.255\n", -1),
+                    ==, 1); /* own address, duplicate, not unicast */
   char *many = addresses (GREET_ADDRESSES_MAX + 20);
-  g_assert_cmpuint (known_of (many, -1), ==, GREET_ADDRESSES_MAX);
+  g_assert_cmpuint (count_known (many, -1), ==, GREET_ADDRESSES_MAX);
   g_free (many);
   char *padding = g_strnfill (GREET_ADDRESSES_MAX * 16, '\n');
   many = g_strconcat ("10.0.0.1\n", padding, NULL);
   g_free (padding);
-  g_assert_cmpuint (known_of (many, -1), ==, 0); /* longer than any that is written */
+  g_assert_cmpuint (count_known (many, -1), ==, 0); /* longer than any file that a voter writes */
   g_free (many);
   g_remove (file);
-  g_assert_cmpint (g_mkdir (file, 0700), ==, 0); /* cannot be read */
+  g_assert_cmpint (g_mkdir (file, 0700), ==, 0); /* a folder cannot be read */
   greet = greet_new (loop, mesh, 0x7f000001, folder);
   g_assert_cmpuint (greet_known_count (greet), ==, 0);
   greet_free (greet);
-  end ();
+  tear_down ();
 }
 
-/* Whoever dials is remembered, the newest of too many; the file says so after a restart. */
+/* Entries that dial the voter are remembered in the file, beyond the maximum only the newest; a
+ * restarted voter reads them. */
 static void
-test_kept (void)
+test_file_survives_restart (void)
 {
-  begin ();
-  TestPeer entry = test_peer (loop, mesh, ENTRY, MESH_ENTRY, false);
+  set_up ();
+  TestPeer entry = test_peer_new (loop, mesh, ENTRY, MESH_ENTRY, false);
   greet = greet_new (loop, mesh, 0x7f000001, folder);
   for (unsigned i = 0; i <= GREET_ADDRESSES_MAX; i++)
     {
@@ -109,22 +110,22 @@
   g_assert_true (g_str_has_prefix (text, "127.0.4.2\n127.0.4.1\n"));
   g_assert_null (strstr (text, "127.0.0.2\n"));
   g_free (text);
-  test_peer_end (&entry);
-  end ();
+  test_peer_free (&entry);
+  tear_down ();
 }
 
-/* A link to an entry gets the voters' addresses and no word on who schedules; it is not taken for
- * one that the entry made, nor is a voter's. */
+/* On a link that it dialled to an entry, the voter sends the addresses of the voters and does not
+ * claim to schedule. Neither this link nor one from a voter counts as dialled by an entry. */
 static void
-test_links (void)
+test_greeting_link (void)
 {
   MeshMsg msg;
 
-  begin ();
+  set_up ();
   greet = greet_new (loop, mesh, 0x7f000001, folder);
   greet_tick (greet, voters, G_N_ELEMENTS (voters));
-  TestPeer entry = test_peer (loop, mesh, ENTRY, MESH_ENTRY, true);
-  TestPeer voter = test_peer (loop, mesh, voters[0], MESH_VOTER, false);
+  TestPeer entry = test_peer_new (loop, mesh, ENTRY, MESH_ENTRY, true);
+  TestPeer voter = test_peer_new (loop, mesh, voters[0], MESH_VOTER, false);
   g_assert_true (greet_link_up (greet, &entry.peer));
   g_assert_true (greet_is_greeting_link (&entry.peer));
   g_assert_true (test_peer_next (&entry, &msg));
@@ -139,52 +140,53 @@
   g_assert_false (test_peer_next (&voter, &msg));
   g_assert_cmpuint (greet_known_count (greet), ==, 0);
   greet_free (greet);
-  test_peer_end (&entry);
-  test_peer_end (&voter);
-  end ();
+  test_peer_free (&entry);
+  test_peer_free (&voter);
+  tear_down ();
 }
 
 /* ---- Over real connections ---- */
 
-#define LISTENERS 40
-#define SOON      150  /* turns, well below the 10 s after which all greetings end */
-#define ENDED     5000 /* turns, above them */
+#define LISTENERS  40
+#define SOON_RUNS  150  /* loop runs, well below the 10 s after which all greetings end */
+#define ENDED_RUNS 5000 /* loop runs, above the 10 s */
 
-static unsigned views, links; /* at the entry: greetings, and links that it did not dial */
+static unsigned views_received; /* by all entries */
+static unsigned incoming_links; /* open links to entries that others dialled */
 
 static void
-voter_up (void *host, MeshPeer *peer)
+on_voter_link_up (void *host, MeshPeer *peer)
 {
   (void) host;
   greet_link_up (greet, peer);
 }
 
 static void
-entry_up (void *host, MeshPeer *peer)
+on_entry_link_up (void *host, MeshPeer *peer)
 {
   (void) host;
-  links += !peer->dialled;
+  incoming_links += !peer->dialled;
 }
 
 static void
-entry_down (void *host, MeshPeer *peer)
+on_entry_link_down (void *host, MeshPeer *peer)
 {
   (void) host;
-  links -= !peer->dialled;
+  incoming_links -= !peer->dialled;
 }
 
 static void
-entry_message (void *host, MeshPeer *peer, const MeshMsg *msg)
+on_entry_message (void *host, MeshPeer *peer, const MeshMsg *msg)
 {
   (void) host;
   (void) peer;
-  views += msg->kind == MESH_VIEW;
+  views_received += msg->kind == MESH_VIEW;
 }
 
-static const MeshOps voter_ops = { voter_up, test_no_message, test_no_link };
-static const MeshOps entry_ops = { entry_up, entry_message, entry_down };
+static const MeshOps voter_ops = { on_voter_link_up, test_ignore_message, test_ignore_link };
+static const MeshOps entry_ops = { on_entry_link_up, on_entry_message, on_entry_link_down };
 
-static Mesh *ends[3]; /* of links; NULL: none */
+static Mesh *meshes[3]; /* they send keep-alives; NULL: unused */
 
 static void
 keep_alive (MeshPeer *peer, void *data)
@@ -202,13 +204,14 @@
   return mesh_new (loop, (SockAddr){ ip, port }, port, &hello, ops, NULL);
 }
 
-/* A voter's and an entry's end, on the first port that both have free. Returns the entry's. */
+/* Creates the meshes of a voter and an entry on the first port that is free for both. Returns the
+ * entry's. */
 static Mesh *
-begin_both (uint16_t *port)
+set_up_both (uint16_t *port)
 {
   Mesh *entry = NULL;
 
-  begin ();
+  set_up ();
   mesh_free (mesh);
   mesh = NULL;
   for (*port = PORT; entry == NULL && *port < PORT + 400; *port += 1)
@@ -220,10 +223,10 @@
       mesh_free (mesh);
     }
   g_assert_nonnull (entry);
-  views = links = 0;
-  ends[0] = mesh;
-  ends[1] = entry;
-  ends[2] = NULL;
+  views_received = incoming_links = 0;
+  meshes[0] = mesh;
+  meshes[1] = entry;
+  meshes[2] = NULL;
   return entry;
 }
 
@@ -235,7 +238,7 @@
 }
 
 static void
-turn (void)
+run_loop_briefly (void)
 {
   LoopTimer timer = { .fire = stop_loop };
 
@@ -244,73 +247,74 @@
 }
 
 static void
-tick (unsigned turns)
+tick (unsigned runs)
 {
-  for (unsigned i = 0; i < turns; i++)
+  for (unsigned i = 0; i < runs; i++)
     {
       greet_tick (greet, voters, G_N_ELEMENTS (voters));
-      for (unsigned end_of = 0; end_of < G_N_ELEMENTS (ends); end_of++)
-        if (ends[end_of])
-          mesh_for_each_peer (ends[end_of], keep_alive, NULL);
-      turn ();
+      for (unsigned m = 0; m < G_N_ELEMENTS (meshes); m++)
+        if (meshes[m])
+          mesh_for_each_peer (meshes[m], keep_alive, NULL);
+      run_loop_briefly ();
     }
 }
 
 static void
-tick_until (const unsigned *count, unsigned wanted, unsigned turns)
+tick_until (const unsigned *count, unsigned wanted, unsigned runs)
 {
-  for (unsigned i = 0; *count != wanted && i < turns; i++)
+  for (unsigned i = 0; *count != wanted && i < runs; i++)
     tick (1);
   g_assert_cmpuint (*count, ==, wanted);
 }
 
-/* Greetings stay open, or entries are greeted again and again: hundreds of connections that nobody
- * needs. An entry is greeted once; the link is closed when it has dialled. */
+/* Guards against greeting links that stay open and entries that are greeted repeatedly, which adds
+ * up to hundreds of unneeded connections. An entry is greeted once, and the link is closed when the
+ * entry has dialled. */
 static void
-test_closed (void)
+test_greeted_once (void)
 {
   uint16_t port;
-  Mesh *entry = begin_both (&port);
+  Mesh *entry = set_up_both (&port);
 
   g_assert_true (g_file_set_contents (file, "127.0.0.2\n", -1, NULL));
   greet = greet_new (loop, mesh, 0x7f000001, folder);
-  tick_until (&views, 1, SOON);
-  g_assert_cmpuint (links, ==, 1);
+  tick_until (&views_received, 1, SOON_RUNS);
+  g_assert_cmpuint (incoming_links, ==, 1);
   mesh_dial (entry, 0x7f000001);
-  tick_until (&links, 0, SOON);
+  tick_until (&incoming_links, 0, SOON_RUNS);
   g_assert_nonnull (mesh_find_dialled (entry, 0x7f000001));
   tick (20);
-  g_assert_cmpuint (views, ==, 1);
-  g_assert_cmpuint (links, ==, 0);
+  g_assert_cmpuint (views_received, ==, 1);
+  g_assert_cmpuint (incoming_links, ==, 0);
   mesh_free (entry);
   greet_free (greet);
-  end ();
+  tear_down ();
 }
 
-/* Failure: an entry that does not dial back, a machine that is gone and a voter that has an entry's
- * former address. Symptom: the first two are dialled for ever, the voter's link is closed as the
- * greetings end. */
+/* Guards against dialling for ever an entry that does not dial back or a machine that is gone, and
+ * against closing the link to a voter that now has the former address of an entry when greetings
+ * end. */
 static void
-test_ended (void)
+test_greetings_end (void)
 {
   uint16_t port;
-  Mesh *entry = begin_both (&port), *voter = mesh_at (0x7f000003, port, MESH_VOTER, &entry_ops);
+  Mesh *entry = set_up_both (&port), *voter = mesh_at (0x7f000003, port, MESH_VOTER, &entry_ops);
 
   g_assert_nonnull (voter);
-  ends[2] = voter;
+  meshes[2] = voter;
   g_assert_true (g_file_set_contents (file, "127.0.0.2\n127.0.0.3\n127.0.0.9\n", -1, NULL));
   greet = greet_new (loop, mesh, 0x7f000001, folder);
-  tick_until (&links, 2, SOON);
-  tick_until (&links, 1, ENDED);
+  tick_until (&incoming_links, 2, SOON_RUNS);
+  tick_until (&incoming_links, 1, ENDED_RUNS);
   g_assert_nonnull (mesh_find_dialled (mesh, 0x7f000003));
   g_assert_cmpuint (greet_known_count (greet), ==, 1);
   tick (20);
-  g_assert_cmpuint (links, ==, 1); /* nobody is greeted later */
-  g_assert_cmpuint (views, ==, 1);
+  g_assert_cmpuint (incoming_links, ==, 1); /* no entry is greeted again */
+  g_assert_cmpuint (views_received, ==, 1);
   mesh_free (entry);
   mesh_free (voter);
   greet_free (greet);
-  end ();
+  tear_down ();
 }
 
 static int
@@ -337,15 +341,16 @@
   return count;
 }
 
-/* A voter that knows a thousand entries dials all at once, and has no time for the election. */
+/* Guards against dialling all known entries at once, which leaves a voter that knows a thousand of
+ * them no time for the election. */
 static void
-test_paced (void)
+test_dials_are_limited (void)
 {
   GString *text = g_string_new (NULL);
   int listeners[LISTENERS];
   unsigned dialled[4];
   uint16_t port;
-  Mesh *entry = begin_both (&port);
+  Mesh *entry = set_up_both (&port);
 
   for (unsigned i = 0; i < LISTENERS; i++)
     {
@@ -354,12 +359,12 @@
     }
   g_assert_true (g_file_set_contents (file, text->str, -1, NULL));
   greet = greet_new (loop, mesh, 0x7f000001, folder);
-  greet_tick (greet, voters, 0); /* it knows no voters yet */
+  greet_tick (greet, voters, 0); /* the voter knows no voters yet */
   g_assert_cmpuint (accept_all (listeners), ==, 0);
   for (unsigned i = 0; i < G_N_ELEMENTS (dialled); i++)
     {
       greet_tick (greet, voters, G_N_ELEMENTS (voters));
-      turn ();
+      run_loop_briefly ();
       dialled[i] = accept_all (listeners);
     }
   g_assert_cmpuint (dialled[0], ==, 16);
@@ -370,18 +375,18 @@
   g_string_free (text, TRUE);
   mesh_free (entry);
   greet_free (greet);
-  end ();
+  tear_down ();
 }
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/greet/file", test_file);
-  g_test_add_func ("/greet/kept", test_kept);
-  g_test_add_func ("/greet/links", test_links);
-  g_test_add_func ("/greet/closed", test_closed);
-  g_test_add_func ("/greet/ended", test_ended);
-  g_test_add_func ("/greet/paced", test_paced);
+  g_test_add_func ("/greet/file", test_damaged_file);
+  g_test_add_func ("/greet/kept", test_file_survives_restart);
+  g_test_add_func ("/greet/links", test_greeting_link);
+  g_test_add_func ("/greet/closed", test_greeted_once);
+  g_test_add_func ("/greet/ended", test_greetings_end);
+  g_test_add_func ("/greet/paced", test_dials_are_limited);
   return g_test_run ();
 }
--- a/test/list.c
+++ b/test/list.c
@@ -1,4 +1,5 @@
-/* list.c - the list of servers: how it is read, and how it goes from one instance to the others. */
+/* list.c - the list of servers: how instances read it from the platform and send it to each other.
+ */
 #include "hsrv.h"
 #include "peer.h"
 #include "platform.h"
@@ -31,7 +32,7 @@
 }
 
 static ServersResult
-pass (const Servers *from, Servers *to, guint held, MeshListKind kind, int64_t now)
+send_list (const Servers *from, Servers *to, guint held, MeshListKind kind, int64_t now)
 {
   MeshList msg;
 
@@ -42,9 +43,9 @@
   return taken;
 }
 
-/* Sends it in compressed form. Returns how many bytes it took. */
+/* Sends what changed since the held list, in compressed form. Returns its size in bytes. */
 static gsize
-pass_packed (Servers *from, Servers *to, guint held, int64_t now)
+send_packed (Servers *from, Servers *to, guint held, int64_t now)
 {
   MeshPackedList packed;
 
@@ -55,42 +56,43 @@
   return packed.list.list_len;
 }
 
-/* Sends all of it, as to somebody who has asked for it. */
+/* Sends the whole list, as to an instance that requested it. */
 static gsize
-pass_whole (Servers *from, Servers *to, int64_t now)
+send_whole (Servers *from, Servers *to, int64_t now)
 {
-  return pass_packed (from, to, SERVERS_HELD_NONE, now);
+  return send_packed (from, to, SERVERS_HELD_NONE, now);
 }
 
-/* A server that leaves among thousands: only what has changed is sent, and the other instance holds
- * the same list after. One that holds another list says so, and gets it whole. */
+/* Of thousands of servers one leaves: only the changes are sent, and the receiver then holds the
+ * same list. A receiver that holds another base list reports that, and gets the whole list. */
 static void
-list_changes (void)
+changes_are_sent (void)
 {
   Servers *voter = servers_new (), *entry = servers_new (), *other = servers_new ();
 
   read_servers (voter, 0, 3000, -1, 100);
-  g_assert_cmpint (pass (voter, entry, SERVERS_HELD_NONE, MESH_LIST_SAME, 200), ==,
+  g_assert_cmpint (send_list (voter, entry, SERVERS_HELD_NONE, MESH_LIST_SAME, 200), ==,
                    SERVERS_UNKNOWN_BASE);
-  pass_whole (voter, entry, 200);
+  send_whole (voter, entry, 200);
   g_assert_cmpint (servers_asked_at (entry), ==, 100);
   guint before = servers_digest (voter);
   read_servers (voter, 10, 3005, 50, 300);
-  g_assert_cmpint (pass (voter, entry, before, MESH_LIST_CHANGES, 400), ==, SERVERS_APPLIED);
+  g_assert_cmpint (send_list (voter, entry, before, MESH_LIST_CHANGES, 400), ==, SERVERS_APPLIED);
   g_assert_cmpuint (servers_digest (entry), ==, servers_digest (voter));
   g_assert_cmpuint (servers_count (entry), ==, 2995);
   g_assert_true (servers_find (entry, "i-50")->leaving);
   g_assert_null (servers_find (entry, "i-9"));
   g_assert_nonnull (servers_find (entry, "i-3004"));
   read_servers (other, 0, 7, -1, 150);
-  g_assert_cmpint (pass (voter, other, before, MESH_LIST_CHANGES, 400), ==, SERVERS_UNKNOWN_BASE);
+  g_assert_cmpint (send_list (voter, other, before, MESH_LIST_CHANGES, 400), ==,
+                   SERVERS_UNKNOWN_BASE);
   g_assert_cmpuint (servers_count (other), ==, 7);
-  pass_whole (voter, other, 400);
+  send_whole (voter, other, 400);
   read_servers (voter, 10, 3005, 50, 500);
-  g_assert_cmpint (pass (voter, other, servers_digest (other), MESH_LIST_SAME, 600), ==,
+  g_assert_cmpint (send_list (voter, other, servers_digest (other), MESH_LIST_SAME, 600), ==,
                    SERVERS_APPLIED);
   g_assert_cmpint (servers_asked_at (other), ==, 500);
-  g_assert_cmpint (pass (voter, other, servers_digest (other), MESH_LIST_SAME, 600), ==,
+  g_assert_cmpint (send_list (voter, other, servers_digest (other), MESH_LIST_SAME, 600), ==,
                    SERVERS_STALE);
   servers_free (voter);
   servers_free (entry);
@@ -98,7 +100,7 @@
 }
 
 static void
-read_lifetime (Servers *servers, int64_t born_ms, int64_t other_born_ms, int64_t at)
+read_incarnation (Servers *servers, int64_t born_ms, int64_t other_born_ms, int64_t at)
 {
   GArray *list = g_array_new (FALSE, TRUE, sizeof (AdapterServer));
 
@@ -120,68 +122,70 @@
   g_array_unref (list);
 }
 
-/* A server starts again under its name. Its new lifetime is another server: what runs, what was
- * learned and the connections of the old one are not its own. A list that lags and names the old
- * one once more changes nothing, and of two entries for one name the later start counts. */
+/* A server restarts under the same name. Its new incarnation counts as another server, so that
+ * running requests, learned figures and connections of the old one are not used for it. An outdated
+ * list that still names the old one changes nothing, and of two entries for one name the later
+ * start counts. */
 static void
-list_lifetimes (void)
+new_incarnation_replaces_old (void)
 {
   Servers *voter = servers_new (), *entry = servers_new ();
 
-  read_lifetime (voter, 1000, 0, 100);
+  read_incarnation (voter, 1000, 0, 100);
   guint before = servers_digest (voter);
   g_assert_nonnull (servers_find (voter, "i-1@1000"));
-  read_lifetime (voter, 2000, 0, 200);
+  read_incarnation (voter, 2000, 0, 200);
   g_assert_null (servers_find (voter, "i-1@1000"));
   g_assert_cmpstr (servers_find (voter, "i-1@2000")->name, ==, "i-1");
   g_assert_cmpuint (servers_digest (voter), !=, before);
-  read_lifetime (voter, 1000, 0, 300);
+  read_incarnation (voter, 1000, 0, 300);
   g_assert_null (servers_find (voter, "i-1@1000"));
   g_assert_nonnull (servers_find (voter, "i-1@2000"));
-  read_lifetime (voter, 3000, 2000, 400);
+  read_incarnation (voter, 3000, 2000, 400);
   g_assert_cmpuint (servers_count (voter), ==, 1);
   g_assert_nonnull (servers_find (voter, "i-1@3000"));
-  pass_whole (voter, entry, 500);
+  send_whole (voter, entry, 500);
   g_assert_cmpstr (servers_find (entry, "i-1@3000")->name, ==, "i-1");
   g_assert_cmpint (servers_find (entry, "i-1@3000")->born_ms, ==, 3000);
   servers_free (voter);
   servers_free (entry);
 }
 
-/* All entries turn to one deputy at once, and it does not know what lists they hold. Each gets the
- * digest alone, in place of 17 KB that fill the deputy's link for a second; one that holds another
- * list, or none, says so and gets it whole. */
+/* Guards against sending the list of 17 KB to each entry, which fills the link of a deputy for a
+ * second. All entries change to one deputy at once, and it does not know which lists they hold.
+ * Each gets only the digest; one that holds another list, or none, reports that and gets the whole
+ * list. */
 static void
-list_of_unknown_holder (void)
+digest_for_unknown_holder (void)
 {
   Servers *deputy = servers_new (), *same = servers_new (), *none = servers_new ();
 
   read_servers (deputy, 0, 200, -1, 100);
   read_servers (same, 0, 200, -1, 90);
-  g_assert_cmpint (pass (deputy, same, SERVERS_HELD_UNKNOWN, MESH_LIST_SAME, 200), ==,
+  g_assert_cmpint (send_list (deputy, same, SERVERS_HELD_UNKNOWN, MESH_LIST_SAME, 200), ==,
                    SERVERS_APPLIED);
   g_assert_cmpint (servers_asked_at (same), ==, 100);
-  g_assert_cmpint (pass (deputy, none, SERVERS_HELD_UNKNOWN, MESH_LIST_SAME, 200), ==,
+  g_assert_cmpint (send_list (deputy, none, SERVERS_HELD_UNKNOWN, MESH_LIST_SAME, 200), ==,
                    SERVERS_UNKNOWN_BASE);
-  pass_whole (deputy, none, 200);
+  send_whole (deputy, none, 200);
   g_assert_cmpuint (servers_count (none), ==, 200);
   servers_free (deputy);
   servers_free (same);
   servers_free (none);
 }
 
-/* Servers come and go with each reading, and an entry misses some of the changes, since its link
- * was full. Sent the whole of 3,000 servers it would miss the next ones meanwhile, and never catch
- * up. It is sent what has changed since the list that it holds, however many changes ago that was.
- */
+/* Guards against an entry that never catches up. Servers change with each reading, and the entry
+ * misses some changes while its link is full; while it is sent the whole list of 3,000 servers it
+ * misses the next changes. It is sent only what changed since the list that it holds, however many
+ * versions ago that was. */
 static void
-list_steps (void)
+changes_since_any_version (void)
 {
   Servers *voter = servers_new (), *entry = servers_new ();
   MeshList msg;
 
   read_servers (voter, 0, 3000, -1, 100);
-  pass_whole (voter, entry, 150);
+  send_whole (voter, entry, 150);
   for (int i = 1; i <= 20; i++)
     read_servers (voter, (unsigned) i, (unsigned) (3000 + i), 100 + i, 100 + 100 * i);
   servers_build_message (voter, 2200, servers_digest (entry), &msg);
@@ -197,12 +201,13 @@
   servers_free (entry);
 }
 
-/* Hundreds of instances start at once and each is linked to five voters that all hold the list of
- * 3,000 servers. Sent by each of them it is 1.7 MB on a link of 10 Mbit/s, and grants wait behind
- * it for more than a second. One of them is asked, another only when that one has not answered, and
- * the list goes in a quarter of its size. */
+/* Guards against fetching the list from every voter. Hundreds of instances start at once, each
+ * linked to five voters that all hold the list of 3,000 servers; sent by each of them it is 1.7 MB
+ * on a link of 10 Mbit/s, and delays grants by more than a second. The list is requested from one
+ * voter, from another only if that one does not answer, and is compressed to a quarter of its size.
+ */
 static void
-list_is_fetched_once (void)
+whole_list_is_requested_once (void)
 {
   Servers *voter = servers_new (), *entry = servers_new ();
   MeshList msg;
@@ -219,47 +224,47 @@
     }
   g_assert_cmpuint (asked, ==, 1);
   g_assert_true (servers_may_request (entry, now + FT_SECOND));
-  g_assert_cmpuint (pass_whole (voter, entry, now), <, 3000 * 25);
+  g_assert_cmpuint (send_whole (voter, entry, now), <, 3000 * 25);
   servers_free (voter);
   servers_free (entry);
 }
 
-/* Servers come by the hundred as the deployment starts. Told of one by one they are 100 bytes each,
- * more than the whole list in compressed form, for each of hundreds of entries. Many changes are
- * packed, once for all who hold the same list. */
+/* Hundreds of servers are added while the deployment starts. Sent one by one they take 100 bytes
+ * each, more than the whole compressed list, for each of hundreds of entries. Many changes are
+ * compressed together, once for all receivers that hold the same list. */
 static void
-list_of_many_changes (void)
+many_changes_are_packed (void)
 {
   Servers *voter = servers_new (), *entry = servers_new (), *other = servers_new ();
 
   read_servers (voter, 0, 1000, -1, 100);
-  pass_whole (voter, entry, 150);
-  pass_whole (voter, other, 150);
+  send_whole (voter, entry, 150);
+  send_whole (voter, other, 150);
   guint before = servers_digest (entry);
   read_servers (voter, 0, 1900, -1, 300);
-  g_assert_cmpuint (pass_packed (voter, entry, before, 400), <, 900 * 25);
-  g_assert_cmpuint (pass_packed (voter, other, before, 410), <, 900 * 25);
+  g_assert_cmpuint (send_packed (voter, entry, before, 400), <, 900 * 25);
+  g_assert_cmpuint (send_packed (voter, other, before, 410), <, 900 * 25);
   g_assert_cmpuint (servers_count (other), ==, 1900);
   before = servers_digest (entry);
   read_servers (voter, 0, 2000, -1, 500);
-  g_assert_cmpuint (pass_packed (voter, entry, before, 600), <, 100 * 30);
+  g_assert_cmpuint (send_packed (voter, entry, before, 600), <, 100 * 30);
   g_assert_cmpuint (servers_count (entry), ==, 2000);
   servers_free (voter);
   servers_free (entry);
   servers_free (other);
 }
 
-/* What had changed was worked out anew for each of a thousand links, by a look at all servers: the
- * voter in charge did nothing else for half a second. */
+/* Guards against computing the same changes for each of a thousand links with a pass over all
+ * servers, which kept the voter in charge busy for half a second. */
 static void
-list_for_many_links (void)
+changes_are_computed_once (void)
 {
   static const unsigned counts[] = { 30, 300 };
 
   for (unsigned c = 0; c < G_N_ELEMENTS (counts); c++)
     {
       Loop *links = loop_new ();
-      Mesh *mesh = test_mesh (links, MESH_VOTER, 22800);
+      Mesh *mesh = test_mesh_new (links, MESH_VOTER, 22800);
       Servers *voter = servers_new ();
       TestPeer *peers = g_new0 (TestPeer, counts[c]);
       read_servers (voter, 0, 3000, -1, 100);
@@ -268,13 +273,13 @@
       for (unsigned i = 0; i < counts[c]; i++)
         {
           MeshMsg msg;
-          peers[i] = test_peer (links, mesh, i + 1, MESH_ENTRY, false);
+          peers[i] = test_peer_new (links, mesh, i + 1, MESH_ENTRY, false);
           g_assert_true (servers_send (voter, &peers[i].peer, 400, before));
           g_assert_true (test_peer_next (&peers[i], &msg));
           g_assert_cmpint (msg.MeshMsg_u.list.kind, ==, MESH_LIST_CHANGES);
           g_assert_cmpuint (msg.MeshMsg_u.list.servers.servers_len, ==, 1);
           codec_clear (CODEC (MeshMsg), &msg);
-          test_peer_end (&peers[i]);
+          test_peer_free (&peers[i]);
         }
       g_assert_cmpuint (servers_messages_built (voter), ==, 1);
       g_free (peers);
@@ -285,7 +290,7 @@
 }
 
 static void
-list_that_is_spoilt (void)
+truncated_list_is_rejected (void)
 {
   Servers *voter = servers_new (), *entry = servers_new ();
   MeshPackedList whole;
@@ -302,17 +307,17 @@
   servers_free (entry);
 }
 
-/* ---- Reading it ---- */
+/* ---- Reading the list from the platform ---- */
 
-#define PORT    18199
-#define PAGES   8
-#define GIVE_UP (20 * FT_SECOND)
+#define PORT  18199
+#define PAGES 8
+#define GUARD (20 * FT_SECOND)
 
 static Loop *loop;
 static unsigned calls, refusals, read_count;
 static bool failed;
 
-/* The platform's list, which refuses every third call for the rate of calls. */
+/* Serves the platform's list and refuses every third call as over the rate limit. */
 static void
 on_call (void *owner, HCall *call)
 {
@@ -362,25 +367,25 @@
 on_guard (LoopTimer *timer)
 {
   (void) timer;
-  g_error ("nothing happened for too long");
+  g_error ("the list was not read within 20 s");
 }
 
-/* Others read the list as well, so that a call now and then is over the platform's rate. A pass of
- * many calls that is thrown away for one of them never ends, and no server is known. Only the call
- * that was refused is made again. */
+/* Guards against a pass over the list that never ends. Others read the list too, so that now and
+ * then a call is over the platform's rate limit; if one refused call discards a pass of many calls,
+ * no server is ever known. Only the refused call is repeated. */
 static void
-read_over_the_rate (void)
+refused_call_is_repeated (void)
 {
   LoopTimer guard = { .fire = on_guard };
 
   loop = loop_new ();
   HCli *cli = hcli_new (loop);
-  /* Another loopback address for each run. */
+  /* Each process uses another loopback address. */
   SockAddr addr = { 0x7f000001u + ((unsigned) getpid () % 60000 << 8), PORT };
   HSrv *list = hsrv_new (loop, addr, &list_ops, NULL);
   g_assert_nonnull (list);
   Reader *reader = reader_new (loop, cli, platform_adapter_ops (), addr, on_read, NULL);
-  loop_timer_set (loop, &guard, loop_now (loop) + GIVE_UP);
+  loop_timer_set (loop, &guard, loop_now (loop) + GUARD);
   reader_start (reader);
   g_assert_true (reader_busy (reader));
   loop_run (loop);
@@ -396,13 +401,14 @@
   loop_free (loop);
 }
 
-/* Hundreds of entries find that the list of 60 pages is older than they bear, since the voter's
- * pass over it takes a second, and read it themselves. Their calls are over the platform's rate,
- * and so are the voter's: nobody hears of a change any more. Together they stay within a part of
- * the rate, and bear a list as old as two slow passes make it; a few entries before a short list
- * read it soon enough that a leaving server gets nothing new for long. */
+/* Guards against entries exceeding the platform's rate limit. The voter's pass over a list of 60
+ * pages takes a second, so hundreds of entries found their list too old and read it themselves;
+ * their calls and the voter's were then over the rate, and no change was seen any more. Together
+ * the entries stay within a part of the rate, and accept a list as old as two slow passes make it.
+ * A few entries with a short list read it soon enough that a leaving server gets no new requests
+ * for long. */
 static void
-long_list_is_read_rarely (void)
+fallback_reads_stay_within_rate (void)
 {
   ReaderFallback large = { .calls = 60, .readers = 291, .rate = 40 };
   ReaderFallback small = { .calls = 1, .readers = 7, .rate = 40 };
@@ -417,10 +423,10 @@
   g_assert_cmpint (reader_max_age (&deputy), <=, 1100 * FT_MS);
 }
 
-/* A list of 15 pages was read as often as one of 2, which cost more calls than all else together;
- * what is read more rarely is still known within the drain. */
+/* Guards against reading a list of 15 pages as often as one of 2, which took more calls than
+ * everything else together. Changes are still seen within the time that servers drain. */
 static void
-long_list_costs_fewer_calls (void)
+long_list_is_read_less_often (void)
 {
   static const int64_t drains[] = { 3 * FT_SECOND, 4 * FT_SECOND, 5 * FT_SECOND };
 
@@ -428,18 +434,20 @@
     for (unsigned pages = 1; pages <= 60; pages++)
       {
         ReaderSchedule plan = { pages, 190, true, drains[i] };
-        int64_t every = reader_pass_interval (&plan), pass = (int64_t) (pages / 60.0 * FT_SECOND);
-        g_assert_cmpint (every + pass + 400 * FT_MS, <=, drains[i]);
+        int64_t every = reader_pass_interval (&plan),
+                pass_time = (int64_t) (pages / 60.0 * FT_SECOND);
+        g_assert_cmpint (every + pass_time + 400 * FT_MS, <=, drains[i]);
         if (pages <= 6)
           g_assert_cmpint (every, ==, 700 * FT_MS);
       }
   ReaderSchedule fleet = { 15, 190, true, 5 * FT_SECOND };
-  g_assert_cmpint (15 * FT_SECOND / reader_pass_interval (&fleet), <=, 10); /* calls a second */
+  g_assert_cmpint (15 * FT_SECOND / reader_pass_interval (&fleet), <=, 10); /* calls per second */
 }
 
-/* A thousand entries that were left alone in one moment each read the list at once. */
+/* Guards against a thousand entries that lose the schedulers at the same moment and read the list
+ * at once. */
 static void
-left_alone_together (void)
+first_reads_are_spread (void)
 {
   static const unsigned counts[] = { 12, 100, 1000 };
 
@@ -463,17 +471,17 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/list/changes", list_changes);
-  g_test_add_func ("/list/unknown_holder", list_of_unknown_holder);
-  g_test_add_func ("/list/lifetimes", list_lifetimes);
-  g_test_add_func ("/list/steps", list_steps);
-  g_test_add_func ("/list/fetched_once", list_is_fetched_once);
-  g_test_add_func ("/list/many_changes", list_of_many_changes);
-  g_test_add_func ("/list/many_links", list_for_many_links);
-  g_test_add_func ("/list/spoilt", list_that_is_spoilt);
-  g_test_add_func ("/list/read_rarely", long_list_is_read_rarely);
-  g_test_add_func ("/list/left_alone", left_alone_together);
-  g_test_add_func ("/list/fewer_calls", long_list_costs_fewer_calls);
-  g_test_add_func ("/list/over_the_rate", read_over_the_rate);
+  g_test_add_func ("/list/changes", changes_are_sent);
+  g_test_add_func ("/list/unknown_holder", digest_for_unknown_holder);
+  g_test_add_func ("/list/lifetimes", new_incarnation_replaces_old);
+  g_test_add_func ("/list/steps", changes_since_any_version);
+  g_test_add_func ("/list/fetched_once", whole_list_is_requested_once);
+  g_test_add_func ("/list/many_changes", many_changes_are_packed);
+  g_test_add_func ("/list/many_links", changes_are_computed_once);
+  g_test_add_func ("/list/spoilt", truncated_list_is_rejected);
+  g_test_add_func ("/list/read_rarely", fallback_reads_stay_within_rate);
+  g_test_add_func ("/list/left_alone", first_reads_are_spread);
+  g_test_add_func ("/list/fewer_calls", long_list_is_read_less_often);
+  g_test_add_func ("/list/over_the_rate", refused_call_is_repeated);
   return g_test_run ();
 }
--- a/test/peer.h
+++ b/test/peer.h
@@ -1,4 +1,4 @@
-/* peer.h - the far end of a link, played by a test over a socket pair. */
+/* peer.h - test double for the remote end of a link, over a socket pair. */
 #ifndef TEST_PEER_H
 #define TEST_PEER_H
 
@@ -12,44 +12,45 @@
 
 typedef struct
 {
-  MeshPeer peer; /* the near end */
-  int far;
-  GByteArray *got; /* not taken by test_peer_next yet */
+  MeshPeer peer; /* end under test */
+  int remote_fd;
+  GByteArray *received; /* bytes not yet returned by test_peer_next */
 } TestPeer;
 
 static inline void
-test_peer_data (Sock *sock)
+test_peer_on_data (Sock *sock)
 {
   (void) sock;
 }
 
 static inline void
-test_peer_ended (Sock *sock, SockEnd how)
+test_peer_on_end (Sock *sock, SockEnd how)
 {
   (void) sock;
   (void) how;
 }
 
 static inline void
-test_no_link (void *host, MeshPeer *peer)
+test_ignore_link (void *host, MeshPeer *peer)
 {
   (void) host;
   (void) peer;
 }
 
 static inline void
-test_no_message (void *host, MeshPeer *peer, const MeshMsg *msg)
+test_ignore_message (void *host, MeshPeer *peer, const MeshMsg *msg)
 {
   (void) host;
   (void) peer;
   (void) msg;
 }
 
-/* The links of an instance to which nobody comes, on the first free port from that one on. */
+/* Creates the mesh of an instance on the first free port from the given one on. It ignores all
+ * links and messages. */
 static inline Mesh *
-test_mesh (Loop *loop, MeshRole role, uint16_t from)
+test_mesh_new (Loop *loop, MeshRole role, uint16_t from)
 {
-  static const MeshOps ops = { test_no_link, test_no_message, test_no_link };
+  static const MeshOps ops = { test_ignore_link, test_ignore_message, test_ignore_link };
   uint32_t self = 0x7f000001;
   MeshHello hello = { .address = self, .lifetime = 1, .role = role, .domain = (char *) "z" };
   Mesh *mesh = NULL;
@@ -59,31 +60,33 @@
   return mesh;
 }
 
+/* Creates a link to a simulated instance at this address. It is not registered with the mesh. */
 static inline TestPeer
-test_peer (Loop *loop, Mesh *mesh, uint32_t ip, MeshRole role, bool dialled)
+test_peer_new (Loop *loop, Mesh *mesh, uint32_t ip, MeshRole role, bool dialled)
 {
-  static const SockOps ops = { NULL, test_peer_data, NULL, test_peer_ended };
+  static const SockOps ops = { NULL, test_peer_on_data, NULL, test_peer_on_end };
   TestPeer out
       = { .peer = { .mesh = mesh, .ip = ip, .lifetime = ip, .role = role, .dialled = dialled } };
   int pair[2];
 
   g_assert_cmpint (socketpair (AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, pair), ==, 0);
-  out.far = pair[1];
-  out.got = g_byte_array_new ();
+  out.remote_fd = pair[1];
+  out.received = g_byte_array_new ();
   out.peer.sock = sock_accepted (loop, pair[0], (SockAddr){ 0 }, &ops, NULL);
   out.peer.heard = loop_now (loop);
   return out;
 }
 
 static inline void
-test_peer_end (TestPeer *one)
+test_peer_free (TestPeer *one)
 {
   sock_close (one->peer.sock, false);
-  close (one->far);
-  g_byte_array_unref (one->got);
+  close (one->remote_fd);
+  g_byte_array_unref (one->received);
 }
 
-/* The next message that the far end got, to be cleared by codec_clear; false: none. */
+/* Gets the next message that the remote end received, to be freed with codec_clear. False: no
+ * complete message has arrived. */
 static inline bool
 test_peer_next (TestPeer *one, MeshMsg *msg)
 {
@@ -91,16 +94,17 @@
   ssize_t size;
   uint32_t mark;
 
-  while ((size = read (one->far, buffer, sizeof buffer)) > 0)
-    g_byte_array_append (one->got, buffer, (guint) size);
+  while ((size = read (one->remote_fd, buffer, sizeof buffer)) > 0)
+    g_byte_array_append (one->received, buffer, (guint) size);
   memset (msg, 0, sizeof *msg);
-  if (one->got->len < sizeof mark)
+  if (one->received->len < sizeof mark)
     return false;
-  memcpy (&mark, one->got->data, sizeof mark);
+  memcpy (&mark, one->received->data, sizeof mark);
   guint length = ntohl (mark) & 0x7fffffff;
-  g_assert_cmpint (codec_unpack (CODEC (MeshMsg), one->got->data + sizeof mark, length, msg, NULL),
-                   ==, FT_OK);
-  g_byte_array_remove_range (one->got, 0, sizeof mark + length);
+  g_assert_cmpint (
+      codec_unpack (CODEC (MeshMsg), one->received->data + sizeof mark, length, msg, NULL), ==,
+      FT_OK);
+  g_byte_array_remove_range (one->received, 0, sizeof mark + length);
   return true;
 }
 
--- a/test/place.c
+++ b/test/place.c
@@ -1,6 +1,6 @@
-/* place.c - whom an entry asks for a place, and what it tells whom. Schedulers are played by the
- * test at the other end of a socket pair; the loop is real, nothing depends on how long it takes.
- */
+/* place.c - which scheduler an entry asks for a place, and what it reports to schedulers. The test
+ * simulates the schedulers over socket pairs. The event loop is the real one; no check depends on
+ * how long anything takes. */
 #include "place.h"
 #include "count.h"
 #include "quota.h"
@@ -20,17 +20,17 @@
 static Servers *servers;
 static LoopTimer guard;
 static unsigned grants, refusals;
-static SockAddr granted_at; /* what the last grant said of its server */
+static SockAddr granted_at; /* the server of the last grant */
 static bool granted_leaving;
 static char granted_name[32];
 static int64_t granted_list_age;
-static bool (*wanted) (void);
+static bool (*stop_condition) (void);
 
 static void
 on_guard (LoopTimer *timer)
 {
   (void) timer;
-  g_error ("nothing happened for too long");
+  g_error ("the expected event did not occur within 20 s");
 }
 
 static void
@@ -59,12 +59,12 @@
 static const PlaceOps place_ops = { on_grant, on_refuse };
 
 static void
-check_wanted (void *data)
+check_stop_condition (void *data)
 {
   (void) data;
-  if (wanted && wanted ())
+  if (stop_condition && stop_condition ())
     {
-      wanted = NULL;
+      stop_condition = NULL;
       loop_stop (loop);
     }
 }
@@ -72,14 +72,14 @@
 static void
 run_until (bool (*condition) (void))
 {
-  wanted = condition;
+  stop_condition = condition;
   loop_run (loop);
 }
 
 static Scheduler
 scheduler (uint32_t ip)
 {
-  return test_peer (loop, mesh, ip, MESH_VOTER, true);
+  return test_peer_new (loop, mesh, ip, MESH_VOTER, true);
 }
 
 static unsigned
@@ -100,7 +100,7 @@
 }
 
 static void
-begin (void)
+set_up (void)
 {
   RtLimits limits = { 1, 1, 1, 1 };
   RtCat *cat = rt_cat_new (1, &limits);
@@ -119,8 +119,8 @@
   loop = loop_new ();
   guard.fire = on_guard;
   loop_timer_set (loop, &guard, loop_now (loop) + GUARD);
-  loop_add_before_wait (loop, check_wanted, NULL);
-  mesh = test_mesh (loop, MESH_ENTRY, 22000);
+  loop_add_before_wait (loop, check_stop_condition, NULL);
+  mesh = test_mesh_new (loop, MESH_ENTRY, 22000);
   place = place_new (loop, mesh, 0x7f000001, &place_ops, NULL);
   rt_cat_add_service (cat, &service, NULL);
   rt_cat_add_org (cat, &org, NULL);
@@ -134,7 +134,7 @@
 }
 
 static void
-end (void)
+tear_down (void)
 {
   place_free (place);
   servers_free (servers);
@@ -145,7 +145,7 @@
 }
 
 static void
-in_charge (Scheduler *one, uint64_t term)
+set_leader (Scheduler *one, uint64_t term)
 {
   MeshView view = { .term = term, .leader = one->peer.ip, .proved = true, .entries = 1 };
 
@@ -182,10 +182,8 @@
   place_message (place, &one->peer, &msg);
 }
 
-/* An organisation passes its limit while an entry goes from one scheduler to another: each gives it
- * a part. The second one is told what the first one gave since, and only that. */
 static unsigned
-spent_told (Scheduler *one)
+sum_spent_tokens (Scheduler *one)
 {
   MeshMsg msg;
   unsigned spent = 0;
@@ -199,37 +197,36 @@
   return spent;
 }
 
+/* Guards against an organisation exceeding its limit while an entry changes schedulers, since each
+ * grants it a part of the limit. The new scheduler is told what others granted since it was last
+ * told, and nothing else. */
 static void
-use_elsewhere_is_told (void)
+grants_of_others_are_reported (void)
 {
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11), b = scheduler (12);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   ask (1, 100);
   grant (&a, 1);
-  in_charge (&b, 2);
+  set_leader (&b, 2);
   ask (2, 50);
-  g_assert_cmpuint (spent_told (&b), ==, 0); /* b is new: it counts from now */
+  g_assert_cmpuint (sum_spent_tokens (&b), ==, 0); /* b is new: it counts grants from now on */
   grant (&b, 2);
   ask (3, 70);
   grant (&b, 3);
-  g_assert_cmpuint (spent_told (&b), ==, 0); /* its own grants it knows */
-  in_charge (&a, 3);
+  g_assert_cmpuint (sum_spent_tokens (&b), ==, 0); /* a scheduler is not told its own grants */
+  set_leader (&a, 3);
   ask (4, 10);
-  g_assert_cmpuint (spent_told (&a), ==, 120);
+  g_assert_cmpuint (sum_spent_tokens (&a), ==, 120);
   ask (5, 10);
-  g_assert_cmpuint (spent_told (&a), ==, 0); /* said once */
-  test_peer_end (&a);
-  test_peer_end (&b);
-  end ();
+  g_assert_cmpuint (sum_spent_tokens (&a), ==, 0); /* told only once */
+  test_peer_free (&a);
+  test_peer_free (&b);
+  tear_down ();
 }
 
-/* Packets are lost, and an entry goes from the voter in charge to a deputy and back, several times
- * a second. Each takes it for its own for seconds and gives away its part of the limits: together
- * they gave 1.7 times an organisation's limit, and callers beyond it were served. Who is left is
- * told. */
 static unsigned
-turns_told (Scheduler *one)
+count_scheduler_changes (Scheduler *one)
 {
   unsigned turns = 0;
   MeshMsg msg;
@@ -242,35 +239,41 @@
   return turns;
 }
 
+/* Guards against two schedulers granting parts of the same limit. When packets are lost, an entry
+ * changes between the voter in charge and a deputy several times a second. Each of them counted the
+ * entry as its own for seconds and granted its part of the limits, together 1.7 times the limit of
+ * an organisation, so that its callers were served beyond the limit. A scheduler is told when an
+ * entry leaves it. */
 static void
-left_scheduler_is_told (void)
+former_scheduler_is_told (void)
 {
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11), b = scheduler (12);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   ask (1, 100);
   grant (&a, 1);
-  g_assert_cmpuint (turns_told (&a), ==, 0);
-  in_charge (&b, 2);
-  g_assert_cmpuint (turns_told (&a), ==, 1);
-  g_assert_cmpuint (turns_told (&b), ==, 0);
-  in_charge (&a, 3);
-  g_assert_cmpuint (turns_told (&b), ==, 1);
-  g_assert_cmpuint (turns_told (&a), ==, 0);
-  test_peer_end (&a);
-  test_peer_end (&b);
-  end ();
+  g_assert_cmpuint (count_scheduler_changes (&a), ==, 0);
+  set_leader (&b, 2);
+  g_assert_cmpuint (count_scheduler_changes (&a), ==, 1);
+  g_assert_cmpuint (count_scheduler_changes (&b), ==, 0);
+  set_leader (&a, 3);
+  g_assert_cmpuint (count_scheduler_changes (&b), ==, 1);
+  g_assert_cmpuint (count_scheduler_changes (&a), ==, 0);
+  test_peer_free (&a);
+  test_peer_free (&b);
+  tear_down ();
 }
 
-/* The same from the other side: an entry that has turned away is no longer counted, neither as one
- * that asks here nor as one for which this scheduler keeps a part, until it asks again. */
+/* The scheduler's side of the same failure: an entry that changed to another scheduler no longer
+ * counts, neither as one that asks here nor as one whose part is reserved here, until it asks
+ * again. */
 static void
-turned_away_is_not_counted (void)
+departed_entry_is_not_counted (void)
 {
   MeshMsg asks = { .kind = MESH_ASK }, turns = { .kind = MESH_DONE };
   char none[] = "", service[] = "s";
 
-  begin ();
+  set_up ();
   Broker *broker = place_own_broker (place);
   Scheduler entry = scheduler (31);
   asks.MeshMsg_u.ask = (MeshAsk){ .request = 1,
@@ -291,20 +294,20 @@
   g_assert_cmpuint (broker_asker_count (broker), ==, 1);
   g_assert_cmpuint (broker_away_count (broker), ==, 0);
   broker_link_down (broker, &entry.peer);
-  test_peer_end (&entry);
-  end ();
+  test_peer_free (&entry);
+  tear_down ();
 }
 
-/* Guards against refusals with "part 0.00": all entries had turned away from a voter, and the first
- * that comes back is refused until the voter's next tick. */
+/* Guards against refusals with "part 0.00": after all entries had changed to other schedulers, the
+ * first to return to a voter was refused until the voter's next tick. */
 static void
-first_to_come_back_is_served (void)
+first_returning_entry_is_served (void)
 {
   MeshMsg asks = { .kind = MESH_ASK }, turns = { .kind = MESH_DONE }, msg;
   char none[] = "", service[] = "s", org[] = "o";
   unsigned granted = 0;
 
-  begin ();
+  set_up ();
   Broker *broker = place_own_broker (place);
   Scheduler entry = scheduler (31);
   asks.MeshMsg_u.ask = (MeshAsk){ .request = 1,
@@ -328,55 +331,55 @@
     }
   g_assert_cmpuint (granted, ==, 1);
   broker_link_down (broker, &entry.peer);
-  test_peer_end (&entry);
-  end ();
+  test_peer_free (&entry);
+  tear_down ();
 }
 
-static LoopTimer ticked;
+static LoopTimer tick_timer;
 
 static void
-on_ticked (LoopTimer *timer)
+on_tick_timer (LoopTimer *timer)
 {
   (void) timer;
   loop_stop (loop);
 }
 
-/* Longer than a tick of the entry's. */
+/* Runs the loop for longer than one tick of the entry. */
 static void
-run_until_ticked (void)
+run_for_one_tick (void)
 {
-  ticked.fire = on_ticked;
-  loop_timer_set (loop, &ticked, loop_now (loop) + 50 * FT_MS);
+  tick_timer.fire = on_tick_timer;
+  loop_timer_set (loop, &tick_timer, loop_now (loop) + 50 * FT_MS);
   loop_run (loop);
 }
 
 static void
-hand_over (void)
+enable_handover (void)
 {
   BrokerConf conf = { .handover_us = 200 * FT_MS };
 
   broker_configure (place_own_broker (place), &conf);
 }
 
-/* Guards against a scheduler that takes an entry for settled before it knows what runs there, and
- * against one that gives places away in between. */
+/* Guards against a scheduler that counts an entry as reported before it knows all requests that run
+ * there, and against one that grants their places meanwhile. */
 static void
-report_follows_what_runs (void)
+report_end_follows_running_requests (void)
 {
   MeshMsg msg;
   GString *order = g_string_new (NULL);
 
-  begin ();
-  hand_over ();
+  set_up ();
+  enable_handover ();
   Scheduler a = scheduler (11), b = scheduler (12);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   for (uint64_t i = 1; i <= 6; i++)
     {
       ask (i, 10);
       if (i % 2)
         grant (&a, i);
     }
-  in_charge (&b, 2);
+  set_leader (&b, 2);
   while (test_peer_next (&b, &msg))
     {
       if (msg.kind == MESH_ASK)
@@ -387,13 +390,13 @@
     }
   g_assert_cmpstr (order->str, ==, "rrr3www");
   g_string_free (order, TRUE);
-  test_peer_end (&a);
-  test_peer_end (&b);
-  end ();
+  test_peer_free (&a);
+  test_peer_free (&b);
+  tear_down ();
 }
 
 static void
-say_reported (Broker *broker, Scheduler *entry)
+send_report_end (Broker *broker, Scheduler *entry)
 {
   MeshMsg msg = { .kind = MESH_REPORT_END };
 
@@ -401,7 +404,7 @@
 }
 
 static unsigned
-verdicts (Scheduler *entry, MeshKind kind)
+count_messages (Scheduler *entry, MeshKind kind)
 {
   MeshMsg msg;
   unsigned count = 0;
@@ -415,7 +418,7 @@
 }
 
 static MeshMsg
-ask_of (uint64_t number, unsigned cost)
+make_ask (uint64_t number, unsigned cost)
 {
   static char none[] = "", service[] = "s", org[] = "o";
   MeshMsg msg = { .kind = MESH_ASK };
@@ -433,24 +436,24 @@
   return msg;
 }
 
-/* Guards against refusals below a limit while half of the entries have not reported yet, and
- * against the whole limit being given away then. Withdrawn meanwhile, an ask is forgotten. */
+/* Guards against refusals below a limit, and against granting the whole limit, while half of the
+ * entries have not reported yet. A request that is withdrawn while it is held is forgotten. */
 static void
-ask_waits_for_reports (void)
+request_waits_for_reports (void)
 {
-  MeshMsg first = ask_of (1, 800), second = ask_of (2, 800), gone = { .kind = MESH_DONE };
+  MeshMsg first = make_ask (1, 800), second = make_ask (2, 800), gone = { .kind = MESH_DONE };
   uint64_t held = count_get (COUNT_HELD_ASKS);
 
-  begin ();
-  hand_over ();
+  set_up ();
+  enable_handover ();
   Broker *broker = place_own_broker (place);
   Scheduler a = scheduler (31), b = scheduler (32);
   broker_link_up (broker, &a.peer);
   broker_link_up (broker, &b.peer);
   broker_set_shares_by_heard (broker, 4, 0);
   broker_take_over (broker);
-  say_reported (broker, &a);
-  g_assert_cmpuint (broker_asker_count (broker), ==, 0); /* else a deputy sends it lists */
+  send_report_end (broker, &a);
+  g_assert_cmpuint (broker_asker_count (broker), ==, 0); /* else a deputy would send lists to it */
   broker_message (broker, &a.peer, &second);
   gone.MeshMsg_u.done.request = 2;
   broker_message (broker, &a.peer, &gone);
@@ -458,79 +461,79 @@
   g_assert_false (test_peer_next (&a, &first));
   g_assert_cmpuint (count_get (COUNT_HELD_ASKS), ==, held + 2);
   g_assert_true (broker_peer_waits (broker, &a.peer));
-  broker_link_down (broker, &b.peer); /* two of three: b is no longer waited for */
+  broker_link_down (broker, &b.peer); /* b is no longer waited for, so three are expected */
   Scheduler c = scheduler (33);
   broker_link_up (broker, &c.peer);
-  say_reported (broker, &c);
-  g_assert_cmpuint (verdicts (&a, MESH_GRANT), ==, 1);
+  send_report_end (broker, &c);
+  g_assert_cmpuint (count_messages (&a, MESH_GRANT), ==, 1);
   broker_link_down (broker, &a.peer);
   broker_link_down (broker, &c.peer);
-  test_peer_end (&a);
-  test_peer_end (&b);
-  test_peer_end (&c);
-  end ();
+  test_peer_free (&a);
+  test_peer_free (&b);
+  test_peer_free (&c);
+  tear_down ();
 }
 
-/* Guards against too many places being taken where entries are divided: a deputy that one of three
- * entries asks has two thirds of the places, not more. */
+/* Guards against granting too many places while the entries are divided between schedulers: a
+ * deputy that one of three entries asks may grant at most two thirds of the places. */
 static void
-deputy_keeps_to_its_part (void)
+deputy_grants_only_its_share (void)
 {
   MeshView view = { .term = 1, .proved = true, .entries = 3 };
   MeshMsg msg;
 
-  begin ();
-  hand_over ();
+  set_up ();
+  enable_handover ();
   Scheduler voter = scheduler (11), entry = scheduler (31);
   place_apply_view (place, &voter.peer, &view);
   entry.peer.role = MESH_ENTRY;
   entry.peer.dialled = false;
   place_link_up (place, &entry.peer);
-  say_reported (place_own_broker (place), &entry);
+  send_report_end (place_own_broker (place), &entry);
   for (uint64_t i = 1; i <= 4; i++)
     {
-      msg = ask_of (i, 0);
+      msg = make_ask (i, 0);
       place_message (place, &entry.peer, &msg);
     }
-  for (unsigned i = 0; i < 6; i++) /* longer than the handover */
-    run_until_ticked ();
-  g_assert_cmpuint (verdicts (&entry, MESH_GRANT), ==, 2);
+  for (unsigned i = 0; i < 6; i++) /* longer than a handover may take */
+    run_for_one_tick ();
+  g_assert_cmpuint (count_messages (&entry, MESH_GRANT), ==, 2);
   place_link_down (place, &entry.peer);
-  test_peer_end (&voter);
-  test_peer_end (&entry);
-  end ();
+  test_peer_free (&voter);
+  test_peer_free (&entry);
+  tear_down ();
 }
 
-/* Guards against one place that runs two requests: a grant crosses the withdrawal by which its
- * scheduler gives the place to another. */
+/* Guards against two requests on one place: a grant of the former scheduler crosses the withdrawal
+ * of its request, after which that scheduler grants the place to another request. */
 static void
-crossed_grant_is_not_used (void)
+crossing_grant_is_ignored (void)
 {
-  begin ();
-  hand_over ();
+  set_up ();
+  enable_handover ();
   Scheduler a = scheduler (11), b = scheduler (12);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   ask (1, 10);
-  in_charge (&b, 2);
+  set_leader (&b, 2);
   grant (&a, 1);
   g_assert_cmpuint (grants, ==, 0);
   grant (&b, 1);
   g_assert_cmpuint (grants, ==, 1);
-  test_peer_end (&a);
-  test_peer_end (&b);
-  end ();
+  test_peer_free (&a);
+  test_peer_free (&b);
+  tear_down ();
 }
 
-/* The scheduler dies, and the next one knows nothing of the limits' accounts. Whoever asks it
- * passes on what the one before reported last; a scheduler is not told its own reports. */
+/* Guards against the loss of the accounts of limits when a scheduler crashes. Entries pass on what
+ * the former scheduler last reported; a scheduler is not told its own reports. */
 static void
-report_of_account_is_passed_on (void)
+account_report_is_passed_on (void)
 {
   MeshMsg msg;
 
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11), b = scheduler (12);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   ask (1, 100);
   grant (&a, 1);
   ask (2, 100);
@@ -539,24 +542,24 @@
       g_assert_cmpuint (msg.MeshMsg_u.ask.org_fill_ms, ==, MESH_FILL_UNKNOWN);
       codec_clear (CODEC (MeshMsg), &msg);
     }
-  in_charge (&b, 2);
+  set_leader (&b, 2);
   ask (3, 50);
-  unsigned told = 0;
+  unsigned reported = 0;
   while (test_peer_next (&b, &msg))
     {
-      told += msg.MeshMsg_u.ask.org_fill == 600 && msg.MeshMsg_u.ask.org_fill_ms < 1000;
+      reported += msg.MeshMsg_u.ask.org_fill == 600 && msg.MeshMsg_u.ask.org_fill_ms < 1000;
       codec_clear (CODEC (MeshMsg), &msg);
     }
-  g_assert_cmpuint (told, >=, 1);
-  test_peer_end (&a);
-  test_peer_end (&b);
-  end ();
+  g_assert_cmpuint (reported, >=, 1);
+  test_peer_free (&a);
+  test_peer_free (&b);
+  tear_down ();
 }
 
-/* All voters die, and an entry turns to a deputy that nobody has asked yet: with a part of nothing
- * of each limit until its next tick, it refuses an organisation that has used a tenth of its. The
- * deputy's part grows with the ask, and the report that comes with it says how full the account is.
- */
+/* Guards against refusals by a deputy that no entry has asked before. All voters crash and an entry
+ * changes to the deputy, whose share of each limit is 0 until its next tick: it refused an
+ * organisation that had used a tenth of its limit. The deputy's share grows with the request, and
+ * the report that comes with it says how full the account is. */
 static void
 first_asker_of_a_deputy_is_served (void)
 {
@@ -564,9 +567,9 @@
   MeshMsg msg = { .kind = MESH_ASK };
   unsigned granted = 0;
 
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11), entry = scheduler (13);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   entry.peer.role = MESH_ENTRY;
   entry.peer.dialled = false;
   place_link_up (place, &entry.peer);
@@ -588,20 +591,20 @@
     }
   g_assert_cmpuint (granted, ==, 1);
   place_link_down (place, &entry.peer);
-  test_peer_end (&a);
-  test_peer_end (&entry);
-  end ();
+  test_peer_free (&a);
+  test_peer_free (&entry);
+  tear_down ();
 }
 
-/* ---- An account that goes from scheduler to scheduler, on a clock of the test's own ---- */
+/* ---- An account that passes between schedulers, on a manual clock ---- */
 
-#define ENTRIES 56
-#define ORGS    3 /* at half of its limit, at six times, at a quarter */
-#define STEP_MS 2
-#define LIMIT   300000.0 /* tokens a second, and at once */
-#define WINDOW  (8000 / STEP_MS)
-#define TOTAL   (24000 / STEP_MS)
-#define COST    3000.0
+#define ENTRIES      56
+#define ORGS         3 /* at 0.5, 6 and 0.25 times its limit */
+#define STEP_MS      2
+#define LIMIT        300000.0 /* tokens per second, and of a burst */
+#define WINDOW_STEPS (8000 / STEP_MS)
+#define STEPS        (24000 / STEP_MS)
+#define COST         3000.0
 
 typedef struct
 {
@@ -609,47 +612,47 @@
   Quota *schedulers[3];
   Spent *entries[ENTRIES];
   char names[ORGS][8];
-  double given[ORGS][TOTAL];
+  double granted[ORGS][STEPS];
   unsigned refused[ORGS];
   uint64_t seed;
-} Handover;
+} HandoverRun;
 
 static double
-handover_draw (Handover *all)
+handover_draw (HandoverRun *run)
 {
-  all->seed = all->seed * 6364136223846793005u + 1442695040888963407u;
-  return (double) (all->seed >> 11) / 9007199254740992.0;
+  run->seed = run->seed * 6364136223846793005u + 1442695040888963407u;
+  return (double) (run->seed >> 11) / 9007199254740992.0;
 }
 
-/* What an ask carries and what comes back, as place.c and broker.c do it. */
+/* Makes one request as place.c and broker.c do, with the reports that go each way. */
 static void
-handover_ask (Handover *all, unsigned entry, unsigned at, unsigned org, unsigned step)
+handover_ask (HandoverRun *run, unsigned entry, unsigned at, unsigned org, unsigned step)
 {
-  Quota *quota = all->schedulers[at];
-  Spent *spent = all->entries[entry];
-  const char *name = all->names[org];
-  int64_t now = all->clock.now, age, given_for, wait;
-  double full, elsewhere = spent_take_untold (spent, quota, name, &given_for);
+  Quota *quota = run->schedulers[at];
+  Spent *spent = run->entries[entry];
+  const char *name = run->names[org];
+  int64_t now = run->clock.now, age, period, wait;
+  double full, elsewhere = spent_take_untold (spent, quota, name, &period);
 
   if (spent_latest_report (spent, quota, name, &full, &age))
     quota_apply_report (quota, name, full, now - age);
   if (elsewhere > 0)
-    quota_charge_remote (quota, name, elsewhere, now - given_for);
+    quota_charge_remote (quota, name, elsewhere, now - period);
   bool granted = quota_take (quota, name, COST, 0, &wait);
   if (granted)
     {
       spent_record_grant (spent, quota, name, COST);
-      all->given[org][step] += COST;
+      run->granted[org][step] += COST;
     }
   else
-    all->refused[org]++;
+    run->refused[org]++;
   spent_record_report (spent, quota, name, quota_fill_level (quota, name));
 }
 
-/* The first voter leads for three seconds, the second until it dies after fifteen; within 0.2 s the
- * entries turn to a deputy, and half a second later to the first voter again. */
+/* Scheduler of the entry at this time. The first voter leads for 3 s, the second until it crashes
+ * at 15 s. Within 0.2 s the entries change to a deputy, and 0.6 s later back to the first voter. */
 static unsigned
-handover_leader (unsigned entry, unsigned ms)
+handover_scheduler (unsigned entry, unsigned ms)
 {
   unsigned turn = entry * 200 / ENTRIES;
 
@@ -661,105 +664,108 @@
 }
 
 static double
-handover_most (const Handover *all, unsigned org)
+handover_max_in_window (const HandoverRun *run, unsigned org)
 {
   double sum = 0, most = 0;
 
-  for (unsigned i = 0; i < TOTAL; i++)
+  for (unsigned i = 0; i < STEPS; i++)
     {
-      sum += all->given[org][i] - (i >= WINDOW ? all->given[org][i - WINDOW] : 0);
+      sum += run->granted[org][i] - (i >= WINDOW_STEPS ? run->granted[org][i - WINDOW_STEPS] : 0);
       most = MAX (most, sum);
     }
   return most;
 }
 
-/* The scheduler dies, a deputy takes over, then a voter that led before. Organisations within their
- * limits are refused for seconds: the voter is told what others gave since it led, which has long
- * been refilled, and of all but the first organisation an entry asks for it takes that for news.
- * What was given is counted once: nobody within its limit is refused, and who sends six times its
- * limit gets no more than it. */
+/* Guards against refusals within the limit after a crash of the scheduler, when a deputy and then a
+ * voter that led before take over. The voter is told what others granted since it led, which has
+ * long been refilled; it took this for recent grants of every organisation but the first one that
+ * an entry asks for. Organisations within their limits were refused for seconds. Each grant counts
+ * once: organisations within their limits are not refused, and one that sends six times its limit
+ * gets no more than the limit. */
 static void
-account_is_handed_over (void)
+account_survives_handovers (void)
 {
   static const double rates[ORGS] = { 0.5, 6, 0.25 };
-  Handover *all = g_new0 (Handover, 1);
+  HandoverRun *run = g_new0 (HandoverRun, 1);
 
-  all->clock = test_clock ();
-  all->seed = 11;
+  run->clock = test_clock ();
+  run->seed = 11;
   for (unsigned i = 0; i < ENTRIES; i++)
-    all->entries[i] = spent_new (&all->clock.base);
+    run->entries[i] = spent_new (&run->clock.base);
   for (unsigned i = 0; i < 3; i++)
     {
-      all->schedulers[i] = quota_new (&all->clock.base);
-      quota_set_margin (all->schedulers[i], 0.1, 140000, 8, true);
+      run->schedulers[i] = quota_new (&run->clock.base);
+      quota_set_margin (run->schedulers[i], 0.1, 140000, 8, true);
     }
   for (unsigned org = 0; org < ORGS; org++)
     {
-      g_snprintf (all->names[org], sizeof all->names[org], "o%u", org);
+      g_snprintf (run->names[org], sizeof run->names[org], "o%u", org);
       for (unsigned i = 0; i < 3; i++)
-        quota_set_limit (all->schedulers[i], all->names[org], LIMIT, LIMIT);
+        quota_set_limit (run->schedulers[i], run->names[org], LIMIT, LIMIT);
     }
-  all->clock.now += 60 * FT_SECOND;
-  for (unsigned step = 0; step < TOTAL; step++)
+  run->clock.now += 60 * FT_SECOND;
+  for (unsigned step = 0; step < STEPS; step++)
     {
-      all->clock.now += STEP_MS * FT_MS;
+      run->clock.now += STEP_MS * FT_MS;
       for (unsigned org = 0; org < ORGS; org++)
         {
           double due = rates[org] * LIMIT * STEP_MS / 1e3 / COST;
-          unsigned asks = (unsigned) due + (handover_draw (all) < due - (unsigned) due);
+          unsigned asks = (unsigned) due + (handover_draw (run) < due - (unsigned) due);
           for (unsigned i = 0; i < asks; i++)
             {
-              unsigned entry = (unsigned) (handover_draw (all) * ENTRIES);
-              handover_ask (all, entry, handover_leader (entry, step * STEP_MS), org, step);
+              unsigned entry = (unsigned) (handover_draw (run) * ENTRIES);
+              handover_ask (run, entry, handover_scheduler (entry, step * STEP_MS), org, step);
             }
         }
     }
   for (unsigned org = 0; org < ORGS; org++)
-    g_test_message ("%s: refused %u, most in a window %.0f of %.0f", all->names[org],
-                    all->refused[org], handover_most (all, org), 9 * LIMIT);
-  g_assert_cmpuint (all->refused[0], ==, 0);
-  g_assert_cmpuint (all->refused[2], ==, 0);
-  g_assert_cmpfloat (handover_most (all, 1), <, 9 * LIMIT * 1.1);
+    g_test_message ("%s: refused %u, most in a window %.0f of %.0f", run->names[org],
+                    run->refused[org], handover_max_in_window (run, org), 9 * LIMIT);
+  g_assert_cmpuint (run->refused[0], ==, 0);
+  g_assert_cmpuint (run->refused[2], ==, 0);
+  g_assert_cmpfloat (handover_max_in_window (run, 1), <, 9 * LIMIT * 1.1);
   for (unsigned i = 0; i < ENTRIES; i++)
-    spent_free (all->entries[i]);
+    spent_free (run->entries[i]);
   for (unsigned i = 0; i < 3; i++)
-    quota_free (all->schedulers[i]);
-  g_free (all);
+    quota_free (run->schedulers[i]);
+  g_free (run);
 }
 
-/* Requests are refused before idle servers: a request granted by one scheduler ended while another
- * was asked, and the first one's ledger kept its place for ever. Both are told of the end. */
+/* Guards against a place that is never freed: a request granted by one scheduler ended after the
+ * entry had changed to another, and the first one kept its place as taken, so that requests were
+ * refused although servers were idle. Both schedulers are told of the end. */
 static void
-all_are_told_of_the_end (void)
+all_schedulers_are_told_of_end (void)
 {
   SchedResult ok = { .outcome = SCHED_OK };
 
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11), b = scheduler (12);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   ask (1, 0);
   grant (&a, 1);
-  in_charge (&b, 2);
+  set_leader (&b, 2);
   place_end (place, 1, &ok);
   g_assert_cmpuint (count_kind (&a, MESH_DONE, 1), ==, 1);
   g_assert_cmpuint (count_kind (&b, MESH_DONE, 1), ==, 1);
-  test_peer_end (&a);
-  test_peer_end (&b);
-  end ();
+  test_peer_free (&a);
+  test_peer_free (&b);
+  tear_down ();
 }
 
-/* After a start of everything hundreds of entries have no list of servers yet, and their callers
- * wait for it. The grant itself says where the server is and how old the list is that names it. One
- * whose server the scheduler's list has lost says that it leaves. */
+/* Guards against delays after a start of the whole deployment, when hundreds of entries have no
+ * list of servers yet and their callers would wait for it. The grant itself contains the address of
+ * the server and the age of the list that names it. A grant whose server is no longer on the
+ * scheduler's list marks the server as leaving. */
 static void
-grant_says_where (void)
+grant_contains_address (void)
 {
   MeshMsg lost = { .kind = MESH_GRANT };
   char none[] = "", id[] = "gone";
 
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   ask (1, 0);
   grant (&a, 1);
   g_assert_cmpuint (granted_at.ip, ==, 0x0a000001);
@@ -772,49 +778,50 @@
   place_message (place, &a.peer, &lost);
   g_assert_cmpuint (grants, ==, 2);
   g_assert_true (granted_leaving);
-  test_peer_end (&a);
-  end ();
+  test_peer_free (&a);
+  tear_down ();
 }
 
 static bool
-is_granted (void)
+is_one_granted (void)
 {
   return grants == 1;
 }
 
-/* The scheduler falls silent while a request waits there: the request is placed without it. Its
- * late verdict is answered by a withdrawal, so that it does not hold the place. */
+/* A scheduler stops answering while a request waits there: the entry places the request without it.
+ * A late grant is answered with a withdrawal, so that it does not keep the place taken. */
 static void
-silent_scheduler_is_passed_over (void)
+silent_scheduler_is_bypassed (void)
 {
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   g_assert_cmpstr (place_scheduler_name (place), ==, "voter");
   ask (1, 0);
-  run_until (is_granted);
+  run_until (is_one_granted);
   g_assert_cmpstr (place_scheduler_name (place), ==, "own");
   count_kind (&a, MESH_DONE, 1);
   grant (&a, 1);
   g_assert_cmpuint (grants, ==, 1);
   g_assert_cmpuint (refusals, ==, 0);
-  test_peer_end (&a);
-  end ();
+  test_peer_free (&a);
+  tear_down ();
 }
 
 static bool
-one_granted (void)
+is_any_granted (void)
 {
   return grants >= 1;
 }
 
 static bool
-one_more_granted (void)
+is_second_decided (void)
 {
   return grants >= 2 || refusals > 0;
 }
 
-/* Reads what a scheduler was sent up to its first notice; false: none. asks: those before it. */
+/* Reads messages to the scheduler up to the first notice. False: there is none. *asks: number of
+ * requests before it. */
 static bool
 next_notice (Scheduler *one, MeshNotice *out, unsigned *asks)
 {
@@ -835,133 +842,134 @@
   return found;
 }
 
-/* A scheduler that takes over hears what servers said before it hears of any request. */
+/* A scheduler that takes over gets the notices of servers before the first request. */
 static void
 notices_before_requests (void)
 {
-  Notice said = { .rate = 2, .backoff_us = 9 * FT_SECOND };
-  MeshNotice told;
+  Notice notice = { .rate = 2, .backoff_us = 9 * FT_SECOND };
+  MeshNotice reported;
   unsigned asks;
 
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11), b = scheduler (12);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   ask (1, 0);
   grant (&a, 1);
   ask (2, 0);
-  place_report_notice (place, 1, "i", &said);
-  g_assert_true (next_notice (&a, &told, &asks));
-  g_assert_cmpuint (told.request, ==, 1);
-  g_assert_cmpuint (told.rate_milli, ==, 2000);
-  in_charge (&b, 2);
-  g_assert_true (next_notice (&b, &told, &asks));
+  place_report_notice (place, 1, "i", &notice);
+  g_assert_true (next_notice (&a, &reported, &asks));
+  g_assert_cmpuint (reported.request, ==, 1);
+  g_assert_cmpuint (reported.rate_milli, ==, 2000);
+  set_leader (&b, 2);
+  g_assert_true (next_notice (&b, &reported, &asks));
   g_assert_cmpuint (asks, ==, 0);
-  g_assert_cmpuint (told.request, ==, 0);
-  g_assert_cmpuint (told.rate_milli, ==, 2000);
-  g_assert_cmpuint (told.backoff_ms, >, 8000);
-  test_peer_end (&a);
-  test_peer_end (&b);
-  end ();
+  g_assert_cmpuint (reported.request, ==, 0);
+  g_assert_cmpuint (reported.rate_milli, ==, 2000);
+  g_assert_cmpuint (reported.backoff_ms, >, 8000);
+  test_peer_free (&a);
+  test_peer_free (&b);
+  tear_down ();
 }
 
-/* An answer without a rate is told only to a scheduler that holds the server to one. */
+/* An answer without a rate is reported only to a scheduler that applies a rate to the server. */
 static void
-end_of_a_rate_is_told (void)
+end_of_rate_is_reported (void)
 {
   Notice nothing = { 0 };
   MeshMsg paced = { .kind = MESH_GRANT };
   char none[] = "";
-  MeshNotice told;
+  MeshNotice reported;
   unsigned asks;
 
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   ask (1, 0);
   grant (&a, 1);
   place_report_notice (place, 1, "i", &nothing);
-  g_assert_false (next_notice (&a, &told, &asks));
+  g_assert_false (next_notice (&a, &reported, &asks));
   ask (2, 0);
   paced.MeshMsg_u.grant
       = (MeshGrant){ .request = 2, .server = (char *) "i", .name = none, .ip = 1, .paced = true };
   place_message (place, &a.peer, &paced);
   place_report_notice (place, 2, "i", &nothing);
-  g_assert_true (next_notice (&a, &told, &asks));
-  g_assert_cmpuint (told.rate_milli, ==, 0);
-  test_peer_end (&a);
-  end ();
+  g_assert_true (next_notice (&a, &reported, &asks));
+  g_assert_cmpuint (reported.rate_milli, ==, 0);
+  test_peer_free (&a);
+  tear_down ();
 }
 
-/* A scheduler that grants a server which the entry may not use is told why, before it is asked
+/* A scheduler that grants a server that the entry must not use gets the reason before it is asked
  * again. */
 static void
-withheld_grant_is_explained (void)
+unusable_server_is_reported (void)
 {
-  Notice said = { .leaving = true };
+  Notice notice = { .leaving = true };
   int64_t left;
-  MeshNotice told;
+  MeshNotice reported;
   unsigned asks;
 
-  begin ();
+  set_up ();
   Scheduler a = scheduler (11);
-  in_charge (&a, 1);
+  set_leader (&a, 1);
   g_assert_null (place_block_reason (place, "i", &left));
   ask (1, 0);
   grant (&a, 1);
-  place_report_notice (place, 1, "i", &said);
-  while (next_notice (&a, &told, &asks))
+  place_report_notice (place, 1, "i", &notice);
+  while (next_notice (&a, &reported, &asks))
     ;
   g_assert_cmpstr (place_block_reason (place, "i", &left), ==, "leaving");
-  g_assert_true (next_notice (&a, &told, &asks));
-  g_assert_true (told.leaving);
-  test_peer_end (&a);
-  end ();
+  g_assert_true (next_notice (&a, &reported, &asks));
+  g_assert_true (reported.leaving);
+  test_peer_free (&a);
+  tear_down ();
 }
 
-/* The voters die, and all servers name rates: what waits is not refused while the entry's own
- * scheduler has no part of the rates yet, whether or not it knows how long requests take. */
+/* All servers have announced rates and the voters crash. Waiting requests are not refused while the
+ * entry's own scheduler has no share of the rates yet, whether or not it knows how long requests
+ * take. */
 static void
-rate_of_an_entry_alone (gconstpointer asked_before)
+rates_without_voters (gconstpointer asked_before)
 {
-  Notice said = { .rate = 2 };
+  Notice notice = { .rate = 2 };
   SchedResult result = { .outcome = SCHED_OK, .answer_us = 40 * FT_MS };
 
-  begin ();
+  set_up ();
   if (asked_before)
     {
       ask (9, 0);
-      run_until (one_granted);
+      run_until (is_any_granted);
       place_end (place, 9, &result);
       grants = 0;
     }
   Scheduler a = scheduler (11);
-  in_charge (&a, 1);
-  run_until_ticked ();
+  set_leader (&a, 1);
+  run_for_one_tick ();
   ask (1, 0);
   grant (&a, 1);
-  place_report_notice (place, 1, "i", &said);
-  run_until_ticked ();
+  place_report_notice (place, 1, "i", &notice);
+  run_for_one_tick ();
   ask (2, 0);
   place_link_down (place, &a.peer);
   g_assert_cmpstr (place_scheduler_name (place), ==, "own");
-  run_until (one_more_granted);
+  run_until (is_second_decided);
   g_assert_cmpuint (refusals, ==, 0);
-  test_peer_end (&a);
-  end ();
+  test_peer_free (&a);
+  tear_down ();
 }
 
-/* An organisation's caller is refused at its limit and repeats the request at once. Both refusals
- * say the same promised time, in the advice as in the rule, or the caller cannot know which holds.
- */
+/* A caller is refused at its organisation's limit and repeats the request at once. Each refusal
+ * gives the same promised time in the retry field and in the rule text, else the caller cannot know
+ * which one holds. */
 static void
-refusal_at_a_limit_promises (void)
+repeated_refusal_keeps_promise (void)
 {
   BrokerConf conf = { .return_part = 0.25 };
   char none[] = "", service[] = "s", org[] = "o";
   MeshMsg asks = { .kind = MESH_ASK }, refused[2];
   uint64_t promised = count_get (COUNT_RETURNS_PROMISED);
 
-  begin ();
+  set_up ();
   Broker *broker = place_own_broker (place);
   Scheduler entry = scheduler (31);
   broker_configure (broker, &conf);
@@ -985,44 +993,44 @@
     }
   const MeshRefuse *first = &refused[0].MeshMsg_u.refuse, *again = &refused[1].MeshMsg_u.refuse;
   g_test_message ("%s", first->rule);
-  char *told = g_strdup_printf ("; promised in %u ms", first->retry_after_ms);
-  g_assert_true (g_str_has_suffix (first->rule, told));
-  g_assert_cmpuint (first->retry_after_ms, >=, 4000); /* 1,000 of 250 tokens a second */
+  char *reported = g_strdup_printf ("; promised in %u ms", first->retry_after_ms);
+  g_assert_true (g_str_has_suffix (first->rule, reported));
+  g_assert_cmpuint (first->retry_after_ms, >=, 4000); /* 1,000 tokens at 250 a second */
   g_assert_cmpuint (again->retry_after_ms, <=, first->retry_after_ms);
   g_assert_nonnull (strstr (again->rule, "; promised in "));
   broker_tick (broker);
   g_assert_cmpuint (count_get (COUNT_RETURNS_PROMISED), ==, promised + 1);
-  g_free (told);
+  g_free (reported);
   for (unsigned i = 0; i < 2; i++)
     codec_clear (CODEC (MeshMsg), &refused[i]);
   broker_link_down (broker, &entry.peer);
-  test_peer_end (&entry);
-  end ();
+  test_peer_free (&entry);
+  tear_down ();
 }
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/place/use_elsewhere", use_elsewhere_is_told);
-  g_test_add_func ("/place/left", left_scheduler_is_told);
-  g_test_add_func ("/place/turned_away", turned_away_is_not_counted);
-  g_test_add_func ("/place/back", first_to_come_back_is_served);
-  g_test_add_func ("/place/reported", report_follows_what_runs);
-  g_test_add_func ("/place/waits", ask_waits_for_reports);
-  g_test_add_func ("/place/part", deputy_keeps_to_its_part);
-  g_test_add_func ("/place/crossed", crossed_grant_is_not_used);
-  g_test_add_func ("/place/handover", account_is_handed_over);
-  g_test_add_func ("/place/report", report_of_account_is_passed_on);
+  g_test_add_func ("/place/use_elsewhere", grants_of_others_are_reported);
+  g_test_add_func ("/place/left", former_scheduler_is_told);
+  g_test_add_func ("/place/turned_away", departed_entry_is_not_counted);
+  g_test_add_func ("/place/back", first_returning_entry_is_served);
+  g_test_add_func ("/place/reported", report_end_follows_running_requests);
+  g_test_add_func ("/place/waits", request_waits_for_reports);
+  g_test_add_func ("/place/part", deputy_grants_only_its_share);
+  g_test_add_func ("/place/crossed", crossing_grant_is_ignored);
+  g_test_add_func ("/place/handover", account_survives_handovers);
+  g_test_add_func ("/place/report", account_report_is_passed_on);
   g_test_add_func ("/place/first_asker", first_asker_of_a_deputy_is_served);
-  g_test_add_func ("/place/grant", grant_says_where);
-  g_test_add_func ("/place/promised", refusal_at_a_limit_promises);
-  g_test_add_func ("/place/end", all_are_told_of_the_end);
-  g_test_add_func ("/place/silent", silent_scheduler_is_passed_over);
+  g_test_add_func ("/place/grant", grant_contains_address);
+  g_test_add_func ("/place/promised", repeated_refusal_keeps_promise);
+  g_test_add_func ("/place/end", all_schedulers_are_told_of_end);
+  g_test_add_func ("/place/silent", silent_scheduler_is_bypassed);
   g_test_add_func ("/place/notices_first", notices_before_requests);
-  g_test_add_func ("/place/rate_ends", end_of_a_rate_is_told);
-  g_test_add_func ("/place/withheld", withheld_grant_is_explained);
-  g_test_add_data_func ("/place/rate_alone", NULL, rate_of_an_entry_alone);
-  g_test_add_data_func ("/place/rate_alone_again", "", rate_of_an_entry_alone);
+  g_test_add_func ("/place/rate_ends", end_of_rate_is_reported);
+  g_test_add_func ("/place/withheld", unusable_server_is_reported);
+  g_test_add_data_func ("/place/rate_alone", NULL, rates_without_voters);
+  g_test_add_data_func ("/place/rate_alone_again", "", rates_without_voters);
   return g_test_run ();
 }
--- a/test/publish.c
+++ b/test/publish.c
@@ -1,5 +1,5 @@
-/* publish.c - what a voter tells hundreds of entries, and how much of it at once. The log is a real
- * one without other voters; entries are played over socket pairs. */
+/* publish.c - what a voter sends to hundreds of entries, and how much of it at once. The log is a
+ * real one with a single voter; the test simulates the entries over socket pairs. */
 #include "publish.h"
 #include "peer.h"
 #include "compress.h"
@@ -7,9 +7,9 @@
 
 #include <glib/gstdio.h>
 
-#define ENTRIES      30
-#define ENTRIES_MOST 300
-#define A_TICK       (256u << 10) /* bytes of catalogues, docs/CAPACITY.md */
+#define ENTRIES     30
+#define ENTRIES_MAX 300
+#define TICK_BYTES  (256u << 10) /* catalogues sent in one tick, docs/CAPACITY.md */
 
 static Loop *loop;
 static Mesh *mesh;
@@ -17,12 +17,12 @@
 static Servers *servers;
 static Broker *broker;
 static Publish *publish;
-static TestPeer entries[ENTRIES_MOST];
+static TestPeer entries[ENTRIES_MAX];
 static unsigned entry_count;
 static char *folder;
 
 static void
-no_send (void *host, uint32_t to, GByteArray *bytes)
+ignore_send (void *host, uint32_t to, GByteArray *bytes)
 {
   (void) host;
   (void) to;
@@ -30,30 +30,30 @@
 }
 
 static void
-no_commit (void *host)
+ignore_commit (void *host)
 {
   (void) host;
 }
 
 static void
-no_verdict (void *host, uint64_t ticket, FtStatus status)
+ignore_verdict (void *host, uint64_t ticket, FtStatus status)
 {
   (void) host;
   (void) ticket;
   (void) status;
 }
 
-static unsigned packs, blamed;
+static unsigned pack_count, crash_reports;
 
 static void
-on_blamed (void *host)
+on_crash_table (void *host)
 {
   (void) host;
-  blamed++;
+  crash_reports++;
 }
 
-static GThread *loops; /* the loop's thread */
-static gint reads;
+static GThread *loop_thread;
+static gint read_count;
 
 static RtCat *
 read_document (void *host, GBytes *document, GBytes **text, FtError *error)
@@ -63,14 +63,14 @@
 
   (void) host;
   (void) error;
-  g_assert_true (g_thread_self () != loops);
-  g_atomic_int_inc (&reads);
+  g_assert_true (g_thread_self () != loop_thread);
+  g_atomic_int_inc (&read_count);
   *text = compress_unpack (data, size);
   return NULL;
 }
 
 static const VoterOps voter_ops
-    = { read_document, no_send, no_commit, on_blamed, no_commit, no_verdict };
+    = { read_document, ignore_send, ignore_commit, on_crash_table, ignore_commit, ignore_verdict };
 
 static void
 read_list (void)
@@ -89,33 +89,33 @@
 }
 
 static void
-begin (unsigned count)
+set_up (unsigned count)
 {
   uint32_t self = 0x7f000001;
   VoterConf conf = { .self = self, .seeds = &self, .seed_count = 1, .may_bootstrap = true };
 
-  loops = g_thread_self ();
-  g_atomic_int_set (&reads, 0);
+  loop_thread = g_thread_self ();
+  g_atomic_int_set (&read_count, 0);
   loop = loop_new ();
   folder = g_dir_make_tmp ("publish-XXXXXX", NULL);
   conf.folder = folder;
-  mesh = test_mesh (loop, MESH_VOTER, 22400);
+  mesh = test_mesh_new (loop, MESH_VOTER, 22400);
   g_assert_cmpint (voter_new (&conf, loop, &voter_ops, NULL, &voter, NULL), ==, FT_OK);
   servers = servers_new ();
   broker = broker_new (loop, "voter", NULL, NULL);
   publish = publish_new (loop, voter, servers, broker);
   entry_count = count;
   for (unsigned i = 0; i < entry_count; i++)
-    entries[i] = test_peer (loop, mesh, i + 1, MESH_ENTRY, false);
+    entries[i] = test_peer_new (loop, mesh, i + 1, MESH_ENTRY, false);
 }
 
 static void
-end (void)
+tear_down (void)
 {
   for (unsigned i = 0; i < entry_count; i++)
     {
       publish_link_down (publish, &entries[i].peer);
-      test_peer_end (&entries[i]);
+      test_peer_free (&entries[i]);
     }
   publish_free (publish);
   mesh_free (mesh);
@@ -136,9 +136,9 @@
   g_free (folder);
 }
 
-/* Messages of a kind that the entry has got since it was asked last. */
+/* Number of messages of this kind that the entry got since the last call. */
 static unsigned
-got (TestPeer *entry, MeshKind kind)
+count_received (TestPeer *entry, MeshKind kind)
 {
   unsigned count = 0;
   MeshMsg msg;
@@ -151,21 +151,21 @@
   return count;
 }
 
-/* Hundreds of entries that start together all want the whole list. Sent to all at once it fills a
- * voter's link for seconds, and grants wait behind it. Some are sent it with each tick, each entry
- * once. */
+/* Guards against whole lists that fill the voter's link for seconds, with grants delayed behind
+ * them, when hundreds of entries start together. Only some entries are sent the list in each tick,
+ * and each entry once. */
 static void
-whole_lists_are_paced (void)
+whole_lists_are_spread_over_ticks (void)
 {
   unsigned sent[ENTRIES] = { 0 }, ticks = 0, total = 0;
 
-  begin (ENTRIES);
+  set_up (ENTRIES);
   read_list ();
   for (unsigned i = 0; i < ENTRIES; i++)
     {
       publish_link_up (publish, &entries[i].peer);
       publish_request_list (&entries[i].peer);
-      g_assert_cmpuint (got (&entries[i], MESH_PACKED_LIST), ==, 0);
+      g_assert_cmpuint (count_received (&entries[i], MESH_PACKED_LIST), ==, 0);
     }
   for (; total < ENTRIES && ticks < 10; ticks++)
     {
@@ -173,7 +173,7 @@
       publish_tick (publish);
       for (unsigned i = 0; i < ENTRIES; i++)
         {
-          sent[i] += got (&entries[i], MESH_PACKED_LIST);
+          sent[i] += count_received (&entries[i], MESH_PACKED_LIST);
           g_assert_cmpuint (sent[i], <=, 1);
         }
       total = 0;
@@ -183,12 +183,12 @@
     }
   g_assert_cmpuint (total, ==, ENTRIES);
   g_assert_cmpuint (ticks, ==, 3);
-  end ();
+  tear_down ();
 }
 
-/* How many entries the view that the entry got last speaks of; 0: it got none. */
+/* The number of entries in the last view that the entry got; 0: it got none. */
 static unsigned
-shown_entries (TestPeer *entry)
+last_view_entries (TestPeer *entry)
 {
   unsigned shown = 0;
   MeshMsg msg;
@@ -202,29 +202,29 @@
   return shown;
 }
 
-/* Entries are restarted in turn, so that their number changes many times a second. Shown each time
- * it is as many bytes as all asks together. The view stays the same, and is not sent again, until
- * the number has moved by more than a sixteenth. */
+/* Guards against views that take as many bytes as all requests together: while entries are
+ * restarted in turn, their number changes many times a second. A view is sent again only after the
+ * number has changed by more than a sixteenth. */
 static void
-number_of_entries_is_steady (void)
+entry_count_is_damped (void)
 {
-  begin (ENTRIES);
+  set_up (ENTRIES);
   for (unsigned i = 0; i < ENTRIES; i++)
     publish_link_up (publish, &entries[i].peer);
-  publish_tick (publish); /* chooses deputies */
+  publish_tick (publish); /* this tick chooses the deputies */
   publish_views (publish);
-  g_assert_cmpuint (shown_entries (&entries[0]), ==, ENTRIES);
+  g_assert_cmpuint (last_view_entries (&entries[0]), ==, ENTRIES);
   for (unsigned turn = 0; turn < 6; turn++)
     {
       entries[ENTRIES - 1].peer.leaving = turn % 2 == 0;
       publish_views (publish);
-      g_assert_cmpuint (shown_entries (&entries[0]), ==, ENTRIES);
+      g_assert_cmpuint (last_view_entries (&entries[0]), ==, ENTRIES);
     }
   for (unsigned i = ENTRIES - 3; i < ENTRIES; i++)
     entries[i].peer.leaving = true;
   publish_views (publish);
-  g_assert_cmpuint (shown_entries (&entries[0]), ==, ENTRIES - 3);
-  end ();
+  g_assert_cmpuint (last_view_entries (&entries[0]), ==, ENTRIES - 3);
+  tear_down ();
 }
 
 /* ---- Catalogues ---- */
@@ -245,7 +245,7 @@
   loop_run (loop);
 }
 
-/* A catalogue of 1,000 parts with names that do not compress; changed: value of one of them. */
+/* A packed catalogue with 1,000 names that do not compress. changed: value of one of them. */
 static GBytes *
 catalogue (uint64_t number, unsigned changed)
 {
@@ -279,10 +279,10 @@
   g_bytes_unref (document);
 }
 
-/* Bytes of catalogues that all entries have got since they were asked last; each got at most one,
- * which it then says that it has if confirms. */
+/* Bytes of catalogues that all entries got since the last call, at most one catalogue each.
+ * confirms: each entry then reports that it has this version. */
 static size_t
-got_documents (uint64_t number, bool confirms)
+received_document_bytes (uint64_t number, bool confirms)
 {
   size_t bytes = 0;
 
@@ -308,7 +308,7 @@
 }
 
 static unsigned
-lacking (uint64_t number)
+count_outdated (uint64_t number)
 {
   unsigned count = 0;
 
@@ -318,86 +318,88 @@
 }
 
 static void
-all_up (uint64_t number)
+bring_links_up (uint64_t number)
 {
   for (unsigned i = 0; i < entry_count; i++)
     {
       publish_link_up (publish, &entries[i].peer);
-      got_documents (number, true);
+      received_document_bytes (number, true);
     }
 }
 
-/* A change of one field went whole to each entry, and grants waited behind it on the link. */
+/* Guards against sending the whole catalogue to each entry for a change of one field, which delayed
+ * grants on the link. */
 static void
-changes_are_told_as_such (void)
+changes_are_sent_as_deltas (void)
 {
   static const unsigned counts[] = { 30, 300 };
 
   for (unsigned c = 0; c < G_N_ELEMENTS (counts); c++)
     {
-      begin (counts[c]);
+      set_up (counts[c]);
       commit (1);
       publish_documents (publish);
-      all_up (1);
-      g_assert_cmpuint (lacking (1), ==, 0);
+      bring_links_up (1);
+      g_assert_cmpuint (count_outdated (1), ==, 0);
       commit (2);
       publish_documents (publish);
-      g_assert_cmpuint (got_documents (2, true), <=, 200 * counts[c]);
-      g_assert_cmpuint (lacking (2), ==, 0);
-      end ();
+      g_assert_cmpuint (received_document_bytes (2, true), <=, 200 * counts[c]);
+      g_assert_cmpuint (count_outdated (2), ==, 0);
+      tear_down ();
     }
 }
 
-/* A catalogue that must go whole to all filled the link in one turn. */
+/* Guards against filling the link with whole catalogues for all entries in one iteration of the
+ * loop. */
 static void
-whole_catalogues_are_paced (void)
+whole_catalogues_are_spread_over_ticks (void)
 {
   GBytes *document = catalogue (10, 10);
-  size_t most = A_TICK + g_bytes_get_size (document);
+  size_t most = TICK_BYTES + g_bytes_get_size (document);
   unsigned ticks = 0;
 
   g_bytes_unref (document);
-  begin (300);
+  set_up (300);
   commit (1);
   publish_documents (publish);
-  all_up (1);
-  for (uint64_t number = 2; number <= 10; number++) /* more versions than are kept */
+  bring_links_up (1);
+  for (uint64_t number = 2; number <= 10; number++) /* more versions than the voter keeps */
     {
       commit (number);
       publish_documents (publish);
       for (unsigned i = 0; i < entry_count; i++)
         entries[i].peer.document = 1;
       if (number < 10)
-        got_documents (number, false);
+        received_document_bytes (number, false);
     }
   for (unsigned i = 0; i < entry_count; i++)
     publish_link_down (publish, &entries[i].peer);
-  got_documents (10, false);
+  received_document_bytes (10, false);
   for (unsigned i = 0; i < entry_count; i++)
     entries[i].peer.document = 10;
-  all_up (10);
+  bring_links_up (10);
   for (unsigned i = 0; i < entry_count; i++)
     entries[i].peer.document = 1;
-  for (; lacking (10) > 0 && ticks < 100; ticks++)
+  for (; count_outdated (10) > 0 && ticks < 100; ticks++)
     {
       publish_tick (publish);
-      g_assert_cmpuint (got_documents (10, true), <=, most);
+      g_assert_cmpuint (received_document_bytes (10, true), <=, most);
     }
-  g_assert_cmpuint (lacking (10), ==, 0);
+  g_assert_cmpuint (count_outdated (10), ==, 0);
   g_assert_cmpuint (ticks, >, 1);
-  end ();
+  tear_down ();
 }
 
-/* A catalogue of 1,500 routes was unpacked twice and read in the loop of the voter in charge, whose
- * grants and views waited for it. Each version is read once, in the log's thread, however many
- * entries it is told to. */
+/* Guards against delayed grants and views: a catalogue of 1,500 routes was unpacked twice and
+ * parsed in the event loop of the voter in charge. Each version is parsed once, in the thread of
+ * the log, however many entries it is sent to. */
 static void
-documents_are_read_once (void)
+documents_are_parsed_once (void)
 {
   FtError error;
   uint64_t number;
 
-  begin (ENTRIES);
+  set_up (ENTRIES);
   for (uint64_t version = 1; version <= 3; version++)
     {
       commit (version);
@@ -405,41 +407,41 @@
       g_assert_cmpuint (number, ==, version);
       publish_documents (publish);
     }
-  all_up (3);
-  g_assert_cmpuint (lacking (3), ==, 0);
-  g_assert_cmpint (g_atomic_int_get (&reads), ==, 3);
-  end ();
+  bring_links_up (3);
+  g_assert_cmpuint (count_outdated (3), ==, 0);
+  g_assert_cmpint (g_atomic_int_get (&read_count), ==, 3);
+  tear_down ();
 }
 
 static GBytes *
-pack_some (void *host)
+pack_message (void *host)
 {
   MeshMsg msg = { .kind = MESH_ROLLOUTS };
 
   (void) host;
-  packs++;
+  pack_count++;
   return mesh_pack (&msg);
 }
 
-/* What all entries are told was packed anew for each of them. It is packed once for all. */
+/* Guards against packing a broadcast message once per entry. It is packed once for all. */
 static void
 messages_are_packed_once (void)
 {
-  Broadcast *tell = bcast_new (pack_some, NULL);
+  Broadcast *tell = bcast_new (pack_message, NULL);
 
-  begin (ENTRIES);
+  set_up (ENTRIES);
   for (unsigned i = 0; i < ENTRIES; i++)
     bcast_link_up (tell, &entries[i].peer, false);
-  packs = 0;
+  pack_count = 0;
   bcast_send_all (tell);
-  g_assert_cmpuint (packs, ==, 0);
+  g_assert_cmpuint (pack_count, ==, 0);
   bcast_changed (tell);
   bcast_send_all (tell);
-  g_assert_cmpuint (packs, ==, 1);
+  g_assert_cmpuint (pack_count, ==, 1);
   for (unsigned i = 0; i < ENTRIES; i++)
-    g_assert_cmpuint (got (&entries[i], MESH_ROLLOUTS), ==, 1);
+    g_assert_cmpuint (count_received (&entries[i], MESH_ROLLOUTS), ==, 1);
   bcast_free (tell);
-  end ();
+  tear_down ();
 }
 
 static unsigned
@@ -459,11 +461,12 @@
   return count;
 }
 
-/* The loop of the voter in charge waits for its processor while the log's thread commits a hundred
- * ends of servers. It read the whole account for each, the same one each time; one report tells of
- * all, and what is committed after it is reported again. */
+/* Guards against reading the whole crash table once per crash. While the event loop of the voter in
+ * charge waited for a processor, the thread of the log committed a hundred crashes, and the loop
+ * then read the same table for each of them. One report covers all crashes committed so far; later
+ * ones are reported again. */
 static void
-reports_tell_of_all (void)
+one_report_covers_all_crashes (void)
 {
   enum
   {
@@ -473,9 +476,9 @@
   MsgCrash *ended = &op.MsgOp_u.ended;
   uint64_t content = 0;
 
-  begin (0);
-  commit (1); /* it leads */
-  blamed = 0;
+  set_up (0);
+  commit (1); /* the voter leads from here on */
+  crash_reports = 0;
   ended->server = (char *) "i";
   ended->contents.contents_len = 1;
   ended->contents.contents_val = &content;
@@ -489,26 +492,26 @@
     g_usleep (1000);
   g_assert_cmpuint (count_suspects (), ==, ENDS);
   run_for (20 * FT_MS);
-  g_assert_cmpuint (blamed, ==, 1);
+  g_assert_cmpuint (crash_reports, ==, 1);
   content++;
   ended->wall_ms = (int64_t) content * 1000 * 1000;
   voter_propose_op (voter, &op);
-  for (unsigned turn = 0; blamed < 2 && turn < 1000; turn++)
+  for (unsigned turn = 0; crash_reports < 2 && turn < 1000; turn++)
     run_for (20 * FT_MS);
-  g_assert_cmpuint (blamed, ==, 2);
-  end ();
+  g_assert_cmpuint (crash_reports, ==, 2);
+  tear_down ();
 }
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/publish/whole_lists", whole_lists_are_paced);
-  g_test_add_func ("/publish/entries", number_of_entries_is_steady);
-  g_test_add_func ("/publish/changes", changes_are_told_as_such);
-  g_test_add_func ("/publish/paced", whole_catalogues_are_paced);
-  g_test_add_func ("/publish/read_once", documents_are_read_once);
+  g_test_add_func ("/publish/whole_lists", whole_lists_are_spread_over_ticks);
+  g_test_add_func ("/publish/entries", entry_count_is_damped);
+  g_test_add_func ("/publish/changes", changes_are_sent_as_deltas);
+  g_test_add_func ("/publish/paced", whole_catalogues_are_spread_over_ticks);
+  g_test_add_func ("/publish/read_once", documents_are_parsed_once);
   g_test_add_func ("/publish/packed_once", messages_are_packed_once);
-  g_test_add_func ("/publish/reports", reports_tell_of_all);
+  g_test_add_func ("/publish/reports", one_report_covers_all_crashes);
   return g_test_run ();
 }
--- a/test/witness.c
+++ b/test/witness.c
@@ -1,6 +1,6 @@
-/* witness.c - what entries and voters tell each other of servers that ended. The other end of each
- * link is played over a socket pair; the log is a real one without other voters; nothing hangs on
- * how long anything takes. */
+/* witness.c - what entries and voters send each other about crashed servers. The test simulates the
+ * other end of each link over a socket pair. The log is a real one with a single voter; no check
+ * depends on how long anything takes. */
 #include "suspects.h"
 #include "crashrep.h"
 #include "peer.h"
@@ -12,23 +12,23 @@
 
 static Loop *loop;
 static Mesh *mesh;
-static LoopTimer guard, turn;
-static bool (*wanted) (void);
-static void (*each_turn) (void);
+static LoopTimer guard, poll_timer;
+static bool (*stop_condition) (void);
+static void (*tick_function) (void);
 
 static void
 on_guard (LoopTimer *timer)
 {
   (void) timer;
-  g_error ("nothing happened for too long");
+  g_error ("the expected event did not occur within 20 s");
 }
 
 static void
-on_turn (LoopTimer *timer)
+on_poll_timer (LoopTimer *timer)
 {
-  if (each_turn)
-    each_turn ();
-  if (wanted ())
+  if (tick_function)
+    tick_function ();
+  if (stop_condition ())
     loop_stop (loop);
   else
     loop_timer_set (loop, timer, loop_now (loop) + 5 * FT_MS);
@@ -37,30 +37,30 @@
 static void
 run_until (bool (*condition) (void))
 {
-  wanted = condition;
-  loop_timer_set (loop, &turn, loop_now (loop));
+  stop_condition = condition;
+  loop_timer_set (loop, &poll_timer, loop_now (loop));
   loop_timer_set (loop, &guard, loop_now (loop) + GUARD);
   loop_run (loop);
-  loop_timer_stop (loop, &turn);
+  loop_timer_stop (loop, &poll_timer);
   loop_timer_stop (loop, &guard);
 }
 
 static void
-begin_loop (MeshRole role)
+set_up_loop (MeshRole role)
 {
   loop = loop_new ();
   guard.fire = on_guard;
-  turn.fire = on_turn;
-  mesh = test_mesh (loop, role, 23100);
+  poll_timer.fire = on_poll_timer;
+  mesh = test_mesh_new (loop, role, 23100);
 }
 
 /* ---- An entry ---- */
 
 static HCli *cli;
-static CrashReporter *witness;
+static CrashReporter *reporter;
 static TestPeer voter_peer;
 static unsigned changes;
-static MeshMsg last; /* of a kind that is looked for */
+static MeshMsg last_msg; /* the last message that received has read */
 
 static void
 on_changed (void *host)
@@ -70,36 +70,36 @@
 }
 
 static void
-tick_witness (void)
+tick_reporter (void)
 {
-  crashrep_tick (witness);
+  crashrep_tick (reporter);
 }
 
 static void
-begin_entry (void)
+set_up_entry (void)
 {
-  begin_loop (MESH_ENTRY);
+  set_up_loop (MESH_ENTRY);
   cli = hcli_new (loop);
-  witness = crashrep_new (loop, mesh, cli, on_changed, NULL);
-  voter_peer = test_peer (loop, mesh, 9, MESH_VOTER, true);
+  reporter = crashrep_new (loop, mesh, cli, on_changed, NULL);
+  voter_peer = test_peer_new (loop, mesh, 9, MESH_VOTER, true);
   changes = 0;
-  each_turn = tick_witness;
+  tick_function = tick_reporter;
 }
 
 static void
-end_entry (void)
+tear_down_entry (void)
 {
-  each_turn = NULL;
-  crashrep_free (witness);
+  tick_function = NULL;
+  crashrep_free (reporter);
   hcli_free (cli);
-  test_peer_end (&voter_peer);
+  test_peer_free (&voter_peer);
   mesh_free (mesh);
   loop_free (loop);
 }
 
-/* Has the peer got a message of that kind? It is kept in last. */
+/* True: the peer got a message of this kind; it is then in last_msg. */
 static bool
-got (TestPeer *peer, MeshKind kind)
+received (TestPeer *peer, MeshKind kind)
 {
   MeshMsg msg;
   bool found = false;
@@ -107,21 +107,21 @@
   while (!found && test_peer_next (peer, &msg))
     {
       found = msg.kind == kind;
-      codec_clear (CODEC (MeshMsg), &last);
-      last = msg;
+      codec_clear (CODEC (MeshMsg), &last_msg);
+      last_msg = msg;
     }
   return found;
 }
 
 static bool
-voter_got_end (void)
+voter_got_crash (void)
 {
-  return got (&voter_peer, MESH_CRASH);
+  return received (&voter_peer, MESH_CRASH);
 }
 
-/* An address of this machine at which nobody listens. */
+/* An address of this machine where nothing listens. */
 static SockAddr
-nobody (void)
+unused_address (void)
 {
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_addr = { htonl (0x7f000001) } };
   socklen_t size = sizeof address;
@@ -134,98 +134,100 @@
 }
 
 static bool
-was_changed (void)
+is_changed (void)
 {
   return changes > 0;
 }
 
 static void
-known (uint64_t number)
+acknowledge (uint64_t number)
 {
   MeshMsg msg = { .kind = MESH_CRASH_ACK };
 
   msg.MeshMsg_u.known.number = number;
-  g_assert_true (crashrep_message (witness, &voter_peer.peer, &msg));
+  g_assert_true (crashrep_message (reporter, &voter_peer.peer, &msg));
 }
 
-/* The voter in charge loses what it was told, with its charge or to a disk that refuses writes.
- * The entry tells it again until it is known, and counts the end itself meanwhile. */
+/* Guards against lost reports of a crash: the voter in charge crashes, or its disk refuses writes.
+ * The entry repeats the report until it is acknowledged, and counts the crash itself meanwhile. */
 static void
-report_is_told_until_known (void)
-{
-  begin_entry ();
-  crashrep_set_voter (witness, &voter_peer.peer);
-  crashrep_connection_lost (witness, "s1", nobody (), CONTENT, "r1");
-  run_until (voter_got_end);
-  uint64_t number = last.MeshMsg_u.ended.number;
-  g_assert_cmpstr (last.MeshMsg_u.ended.server, ==, "s1");
-  g_assert_cmpuint (last.MeshMsg_u.ended.contents.contents_len, ==, 1);
-  g_assert_cmphex (last.MeshMsg_u.ended.contents.contents_val[0], ==, CONTENT);
-  g_assert_cmpint (crashrep_check (witness, CONTENT).state, ==, QUAR_SUSPECT);
-  run_until (voter_got_end);
-  g_assert_cmpuint (last.MeshMsg_u.ended.number, ==, number);
-  known (number);
-  g_assert_cmpint (crashrep_check (witness, CONTENT).state, ==,
-                   QUAR_NO_CRASHES); /* others know more */
+report_is_repeated_until_acknowledged (void)
+{
+  set_up_entry ();
+  crashrep_set_voter (reporter, &voter_peer.peer);
+  crashrep_connection_lost (reporter, "s1", unused_address (), CONTENT, "r1");
+  run_until (voter_got_crash);
+  uint64_t number = last_msg.MeshMsg_u.ended.number;
+  g_assert_cmpstr (last_msg.MeshMsg_u.ended.server, ==, "s1");
+  g_assert_cmpuint (last_msg.MeshMsg_u.ended.contents.contents_len, ==, 1);
+  g_assert_cmphex (last_msg.MeshMsg_u.ended.contents.contents_val[0], ==, CONTENT);
+  g_assert_cmpint (crashrep_check (reporter, CONTENT).state, ==, QUAR_SUSPECT);
+  run_until (voter_got_crash);
+  g_assert_cmpuint (last_msg.MeshMsg_u.ended.number, ==, number);
+  acknowledge (number);
+  g_assert_cmpint (crashrep_check (reporter, CONTENT).state, ==,
+                   QUAR_NO_CRASHES); /* now counted by voters */
   GString *metrics = g_string_new (NULL);
-  crashrep_describe (witness, metrics);
+  crashrep_describe (reporter, metrics);
   g_assert_nonnull (strstr (metrics->str, "foxtail_reports_untold 0"));
   g_string_free (metrics, TRUE);
-  end_entry ();
+  tear_down_entry ();
 }
 
-/* No voter is in charge as the server ends. Whoever is in charge later is told at once. */
+/* No voter is in charge when the server crashes; the next one gets the report at once. */
 static void
-report_waits_for_a_voter (void)
+report_waits_for_voter (void)
 {
-  begin_entry ();
-  crashrep_connection_lost (witness, "s1", nobody (), CONTENT, "r1");
-  run_until (was_changed);
-  g_assert_false (voter_got_end ());
-  crashrep_set_voter (witness, &voter_peer.peer);
-  g_assert_true (voter_got_end ());
-  end_entry ();
+  set_up_entry ();
+  crashrep_connection_lost (reporter, "s1", unused_address (), CONTENT, "r1");
+  run_until (is_changed);
+  g_assert_false (voter_got_crash ());
+  crashrep_set_voter (reporter, &voter_peer.peer);
+  g_assert_true (voter_got_crash ());
+  tear_down_entry ();
 }
 
 static void
-take_account (unsigned ends)
+receive_crash_table (unsigned crashes)
 {
   MeshMsg msg = { .kind = MESH_CRASH_TABLE };
   u_int servers[] = { quar_server_digest ("s1"), quar_server_digest ("s2") };
-  MeshSuspect suspect = { CONTENT, ends, { 2, servers } };
+  MeshSuspect suspect = { CONTENT, crashes, { 2, servers } };
 
-  msg.MeshMsg_u.blamed.index = ends;
+  msg.MeshMsg_u.blamed.index = crashes;
   msg.MeshMsg_u.blamed.suspects.suspects_len = 1;
   msg.MeshMsg_u.blamed.suspects.suspects_val = &suspect;
-  g_assert_true (crashrep_message (witness, &voter_peer.peer, &msg));
+  g_assert_true (crashrep_message (reporter, &voter_peer.peer, &msg));
 }
 
-/* Two servers lose power under a content that this entry has just answered whole. The voters are
- * told, also if the voter in charge is not known yet as the account comes. */
+/* Two servers lose power while they run a content that this entry has just got a whole answer for.
+ * The entry tells the voters, even if it does not know the voter in charge yet when the crash table
+ * arrives. */
 static void
-answered_content_is_told (void)
+answered_content_is_reported (void)
 {
-  begin_entry ();
-  crashrep_answered (witness, "s9", CONTENT, loop_now (loop));
-  take_account (2);
-  g_assert_false (got (&voter_peer, MESH_ANSWERED));
-  crashrep_set_voter (witness, &voter_peer.peer);
-  g_assert_true (got (&voter_peer, MESH_ANSWERED));
-  g_assert_cmphex (last.MeshMsg_u.answered.contents.contents_val[0], ==, CONTENT);
-  end_entry ();
+  set_up_entry ();
+  crashrep_answered (reporter, "s9", CONTENT, loop_now (loop));
+  receive_crash_table (2);
+  g_assert_false (received (&voter_peer, MESH_ANSWERED));
+  crashrep_set_voter (reporter, &voter_peer.peer);
+  g_assert_true (received (&voter_peer, MESH_ANSWERED));
+  g_assert_cmphex (last_msg.MeshMsg_u.answered.contents.contents_val[0], ==, CONTENT);
+  tear_down_entry ();
 }
 
-/* A server that is said to have ended answers this entry: the path to it was cut for others. */
+/* A server that was reported as crashed answers this entry; only the network path from others to it
+ * was cut. The entry retracts the crash. */
 static void
-living_server_is_told (void)
+crash_is_retracted (void)
 {
-  begin_entry ();
-  crashrep_set_voter (witness, &voter_peer.peer);
-  take_account (2);
-  crashrep_answered (witness, "s2", 1, loop_now (loop));
-  g_assert_true (got (&voter_peer, MESH_CRASH_RETRACTED));
-  g_assert_cmpstr (last.MeshMsg_u.survived.server, ==, "s2");
-  end_entry ();
+  set_up_entry ();
+  crashrep_set_voter (reporter, &voter_peer.peer);
+  receive_crash_table (2);
+  crashrep_answered (reporter, "s2", 1, loop_now (loop));
+  g_assert_true (received (&voter_peer, MESH_CRASH_RETRACTED));
+  g_assert_cmpstr (last_msg.MeshMsg_u.survived.server, ==, "s2");
+  tear_down_entry ();
 }
 
 /* ---- A voter ---- */
@@ -236,7 +238,7 @@
 static char *folder;
 
 static void
-no_send (void *host, uint32_t to, GByteArray *bytes)
+ignore_send (void *host, uint32_t to, GByteArray *bytes)
 {
   (void) host;
   (void) to;
@@ -244,13 +246,13 @@
 }
 
 static void
-no_commit (void *host)
+ignore_commit (void *host)
 {
   (void) host;
 }
 
 static void
-on_blamed (void *host)
+on_crash_table (void *host)
 {
   (void) host;
   suspects_committed (suspects);
@@ -263,7 +265,8 @@
   suspects_verdict (suspects, ticket, status);
 }
 
-static const VoterOps voter_ops = { NULL, no_send, no_commit, on_blamed, no_commit, on_verdict };
+static const VoterOps voter_ops
+    = { NULL, ignore_send, ignore_commit, on_crash_table, ignore_commit, on_verdict };
 
 static bool
 in_charge (void)
@@ -281,31 +284,31 @@
 }
 
 static void
-begin_voter (void)
+set_up_voter (void)
 {
   uint32_t self = 0x7f000001;
   VoterConf conf = { .self = self, .seeds = &self, .seed_count = 1, .may_bootstrap = true };
 
-  begin_loop (MESH_VOTER);
+  set_up_loop (MESH_VOTER);
   folder = g_dir_make_tmp ("suspects-XXXXXX", NULL);
   conf.folder = folder;
   g_assert_cmpint (voter_new (&conf, loop, &voter_ops, NULL, &voter, NULL), ==, FT_OK);
   suspects = suspects_new (loop, voter);
-  entry_peer = test_peer (loop, mesh, 1, MESH_ENTRY, false);
-  other_peer = test_peer (loop, mesh, 2, MESH_ENTRY, false);
-  each_turn = tick_suspects;
+  entry_peer = test_peer_new (loop, mesh, 1, MESH_ENTRY, false);
+  other_peer = test_peer_new (loop, mesh, 2, MESH_ENTRY, false);
+  tick_function = tick_suspects;
   suspects_up (suspects, &entry_peer.peer);
   run_until (in_charge);
 }
 
 static void
-end_voter (void)
+tear_down_voter (void)
 {
-  each_turn = NULL;
+  tick_function = NULL;
   voter_free (voter);
   suspects_free (suspects);
-  test_peer_end (&entry_peer);
-  test_peer_end (&other_peer);
+  test_peer_free (&entry_peer);
+  test_peer_free (&other_peer);
   mesh_free (mesh);
   loop_free (loop);
   GDir *dir = g_dir_open (folder, 0, NULL);
@@ -321,7 +324,7 @@
 }
 
 static void
-tell_end (uint64_t number, const char *server)
+report_crash (uint64_t number, const char *server)
 {
   MeshMsg msg = { .kind = MESH_CRASH };
   u_quad_t contents[] = { CONTENT };
@@ -331,77 +334,79 @@
 }
 
 static bool
-entry_got_known (void)
+entry_got_ack (void)
 {
-  return got (&entry_peer, MESH_CRASH_ACK);
+  return received (&entry_peer, MESH_CRASH_ACK);
 }
 
 static bool
-other_got_account (void)
+other_got_crash_table (void)
 {
-  return got (&other_peer, MESH_CRASH_TABLE);
+  return received (&other_peer, MESH_CRASH_TABLE);
 }
 
-/* An entry tells of ends. Each is acknowledged once it is in the log. With the second one all
- * entries hear of the content, and one that comes later hears of it before anything else. */
+/* An entry reports crashes, and each is acknowledged once it is in the log. After the second one
+ * all entries get the crash table, and an entry that connects later gets it before anything else.
+ */
 static void
-account_is_told (void)
+crash_table_is_sent (void)
 {
-  begin_voter ();
-  tell_end (1, "s1");
-  run_until (entry_got_known);
-  tell_end (2, "s2");
-  run_until (entry_got_known);
+  set_up_voter ();
+  report_crash (1, "s1");
+  run_until (entry_got_ack);
+  report_crash (2, "s2");
+  run_until (entry_got_ack);
   suspects_up (suspects, &other_peer.peer);
-  g_assert_true (other_got_account ());
-  g_assert_cmpuint (last.MeshMsg_u.blamed.suspects.suspects_len, ==, 1);
-  g_assert_cmpuint (last.MeshMsg_u.blamed.suspects.suspects_val[0].ends, ==, 2);
-  tell_end (3, "s3");
-  run_until (other_got_account);
-  g_assert_cmpuint (last.MeshMsg_u.blamed.suspects.suspects_val[0].ends, ==, 3);
-  tell_end (4, "s3"); /* again: it is known, and acknowledged without another write */
-  g_assert_true (entry_got_known ());
+  g_assert_true (other_got_crash_table ());
+  g_assert_cmpuint (last_msg.MeshMsg_u.blamed.suspects.suspects_len, ==, 1);
+  g_assert_cmpuint (last_msg.MeshMsg_u.blamed.suspects.suspects_val[0].ends, ==, 2);
+  report_crash (3, "s3");
+  run_until (other_got_crash_table);
+  g_assert_cmpuint (last_msg.MeshMsg_u.blamed.suspects.suspects_val[0].ends, ==, 3);
+  report_crash (4, "s3"); /* repeated: acknowledged without another write to the log */
+  g_assert_true (entry_got_ack ());
   char *list = suspects_list (suspects);
   g_assert_nonnull (strstr (list, "\"quarantined\":true,\"ends\":3"));
   g_free (list);
-  end_voter ();
+  tear_down_voter ();
 }
 
 static bool
-account_is_empty (void)
+crash_table_is_empty (void)
 {
-  return got (&other_peer, MESH_CRASH_TABLE) && last.MeshMsg_u.blamed.suspects.suspects_len == 0;
+  return received (&other_peer, MESH_CRASH_TABLE)
+         && last_msg.MeshMsg_u.blamed.suspects.suspects_len == 0;
 }
 
-/* Another entry has answered the content whole: all hear that nothing is said against it. */
+/* Another entry got a whole answer to the content: all entries get an empty crash table. */
 static void
-answer_clears (void)
+answer_clears_suspicion (void)
 {
   MeshMsg msg = { .kind = MESH_ANSWERED };
   u_quad_t contents[] = { CONTENT };
 
-  begin_voter ();
+  set_up_voter ();
   suspects_up (suspects, &other_peer.peer);
-  tell_end (1, "s1");
-  tell_end (2, "s2");
-  run_until (other_got_account);
-  g_assert_cmpuint (last.MeshMsg_u.blamed.suspects.suspects_val[0].ends, ==, 2);
+  report_crash (1, "s1");
+  report_crash (2, "s2");
+  run_until (other_got_crash_table);
+  g_assert_cmpuint (last_msg.MeshMsg_u.blamed.suspects.suspects_val[0].ends, ==, 2);
   msg.MeshMsg_u.answered.contents.contents_len = 1;
   msg.MeshMsg_u.answered.contents.contents_val = contents;
   g_assert_true (suspects_message (suspects, &other_peer.peer, &msg));
-  run_until (account_is_empty);
-  end_voter ();
+  run_until (crash_table_is_empty);
+  tear_down_voter ();
 }
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/witness/until_known", report_is_told_until_known);
-  g_test_add_func ("/witness/waits", report_waits_for_a_voter);
-  g_test_add_func ("/witness/answered", answered_content_is_told);
-  g_test_add_func ("/witness/lives", living_server_is_told);
-  g_test_add_func ("/suspects/told", account_is_told);
-  g_test_add_func ("/suspects/cleared", answer_clears);
+  g_test_add_func ("/witness/until_known", report_is_repeated_until_acknowledged);
+  g_test_add_func ("/witness/waits", report_waits_for_voter);
+  g_test_add_func ("/witness/answered", answered_content_is_reported);
+  g_test_add_func ("/witness/lives", crash_is_retracted);
+  g_test_add_func ("/suspects/told", crash_table_is_sent);
+  g_test_add_func ("/suspects/cleared", answer_clears_suspicion);
   return g_test_run ();
 }
