--- a/test/handover.c
+++ b/test/handover.c
@@ -1,7 +1,6 @@
-/* handover.c - schedulers change at twice the load that the servers can take. The brokers and the
- * entries' places are those of foxtailnode; the loop, the links, the list of servers and the
- * voters' elections are the test's, on a clock of its own.
- */
+/* handover.c - changes of scheduler while requests arrive at up to twice the capacity of the
+ * servers. Brokers and the place modules of the entries are the real ones. The event loop, the
+ * links, the list of servers and the elections of voters are simulated on a manual clock. */
 #include "clock.h"
 #include "codec.h"
 #include "handover.h"
@@ -11,30 +10,31 @@
 #include <math.h>
 #include <string.h>
 
-#define VOTERS    3
-#define DEPUTIES  3 /* the first entries */
-#define SLOTS     4
-#define ORGS      4
-#define LENGTH_MS 13000
-#define TROUBLE   4000 /* ms from the start */
-#define WINDOW_MS 8000
-#define TICK      (20 * FT_MS)
-#define ELECTION  600  /* ms of silence until another voter is proved */
-#define LINK_LOST 1300 /* ms of silence after which a link is down */
-#define WAIT_MS   200
-#define MARGIN    0.1
-#define SLACK     190000
-#define COST      3000.0 /* tokens of a request */
-#define HOLD_MEAN 0.8    /* seconds of a place ... */
-#define HOLD_MID  0.35   /* ... and the median */
-
-typedef struct End End;
-struct End
-{
-  MeshPeer peer; /* the far instance, as the near one sees it */
-  End *other;
+#define VOTERS           3
+#define DEPUTIES         3 /* entries with the lowest numbers */
+#define SLOTS            4
+#define ORGS             4
+#define RUN_MS           13000
+#define FAILURE_MS       4000 /* ms from the start to the failure */
+#define WINDOW_MS        8000
+#define TICK             (20 * FT_MS)
+#define ELECTION_MS      600  /* ms from the failure until the next voter leads */
+#define LINK_TIMEOUT_MS  1300 /* ms without data until a link counts as down */
+#define WAIT_MS          200
+#define MARGIN           0.1
+#define SLACK            190000
+#define COST             3000.0 /* tokens per request */
+#define REQUEST_MEAN_S   0.8    /* seconds that a request runs: mean ... */
+#define REQUEST_MEDIAN_S 0.35   /* ... and median of a log-normal distribution */
+
+typedef struct LinkEnd LinkEnd;
+/* One end of a simulated link. */
+struct LinkEnd
+{
+  MeshPeer peer; /* the remote instance as the local one sees it */
+  LinkEnd *other;
   unsigned near, far;
-  int64_t kept_alive;
+  int64_t last_keep_alive;
   bool down;
 };
 
@@ -51,20 +51,20 @@
 typedef struct
 {
   struct Mesh mesh;
-  Place *place;     /* entries */
-  Broker *broker;   /* voters; an entry's own */
-  GPtrArray *links; /* End, dialled and accepted */
-  bool dead, cut;
+  Place *place;     /* of an entry; NULL for a voter */
+  Broker *broker;   /* of a voter, or an entry's own */
+  GPtrArray *links; /* LinkEnd, dialled and accepted */
+  bool dead, partitioned;
   int64_t frozen_until;
-} Inst;
+} Instance;
 
 typedef enum
 {
   EVENT_TIMER,
   EVENT_MESSAGE,
-  EVENT_DOWN, /* the link of an end */
+  EVENT_DOWN, /* a LinkEnd goes down */
   EVENT_UP,
-  EVENT_DONE, /* a request at its server */
+  EVENT_REQUEST_END, /* a request ends at its server */
   EVENT_CALL
 } EventKind;
 
@@ -73,7 +73,7 @@
   EventKind kind;
   int64_t at;
   LoopTimer *timer;
-  End *to;
+  LinkEnd *to;
   GByteArray *bytes;
   unsigned entry;
   uint64_t request;
@@ -84,38 +84,42 @@
 typedef struct
 {
   unsigned org;
-  bool begun;
+  bool granted;
 } Request;
 
-static const double org_rates[ORGS] = { 0.85, 0.5, 0.25, 4 }; /* of its limit */
-static const double org_parts[ORGS] = { 0.4, 0.2, 0.1, 0.3 }; /* of all requests */
+/* For each organisation: its rate of requests as a multiple of its limit, and its share of all
+ * requests. */
+static const double org_limit_use[ORGS] = { 0.85, 0.5, 0.25, 4 };
+static const double org_request_shares[ORGS] = { 0.4, 0.2, 0.1, 0.3 };
 
 static struct Loop loop;
-static Inst *insts;
-static unsigned entries, server_count, proved, lost_reports, late_entries;
+static Instance *instances;
+static unsigned entries, server_count, leader, reports_to_lose, late_view_entries;
 static uint64_t term, seed;
-static GQueue *buckets; /* one a millisecond */
+static GQueue *event_queues; /* events, one queue per millisecond */
 static GArray *requests;
 static char **server_ids;
-static double load, limits[ORGS], given[ORGS][LENGTH_MS];
-static unsigned taken[LENGTH_MS], running, refused_below, refused_at_limit, shortages, settled;
-static int64_t begun_at, checked_from;
+static double load, limits[ORGS], granted_tokens[ORGS][RUN_MS];
+static unsigned places_taken[RUN_MS], running, refused_below_limit, refused_at_limit,
+    refused_for_shortage, handovers_ended;
+static int64_t started_at;
+static int64_t checked_from; /* ms from the start; after that no refusal below a limit may occur */
 
-/* ---- What foxtailnode's modules call ---- */
+/* ---- Substitutes for the functions that the modules under test call ---- */
 
 static unsigned
 now_ms (void)
 {
-  return (unsigned) ((loop.clock.now - begun_at) / FT_MS);
+  return (unsigned) ((loop.clock.now - started_at) / FT_MS);
 }
 
 static void
-push (Event event)
+schedule_event (Event event)
 {
-  unsigned at = (unsigned) MAX ((event.at - begun_at + FT_MS - 1) / FT_MS, now_ms ());
+  unsigned at = (unsigned) MAX ((event.at - started_at + FT_MS - 1) / FT_MS, now_ms ());
 
-  if (at < LENGTH_MS)
-    g_queue_push_tail (&buckets[at], g_memdup2 (&event, sizeof event));
+  if (at < RUN_MS)
+    g_queue_push_tail (&event_queues[at], g_memdup2 (&event, sizeof event));
   else if (event.bytes)
     g_byte_array_unref (event.bytes);
 }
@@ -138,7 +142,7 @@
   (void) of;
   timer->armed = true;
   timer->node.key = (double) at;
-  push ((Event){ .kind = EVENT_TIMER, .at = at, .timer = timer });
+  schedule_event ((Event){ .kind = EVENT_TIMER, .at = at, .timer = timer });
 }
 
 void
@@ -149,39 +153,40 @@
 }
 
 static bool
-is_cut (const End *end)
+is_partitioned (const LinkEnd *end)
 {
-  return insts[end->near].cut || insts[end->far].cut;
+  return instances[end->near].partitioned || instances[end->far].partitioned;
 }
 
 static void
-link_lost (End *end, int64_t after)
+schedule_link_down (LinkEnd *end, int64_t after)
 {
   int64_t at = loop.clock.now + after;
 
-  push ((Event){ .kind = EVENT_DOWN, .at = at, .to = end });
-  push ((Event){ .kind = EVENT_DOWN, .at = at, .to = end->other });
+  schedule_event ((Event){ .kind = EVENT_DOWN, .at = at, .to = end });
+  schedule_event ((Event){ .kind = EVENT_DOWN, .at = at, .to = end->other });
 }
 
 bool
 mesh_send (MeshPeer *peer, const MeshMsg *msg)
 {
-  End *end = (End *) peer;
+  LinkEnd *end = (LinkEnd *) peer;
   int64_t latency = (1 + end->near % 2) * FT_MS;
 
-  if (end->down || is_cut (end) || insts[end->near].dead)
+  if (end->down || is_partitioned (end) || instances[end->near].dead)
     return true;
-  if (msg->kind == MESH_REPORT_END && lost_reports > 0 && end->far >= entries)
+  if (msg->kind == MESH_REPORT_END && reports_to_lose > 0 && end->far >= entries)
     {
-      lost_reports--;
-      link_lost (end, FT_MS);
-      push ((Event){ .kind = EVENT_UP, .at = loop.clock.now + 100 * FT_MS, .to = end->other });
+      reports_to_lose--;
+      schedule_link_down (end, FT_MS);
+      schedule_event (
+          (Event){ .kind = EVENT_UP, .at = loop.clock.now + 100 * FT_MS, .to = end->other });
       return true;
     }
-  push ((Event){ .kind = EVENT_MESSAGE,
-                 .at = loop.clock.now + latency,
-                 .to = end->other,
-                 .bytes = codec_pack (CODEC (MeshMsg), msg) });
+  schedule_event ((Event){ .kind = EVENT_MESSAGE,
+                           .at = loop.clock.now + latency,
+                           .to = end->other,
+                           .bytes = codec_pack (CODEC (MeshMsg), msg) });
   return true;
 }
 
@@ -195,11 +200,11 @@
 MeshPeer *
 mesh_find_dialled (Mesh *mesh, uint32_t ip)
 {
-  const GPtrArray *links = insts[mesh->instance].links;
+  const GPtrArray *links = instances[mesh->instance].links;
 
   for (unsigned i = 0; i < links->len; i++)
     {
-      End *end = links->pdata[i];
+      LinkEnd *end = links->pdata[i];
       if (end->peer.dialled && end->peer.ip == ip)
         return end->down ? NULL : &end->peer;
     }
@@ -209,10 +214,10 @@
 void
 mesh_for_each_peer (Mesh *mesh, void (*fn) (MeshPeer *peer, void *data), void *data)
 {
-  const GPtrArray *links = insts[mesh->instance].links;
+  const GPtrArray *links = instances[mesh->instance].links;
 
   for (unsigned i = 0; i < links->len; i++)
-    if (!((End *) links->pdata[i])->down)
+    if (!((LinkEnd *) links->pdata[i])->down)
       fn (links->pdata[i], data);
 }
 
@@ -223,10 +228,10 @@
   (void) request;
   if (strcmp (event, "settled") != 0)
     return;
-  settled++;
-  g_test_message ("%u ms: settled by %s, %ld of %ld after %ld ms, %s", now_ms (), fields[4].text,
-                  (long) fields[0].number, (long) fields[1].number, (long) fields[2].number,
-                  fields[3].text);
+  handovers_ended++;
+  g_test_message ("%u ms: handover of %s ended, %ld of %ld reported, after %ld ms, %s", now_ms (),
+                  fields[4].text, (long) fields[0].number, (long) fields[1].number,
+                  (long) fields[2].number, fields[3].text);
 }
 
 const AdapterServer *
@@ -266,30 +271,30 @@
 }
 
 static double
-hold_s (void)
+draw_run_time_s (void)
 {
   double normal = sqrt (-2 * log (1 - draw ())) * cos (2 * G_PI * draw ());
 
-  return HOLD_MID * exp (normal * sqrt (2 * log (HOLD_MEAN / HOLD_MID)));
+  return REQUEST_MEDIAN_S * exp (normal * sqrt (2 * log (REQUEST_MEAN_S / REQUEST_MEDIAN_S)));
 }
 
 static void
 on_grant (void *host, uint64_t number, const Grant *grant)
 {
-  const Inst *inst = host;
+  const Instance *inst = host;
   Request *request = &g_array_index (requests, Request, number - 1);
-  int64_t us = (int64_t) (hold_s () * 1e6);
+  int64_t us = (int64_t) (draw_run_time_s () * 1e6);
 
   (void) grant;
-  g_assert_false (request->begun);
-  request->begun = true;
+  g_assert_false (request->granted);
+  request->granted = true;
   running++;
-  given[request->org][now_ms ()] += COST;
-  push ((Event){ .kind = EVENT_DONE,
-                 .at = loop.clock.now + us,
-                 .entry = inst->mesh.instance,
-                 .request = number,
-                 .answer_us = us });
+  granted_tokens[request->org][now_ms ()] += COST;
+  schedule_event ((Event){ .kind = EVENT_REQUEST_END,
+                           .at = loop.clock.now + us,
+                           .entry = inst->mesh.instance,
+                           .request = number,
+                           .answer_us = us });
 }
 
 static void
@@ -299,13 +304,14 @@
 
   (void) host;
   if (refusal->reason != FT_REASON_LIMIT_TOKENS)
-    shortages++;
-  else if (org_rates[org] > 1)
+    refused_for_shortage++;
+  else if (org_limit_use[org] > 1)
     refused_at_limit++;
   else if (now_ms () >= checked_from)
     {
-      g_test_message ("%u ms, org %u: %s", now_ms (), org, refusal->rule);
-      refused_below++;
+      g_test_message ("%u ms: organisation %u refused below its limit: %s", now_ms (), org,
+                      refusal->rule);
+      refused_below_limit++;
     }
 }
 
@@ -317,13 +323,13 @@
   double at = draw ();
   unsigned org = 0;
 
-  while (org < ORGS - 1 && at >= org_parts[org])
-    at -= org_parts[org++];
+  while (org < ORGS - 1 && at >= org_request_shares[org])
+    at -= org_request_shares[org++];
   return org;
 }
 
 static void
-arrive (void)
+submit_request (void)
 {
   Request request = { .org = draw_org () };
   char org[] = { 'o', (char) ('0' + request.org), '\0' };
@@ -337,30 +343,30 @@
                    .aim_at = loop.clock.now + 2 * FT_SECOND,
                    .limit_at = loop.clock.now + 2 * FT_SECOND,
                    .end_at = loop.clock.now + 10 * FT_SECOND };
-  place_ask (insts[entry].place, &ask, COST);
+  place_ask (instances[entry].place, &ask, COST);
 }
 
 /* ---- Voters ---- */
 
 static void
-share_voter (const Inst *voter)
+update_voter_shares (const Instance *voter)
 {
   unsigned heard = 0;
 
   for (unsigned i = 0; i < voter->links->len; i++)
-    heard += !((End *) voter->links->pdata[i])->down;
+    heard += !((LinkEnd *) voter->links->pdata[i])->down;
   broker_set_shares_by_heard (voter->broker, heard, voter->links->len - heard);
 }
 
 static void
-send_view (unsigned voter, End *end, bool is_proved)
+send_view (unsigned voter, LinkEnd *end, bool is_leader)
 {
   uint32_t deputies[DEPUTIES] = { 1, 2, 3 };
   MeshMsg msg = { .kind = MESH_VIEW };
 
   msg.MeshMsg_u.view = (MeshView){ .term = term,
-                                   .leader = is_proved ? voter + 1 : 0,
-                                   .proved = is_proved,
+                                   .leader = is_leader ? voter + 1 : 0,
+                                   .proved = is_leader,
                                    .entries = entries,
                                    .deputies = { DEPUTIES, deputies } };
   mesh_send (&end->peer, &msg);
@@ -369,32 +375,32 @@
 static void
 send_late_view (unsigned entry)
 {
-  End *end = insts[proved].links->pdata[entry];
+  LinkEnd *end = instances[leader].links->pdata[entry];
 
-  send_view (proved, end, true);
+  send_view (leader, end, true);
 }
 
 static void
-prove (unsigned voter)
+elect (unsigned voter)
 {
   term++;
-  proved = voter;
-  share_voter (&insts[voter]);
-  broker_take_over (insts[voter].broker);
+  leader = voter;
+  update_voter_shares (&instances[voter]);
+  broker_take_over (instances[voter].broker);
   for (unsigned i = 0; i < entries; i++)
-    if (i >= DEPUTIES && i < DEPUTIES + late_entries)
-      push ((Event){ .kind = EVENT_CALL,
-                     .at = loop.clock.now + 500 * FT_MS,
-                     .entry = i,
-                     .call = send_late_view });
+    if (i >= DEPUTIES && i < DEPUTIES + late_view_entries)
+      schedule_event ((Event){ .kind = EVENT_CALL,
+                               .at = loop.clock.now + 500 * FT_MS,
+                               .entry = i,
+                               .call = send_late_view });
     else
-      send_view (voter, insts[voter].links->pdata[i], true);
+      send_view (voter, instances[voter].links->pdata[i], true);
 }
 
 static void
-take_message (End *end, const MeshMsg *msg)
+deliver_message (LinkEnd *end, const MeshMsg *msg)
 {
-  const Inst *inst = &insts[end->near];
+  const Instance *inst = &instances[end->near];
 
   end->peer.heard = loop.clock.now;
   if (inst->place == NULL)
@@ -407,25 +413,25 @@
     place_message (inst->place, &end->peer, msg);
 }
 
-/* Whoever schedules speaks to those that wait every 40 ms, to others every 200 ms. */
+/* Peers whose requests are held get a keep-alive every 40 ms, others every 200 ms. */
 static void
-keep_alive (const Inst *inst)
+send_keep_alives (const Instance *inst)
 {
   MeshMsg alive = { .kind = MESH_ALIVE };
 
   for (unsigned i = 0; i < inst->links->len; i++)
     {
-      End *end = inst->links->pdata[i];
+      LinkEnd *end = inst->links->pdata[i];
       int64_t every = broker_peer_waits (inst->broker, &end->peer) ? 40 * FT_MS : 200 * FT_MS;
-      if (end->peer.dialled || loop.clock.now - end->kept_alive < every)
+      if (end->peer.dialled || loop.clock.now - end->last_keep_alive < every)
         continue;
-      end->kept_alive = loop.clock.now;
+      end->last_keep_alive = loop.clock.now;
       mesh_send (&end->peer, &alive);
     }
 }
 
 static bool
-is_still (const Inst *inst)
+is_stopped (const Instance *inst)
 {
   return inst->dead || loop.clock.now < inst->frozen_until;
 }
@@ -435,23 +441,23 @@
 {
   for (unsigned i = 0; i < entries + VOTERS; i++)
     {
-      if (is_still (&insts[i]) || (i >= DEPUTIES && i < entries))
+      if (is_stopped (&instances[i]) || (i >= DEPUTIES && i < entries))
         continue;
       if (i >= entries)
         {
-          share_voter (&insts[i]);
-          broker_tick (insts[i].broker);
+          update_voter_shares (&instances[i]);
+          broker_tick (instances[i].broker);
         }
-      keep_alive (&insts[i]);
+      send_keep_alives (&instances[i]);
     }
 }
 
 /* ---- Events ---- */
 
 static void
-link_down (End *end)
+link_down (LinkEnd *end)
 {
-  const Inst *inst = &insts[end->near];
+  const Instance *inst = &instances[end->near];
 
   if (end->down || inst->dead)
     return;
@@ -463,16 +469,16 @@
 }
 
 static void
-link_up (End *end)
+link_up (LinkEnd *end)
 {
   end->down = end->other->down = false;
-  broker_link_up (insts[end->near].broker, &end->peer);
+  broker_link_up (instances[end->near].broker, &end->peer);
   end->other->peer.heard = loop.clock.now;
-  send_view (end->near, end, end->near == proved);
+  send_view (end->near, end, end->near == leader);
 }
 
 static void
-take_event (Event *event)
+process_event (Event *event)
 {
   MeshMsg msg = { 0 };
   SchedResult ok = { .outcome = SCHED_OK, .answer_us = event->answer_us };
@@ -487,8 +493,8 @@
       return;
     case EVENT_MESSAGE:
       codec_unpack (CODEC (MeshMsg), event->bytes->data, event->bytes->len, &msg, NULL);
-      if (!event->to->down && !insts[event->to->near].dead && !is_cut (event->to))
-        take_message (event->to, &msg);
+      if (!event->to->down && !instances[event->to->near].dead && !is_partitioned (event->to))
+        deliver_message (event->to, &msg);
       codec_clear (CODEC (MeshMsg), &msg);
       return;
     case EVENT_DOWN:
@@ -497,9 +503,9 @@
     case EVENT_UP:
       link_up (event->to);
       return;
-    case EVENT_DONE:
+    case EVENT_REQUEST_END:
       running--;
-      place_end (insts[event->entry].place, event->request, &ok);
+      place_end (instances[event->entry].place, event->request, &ok);
       return;
     case EVENT_CALL:
       event->call (event->entry);
@@ -507,63 +513,63 @@
 }
 
 static bool
-is_frozen (const Inst *inst)
+is_frozen (const Instance *inst)
 {
-  return !inst->dead && is_still (inst);
+  return !inst->dead && is_stopped (inst);
 }
 
 static void
-handle (Event *event)
+deliver_event (Event *event)
 {
-  if (event->kind == EVENT_MESSAGE && is_frozen (&insts[event->to->near]))
+  if (event->kind == EVENT_MESSAGE && is_frozen (&instances[event->to->near]))
     {
-      event->at = insts[event->to->near].frozen_until;
-      push (*event);
+      event->at = instances[event->to->near].frozen_until;
+      schedule_event (*event);
     }
   else
     {
-      take_event (event);
+      process_event (event);
       if (event->bytes)
         g_byte_array_unref (event->bytes);
     }
   g_free (event);
 }
 
-/* ---- The world ---- */
+/* ---- Set-up and run ---- */
 
 static void
-link_to (unsigned from, unsigned to)
+connect_instances (unsigned from, unsigned to)
 {
-  End *near = g_new0 (End, 1), *far = g_new0 (End, 1);
+  LinkEnd *near = g_new0 (LinkEnd, 1), *far = g_new0 (LinkEnd, 1);
 
-  *near = (End){ .other = far, .near = from, .far = to };
-  *far = (End){ .other = near, .near = to, .far = from };
+  *near = (LinkEnd){ .other = far, .near = from, .far = to };
+  *far = (LinkEnd){ .other = near, .near = to, .far = from };
   near->peer = (MeshPeer){ .ip = to + 1,
                            .lifetime = to + 1,
                            .role = to < entries ? MESH_ENTRY : MESH_VOTER,
                            .dialled = true,
                            .heard = loop.clock.now };
   far->peer = (MeshPeer){ .ip = from + 1, .lifetime = from + 1, .role = MESH_ENTRY };
-  g_ptr_array_add (insts[from].links, near);
-  g_ptr_array_add (insts[to].links, far);
-  if (insts[to].place)
-    place_link_up (insts[to].place, &far->peer);
+  g_ptr_array_add (instances[from].links, near);
+  g_ptr_array_add (instances[to].links, far);
+  if (instances[to].place)
+    place_link_up (instances[to].place, &far->peer);
   else
-    broker_link_up (insts[to].broker, &far->peer);
+    broker_link_up (instances[to].broker, &far->peer);
 }
 
 static RtCat *
 catalogue (double rate)
 {
-  RtLimits bounds = { 1, 1, 1, 1 };
-  RtCat *cat = rt_cat_new (1, &bounds);
+  RtLimits http_limits = { 1, 1, 1, 1 };
+  RtCat *cat = rt_cat_new (1, &http_limits);
   RtService service = { .name = (char *) "s" };
 
   rt_cat_add_service (cat, &service, NULL);
   for (unsigned i = 0; i < ORGS; i++)
     {
       char name[] = { 'o', (char) ('0' + i), '\0' };
-      limits[i] = rate * org_parts[i] * COST / org_rates[i];
+      limits[i] = rate * org_request_shares[i] * COST / org_limit_use[i];
       RtOrg org
           = { .name = name, .rate = limits[i], .burst = limits[i], .keys = g_ptr_array_new () };
       rt_cat_add_org (cat, &org, NULL);
@@ -573,7 +579,7 @@
 }
 
 static void
-begin (unsigned count, unsigned servers)
+set_up (unsigned count, unsigned servers)
 {
   BrokerConf conf = { .handover_us = WAIT_MS * FT_MS };
   RtCat *cat;
@@ -582,21 +588,21 @@
   server_count = servers;
   seed = count;
   loop.clock = test_clock ();
-  begun_at = loop.clock.now;
-  term = lost_reports = late_entries = running = settled = 0;
-  refused_below = refused_at_limit = shortages = 0;
+  started_at = loop.clock.now;
+  term = reports_to_lose = late_view_entries = running = handovers_ended = 0;
+  refused_below_limit = refused_at_limit = refused_for_shortage = 0;
   checked_from = 0;
-  memset (given, 0, sizeof given);
-  buckets = g_new0 (GQueue, LENGTH_MS);
+  memset (granted_tokens, 0, sizeof granted_tokens);
+  event_queues = g_new0 (GQueue, RUN_MS);
   requests = g_array_new (FALSE, TRUE, sizeof (Request));
   server_ids = g_new0 (char *, servers + 1);
   for (unsigned i = 0; i < servers; i++)
     server_ids[i] = g_strdup_printf ("i%u", i);
-  insts = g_new0 (Inst, entries + VOTERS);
-  cat = catalogue (load * servers * SLOTS / HOLD_MEAN);
+  instances = g_new0 (Instance, entries + VOTERS);
+  cat = catalogue (load * servers * SLOTS / REQUEST_MEAN_S);
   for (unsigned i = 0; i < entries + VOTERS; i++)
     {
-      Inst *inst = &insts[i];
+      Instance *inst = &instances[i];
       inst->mesh.instance = i;
       inst->links = g_ptr_array_new_with_free_func (g_free);
       if (i < entries)
@@ -612,153 +618,155 @@
   for (unsigned i = 0; i < entries; i++)
     {
       for (unsigned voter = 0; voter < VOTERS; voter++)
-        link_to (i, entries + voter);
+        connect_instances (i, entries + voter);
       for (unsigned deputy = 0; deputy < DEPUTIES; deputy++)
         if (deputy != i)
-          link_to (i, deputy);
+          connect_instances (i, deputy);
     }
-  prove (entries);
+  elect (entries);
 }
 
 static void
 run_until (unsigned ms)
 {
-  double each_ms = load * server_count * SLOTS / HOLD_MEAN / 1e3;
+  double requests_per_ms = load * server_count * SLOTS / REQUEST_MEAN_S / 1e3;
   Event *event;
 
   for (; now_ms () < ms; loop.clock.now += FT_MS)
     {
       unsigned now = now_ms ();
-      unsigned count = (unsigned) each_ms + (draw () < each_ms - floor (each_ms));
+      unsigned count
+          = (unsigned) requests_per_ms + (draw () < requests_per_ms - floor (requests_per_ms));
       for (unsigned i = 0; i < count; i++)
-        arrive ();
+        submit_request ();
       if (now % (TICK / FT_MS) == 0)
         tick_all ();
-      while ((event = g_queue_pop_head (&buckets[now])))
-        handle (event);
-      taken[now] = running;
+      while ((event = g_queue_pop_head (&event_queues[now])))
+        deliver_event (event);
+      places_taken[now] = running;
     }
 }
 
 static double
-most_given (unsigned org)
+max_tokens_in_window (unsigned org)
 {
   double sum = 0, most = 0;
 
-  for (unsigned i = 0; i < LENGTH_MS; i++)
+  for (unsigned i = 0; i < RUN_MS; i++)
     {
-      sum += given[org][i] - (i >= WINDOW_MS ? given[org][i - WINDOW_MS] : 0);
+      sum += granted_tokens[org][i] - (i >= WINDOW_MS ? granted_tokens[org][i - WINDOW_MS] : 0);
       most = MAX (most, sum);
     }
   return most;
 }
 
-/* Most places taken at any moment of the half seconds from the trouble on. */
+/* The largest number of places taken at once from the failure on. */
 static unsigned
-most_taken (void)
+max_places_taken (void)
 {
   unsigned most = 0;
 
-  for (unsigned i = TROUBLE; i < LENGTH_MS; i++)
-    most = MAX (most, taken[i]);
+  for (unsigned i = FAILURE_MS; i < RUN_MS; i++)
+    most = MAX (most, places_taken[i]);
   return most;
 }
 
 static void
-end (void)
+tear_down (void)
 {
   Event *event;
 
   for (unsigned i = 0; i < entries + VOTERS; i++)
     {
-      if (insts[i].place)
-        place_free (insts[i].place);
+      if (instances[i].place)
+        place_free (instances[i].place);
       else
-        broker_free (insts[i].broker);
-      g_ptr_array_unref (insts[i].links);
+        broker_free (instances[i].broker);
+      g_ptr_array_unref (instances[i].links);
     }
-  for (unsigned i = 0; i < LENGTH_MS; i++)
-    while ((event = g_queue_pop_head (&buckets[i])))
+  for (unsigned i = 0; i < RUN_MS; i++)
+    while ((event = g_queue_pop_head (&event_queues[i])))
       {
         if (event->bytes)
           g_byte_array_unref (event->bytes);
         g_free (event);
       }
-  g_free (buckets);
-  g_free (insts);
+  g_free (event_queues);
+  g_free (instances);
   g_array_unref (requests);
   g_strfreev (server_ids);
 }
 
-/* ---- Troubles ---- */
+/* ---- Failures ---- */
 
 static void
 kill_voter (unsigned voter)
 {
-  insts[voter].dead = true;
-  for (unsigned i = 0; i < insts[voter].links->len; i++)
-    link_lost (insts[voter].links->pdata[i], FT_MS);
+  instances[voter].dead = true;
+  for (unsigned i = 0; i < instances[voter].links->len; i++)
+    schedule_link_down (instances[voter].links->pdata[i], FT_MS);
 }
 
 static void
-killed (void)
+voter_killed (void)
 {
   kill_voter (entries);
-  run_until (TROUBLE + ELECTION);
-  prove (entries + 1);
+  run_until (FAILURE_MS + ELECTION_MS);
+  elect (entries + 1);
 }
 
 static void
-frozen (void)
+voter_frozen (void)
 {
-  insts[entries].frozen_until = loop.clock.now + 2 * FT_SECOND;
-  run_until (TROUBLE + ELECTION);
-  prove (entries + 1);
+  instances[entries].frozen_until = loop.clock.now + 2 * FT_SECOND;
+  run_until (FAILURE_MS + ELECTION_MS);
+  elect (entries + 1);
 }
 
-/* Shorter than an election takes: entries turn to a deputy and come back to the same voter. */
+/* The freeze is shorter than an election takes, so entries change to a deputy and then return to
+ * the same voter. */
 static void
-frozen_shortly (void)
+voter_frozen_shortly (void)
 {
-  insts[entries].frozen_until = loop.clock.now + 300 * FT_MS;
+  instances[entries].frozen_until = loop.clock.now + 300 * FT_MS;
 }
 
 static void
-cut (void)
+voter_partitioned (void)
 {
-  insts[entries].cut = true;
-  for (unsigned i = 0; i < insts[entries].links->len; i++)
-    link_lost (insts[entries].links->pdata[i], LINK_LOST * FT_MS);
-  run_until (TROUBLE + ELECTION);
-  prove (entries + 1);
-  run_until (TROUBLE + 3000);
-  insts[entries].cut = false;
+  instances[entries].partitioned = true;
+  for (unsigned i = 0; i < instances[entries].links->len; i++)
+    schedule_link_down (instances[entries].links->pdata[i], LINK_TIMEOUT_MS * FT_MS);
+  run_until (FAILURE_MS + ELECTION_MS);
+  elect (entries + 1);
+  run_until (FAILURE_MS + 3000);
+  instances[entries].partitioned = false;
   for (unsigned i = 0; i < entries; i++)
-    link_up (insts[entries].links->pdata[i]);
+    link_up (instances[entries].links->pdata[i]);
 }
 
 static void
-killed_twice (void)
+two_voters_killed (void)
 {
-  killed ();
-  run_until (TROUBLE + ELECTION + 300);
+  voter_killed ();
+  run_until (FAILURE_MS + ELECTION_MS + 300);
   kill_voter (entries + 1);
-  run_until (TROUBLE + 2 * ELECTION + 300);
-  prove (entries + 2);
+  run_until (FAILURE_MS + 2 * ELECTION_MS + 300);
+  elect (entries + 2);
 }
 
-/* What those whose reports are lost run is unknown until their links are back. */
+/* The new voter does not know what runs at these entries until their links are up again. */
 static void
 lose_reports (unsigned count)
 {
   kill_voter (entries);
-  run_until (TROUBLE + ELECTION);
-  lost_reports = count;
-  prove (entries + 1);
+  run_until (FAILURE_MS + ELECTION_MS);
+  reports_to_lose = count;
+  elect (entries + 1);
 }
 
 static void
-report_lost (void)
+few_reports_lost (void)
 {
   lose_reports (entries / 30);
 }
@@ -770,53 +778,54 @@
 }
 
 static void
-late (void)
+views_late (void)
 {
-  late_entries = entries / 30;
-  killed ();
+  late_view_entries = entries / 30;
+  voter_killed ();
 }
 
 typedef struct
 {
   const char *name;
-  void (*trouble) (void);
+  void (*inject_failure) (void);
   unsigned entries, servers;
-  double load; /* of what the servers can take */
+  double load; /* offered load as a multiple of the capacity of the servers */
 } Case;
 
 static void
-play (gconstpointer data)
+run_case (gconstpointer data)
 {
   const Case *one = data;
 
   load = one->load;
-  begin (one->entries, one->servers);
-  run_until (TROUBLE);
-  checked_from = TROUBLE;
-  one->trouble ();
-  run_until (LENGTH_MS);
-  unsigned most = most_taken ();
+  set_up (one->entries, one->servers);
+  run_until (FAILURE_MS);
+  checked_from = FAILURE_MS;
+  one->inject_failure ();
+  run_until (RUN_MS);
+  unsigned most = max_places_taken ();
   if (g_getenv ("TIMELINE"))
-    for (unsigned i = TROUBLE - 100; i < LENGTH_MS; i += 20)
-      g_test_message ("%u: %u", i, taken[i]);
-  g_test_message ("%u places of %u; refused below limits %u, at one %u, for shortage %u", most,
-                  server_count * SLOTS, refused_below, refused_at_limit, shortages);
+    for (unsigned i = FAILURE_MS - 100; i < RUN_MS; i += 20)
+      g_test_message ("%u ms: %u places taken", i, places_taken[i]);
+  g_test_message (
+      "at most %u of %u places taken; refused below the limit %u, at it %u, for shortage %u", most,
+      server_count * SLOTS, refused_below_limit, refused_at_limit, refused_for_shortage);
   for (unsigned i = 0; i < ORGS; i++)
-    g_test_message ("o%u: %.0f of %.0f", i, most_given (i),
+    g_test_message ("o%u: %.0f tokens in a window, limit %.0f", i, max_tokens_in_window (i),
                     limits[i] * (WINDOW_MS / 1e3 + 1) * (1 + MARGIN) + SLACK);
-  g_assert_cmpuint (settled, >, 0);
-  g_assert_cmpuint (refused_below, ==, 0);
+  g_assert_cmpuint (handovers_ended, >, 0);
+  g_assert_cmpuint (refused_below_limit, ==, 0);
   g_assert_cmpfloat (most, <=, 1.05 * server_count * SLOTS);
   for (unsigned i = 0; i < ORGS; i++)
-    g_assert_cmpfloat (most_given (i), <=,
+    g_assert_cmpfloat (max_tokens_in_window (i), <=,
                        limits[i] * (WINDOW_MS / 1e3 + 1) * (1 + MARGIN) + SLACK);
-  end ();
+  tear_down ();
 }
 
-/* Guards against a handover that never ends, ends while somebody has yet to report, or begins again
- * with each ask of an owner that never reports. */
+/* Guards against a handover that never ends, that ends before every expected entry has reported, or
+ * that begins again with each request of an owner that never reports. */
 static void
-rules (void)
+handover_rules (void)
 {
   SchedAsk ask = { .owner = 1, .request = 7, .service = "s", .org = "o" };
   HandResult how;
@@ -824,7 +833,7 @@
   loop.clock = test_clock ();
   Hand *hand = hand_new (&loop.clock.base);
   hand_begin (hand, 3);
-  g_assert_true (hand_is_over (hand)); /* off */
+  g_assert_true (hand_is_over (hand)); /* handovers are disabled */
   g_assert_false (hand_hold (hand, &ask));
   hand_set_max_wait (hand, WAIT_MS * FT_MS);
   g_assert_true (hand_note_request (hand, 1, 4));
@@ -834,7 +843,7 @@
   g_assert_cmpfloat (hand_share (hand), ==, 0.25);
   g_assert_true (hand_hold (hand, &ask));
   g_assert_null (hand_next_due (hand));
-  hand_owner_gone (hand, 9); /* linked, never asked */
+  hand_owner_gone (hand, 9); /* has a link, but never sent a request */
   hand_note_report (hand, 2);
   g_assert_false (hand_take_result (hand, &how));
   hand_note_report (hand, 3);
@@ -862,28 +871,28 @@
 }
 
 static const Case cases[] = {
-  { "/handover/killed/30", killed, 30, 35, 2 },
-  { "/handover/killed/119", killed, 119, 140, 2 },
-  { "/handover/killed/300", killed, 300, 350, 2 },
-  { "/handover/frozen/30", frozen, 30, 35, 2 },
-  { "/handover/frozen/119", frozen, 119, 140, 2 },
-  { "/handover/frozen/300", frozen, 300, 350, 2 },
-  { "/handover/frozen_shortly/30", frozen_shortly, 30, 35, 2 },
-  { "/handover/frozen_shortly/119", frozen_shortly, 119, 140, 2 },
-  { "/handover/cut/30", cut, 30, 35, 2 },
-  { "/handover/cut/119", cut, 119, 140, 2 },
-  { "/handover/killed_twice/30", killed_twice, 30, 35, 2 },
-  { "/handover/killed_twice/119", killed_twice, 119, 140, 2 },
-  { "/handover/report_lost/30", report_lost, 30, 35, 2 },
+  { "/handover/killed/30", voter_killed, 30, 35, 2 },
+  { "/handover/killed/119", voter_killed, 119, 140, 2 },
+  { "/handover/killed/300", voter_killed, 300, 350, 2 },
+  { "/handover/frozen/30", voter_frozen, 30, 35, 2 },
+  { "/handover/frozen/119", voter_frozen, 119, 140, 2 },
+  { "/handover/frozen/300", voter_frozen, 300, 350, 2 },
+  { "/handover/frozen_shortly/30", voter_frozen_shortly, 30, 35, 2 },
+  { "/handover/frozen_shortly/119", voter_frozen_shortly, 119, 140, 2 },
+  { "/handover/cut/30", voter_partitioned, 30, 35, 2 },
+  { "/handover/cut/119", voter_partitioned, 119, 140, 2 },
+  { "/handover/killed_twice/30", two_voters_killed, 30, 35, 2 },
+  { "/handover/killed_twice/119", two_voters_killed, 119, 140, 2 },
+  { "/handover/report_lost/30", few_reports_lost, 30, 35, 2 },
   { "/handover/tenth_lost/30", tenth_of_reports_lost, 30, 35, 2 },
-  { "/handover/report_lost/119", report_lost, 119, 140, 2 },
-  { "/handover/late/30", late, 30, 35, 2 },
-  { "/handover/late/119", late, 119, 140, 2 },
-  { "/handover/late/300", late, 300, 350, 2 },
-  /* Places are enough, so that limits alone bound who sends four times its own. */
-  { "/handover/limits/killed_twice", killed_twice, 119, 140, 0.9 },
-  { "/handover/limits/frozen_shortly", frozen_shortly, 119, 140, 0.9 },
-  { "/handover/limits/cut", cut, 119, 140, 0.9 },
+  { "/handover/report_lost/119", few_reports_lost, 119, 140, 2 },
+  { "/handover/late/30", views_late, 30, 35, 2 },
+  { "/handover/late/119", views_late, 119, 140, 2 },
+  { "/handover/late/300", views_late, 300, 350, 2 },
+  /* With enough places, only its limit bounds the organisation that sends four times its limit. */
+  { "/handover/limits/killed_twice", two_voters_killed, 119, 140, 0.9 },
+  { "/handover/limits/frozen_shortly", voter_frozen_shortly, 119, 140, 0.9 },
+  { "/handover/limits/cut", voter_partitioned, 119, 140, 0.9 },
 };
 
 int
@@ -891,8 +900,8 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_set_nonfatal_assertions ();
-  g_test_add_func ("/handover/rules", rules);
+  g_test_add_func ("/handover/rules", handover_rules);
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
-    g_test_add_data_func (cases[i].name, &cases[i], play);
+    g_test_add_data_func (cases[i].name, &cases[i], run_case);
   return g_test_run ();
 }
