--- a/test/adapter.c
+++ b/test/adapter.c
@@ -1,4 +1,5 @@
-/* adapter.c - the platform's adapter: declarations, requests, answers and the list. */
+/* adapter.c - the adapter for the platform: parsing of catalogues, requests, answers and the list
+ * of servers; compressed catalogues and settings. */
 #include "platform.h"
 #include "servers.h"
 #include "settings.h"
@@ -7,15 +8,15 @@
 #include <glib/gstdio.h>
 #include <string.h>
 
-/* ---- Reading a message from text ---- */
+/* ---- Parsing an HTTP message ---- */
 
-static HMsg *kept;
+static HMsg *last_head;
 
 static void
 on_head (void *user, HMsg *msg)
 {
   (void) user;
-  kept = msg;
+  last_head = msg;
 }
 
 static void
@@ -43,7 +44,7 @@
   return read;
 }
 
-/* ---- Declarations ---- */
+/* ---- Catalogues ---- */
 
 #define SERVICES "\"Services\":[{\"Name\":\"s\",\"HealthPath\":\"/h\"},{\"Name\":\"t\"}]"
 #define ROUTE                                                                                      \
@@ -57,13 +58,13 @@
   return platform_read_catalogue (text, strlen (text), cat, error);
 }
 
-/* Each declaration that is invalid in one way is refused, and the message says where. */
+/* Each catalogue with one fault is rejected with a message that names the fault. */
 static void
-invalid_declarations (void)
+invalid_catalogues (void)
 {
   static const struct
   {
-    const char *text, *says;
+    const char *text, *expected_error;
   } cases[] = {
     { "{\"Version\":1,\"Routes\":[" ROUTE "]," SERVICES, "ends too early" },
     { "not json", "not JSON" },
@@ -102,30 +103,31 @@
       FtError error;
       g_assert_cmpint (parse (cases[i].text, &cat, &error), ==, FT_INVALID);
       g_assert_null (cat);
-      if (strstr (error.text, cases[i].says) == NULL)
-        g_error ("case %u says \"%s\", not \"%s\"", i, error.text, cases[i].says);
+      if (strstr (error.text, cases[i].expected_error) == NULL)
+        g_error ("case %u: error \"%s\" does not contain \"%s\"", i, error.text,
+                 cases[i].expected_error);
     }
 }
 
-/* Every truncation of a good declaration is refused, and none ends the process. */
+/* Every truncation of a valid catalogue is rejected, and none crashes the process. */
 static void
-truncated_declarations (void)
+truncated_catalogues (void)
 {
-  const char *good = "{\"Version\":1,\"Routes\":[" ROUTE "]," SERVICES "}";
+  const char *valid = "{\"Version\":1,\"Routes\":[" ROUTE "]," SERVICES "}";
   FtError error;
   RtCat *cat;
 
-  for (size_t size = 0; size < strlen (good); size++)
+  for (size_t size = 0; size < strlen (valid); size++)
     {
-      g_assert_cmpint (platform_read_catalogue (good, size, &cat, &error), ==, FT_INVALID);
+      g_assert_cmpint (platform_read_catalogue (valid, size, &cat, &error), ==, FT_INVALID);
       g_assert_null (cat);
     }
-  g_assert_cmpint (parse (good, &cat, &error), ==, FT_OK);
+  g_assert_cmpint (parse (valid, &cat, &error), ==, FT_OK);
   rt_cat_unref (cat);
 }
 
 static void
-good_declaration (void)
+valid_catalogue (void)
 {
   const char *text
       = "{\"Version\":7,\"Routes\":[{\"Name\":\"r\",\"Host\":\"h.example\",\"PathPrefix\":\"/x/\","
@@ -164,10 +166,10 @@
 
 /* ---- Requests ---- */
 
-/* A caller sets what only the system may say, and names fields of one connection. None of it
- * reaches the server, nor does the key; the system's own values do. */
+/* A caller sets fields that only the scheduler may set, and hop-by-hop fields. None of them reaches
+ * the server, nor does the key of the caller; the scheduler's own values do. */
 static void
-forwarded_head (void)
+forwarded_request (void)
 {
   static const char *const hidden[] = { "secret",
                                         "X-Foxtailgrade-Hold",
@@ -203,7 +205,7 @@
                              .body = body->str,
                              .body_size = body->len };
 
-  adapter_ops->read_request (kept, &facts);
+  adapter_ops->read_request (last_head, &facts);
   g_assert_cmpstr (facts.id, ==, "id1");
   g_assert_cmpstr (facts.key, ==, "secret");
   g_assert_cmpint (facts.caller_wait_us, ==, 99999 * FT_MS);
@@ -212,7 +214,7 @@
   g_assert_cmpuint (facts.output_max, ==, 80);
   g_assert_cmpuint (facts.output_estimate, ==, 33);
   g_assert_cmpuint (facts.shared_part, ==, 0x5c1e07a2);
-  adapter_ops->write_request (out, kept, &forward);
+  adapter_ops->write_request (out, last_head, &forward);
   for (unsigned i = 0; i < G_N_ELEMENTS (hidden); i++)
     if (strstr (out->str, hidden[i]))
       g_error ("%s reaches the server: %s", hidden[i], out->str);
@@ -242,26 +244,26 @@
                                 body);
   AdapterAnswer answer;
 
-  platform_adapter_ops ()->read_answer (kept, &answer);
+  platform_adapter_ops ()->read_answer (last_head, &answer);
   g_assert_true (answer.not_run && answer.has_load);
   g_assert_cmpstr (answer.id, ==, "id1");
   g_assert_cmpuint (answer.running, ==, 3);
   g_assert_cmpuint (answer.slots, ==, 8);
   g_assert_cmpuint (answer.slowness, ==, 0);
-  platform_adapter_ops ()->write_answer (out, kept);
+  platform_adapter_ops ()->write_answer (out, last_head);
   g_assert_nonnull (strstr (out->str, "X-Foxtailgrade-Server-Signature: sig\r\n"));
   g_assert_null (strstr (out->str, "Keep-Alive"));
   g_assert_null (strstr (out->str, "Content-Length"));
   hread_free (read);
   read = read_message (false, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n", body);
-  platform_adapter_ops ()->read_answer (kept, &answer);
+  platform_adapter_ops ()->read_answer (last_head, &answer);
   g_assert_true (answer.not_run);
   hread_free (read);
   read = read_message (false,
                        "HTTP/1.1 200 OK\r\nX-Foxtailgrade-Request-Id: id1\r\nContent-Length: 0\r\n"
                        "X-Foxtailgrade-Instance-Load: 3,1,8,140\r\n\r\n",
                        body);
-  platform_adapter_ops ()->read_answer (kept, &answer);
+  platform_adapter_ops ()->read_answer (last_head, &answer);
   g_assert_true (answer.has_load);
   g_assert_cmpuint (answer.slots, ==, 8);
   g_assert_cmpuint (answer.slowness, ==, 140);
@@ -270,7 +272,8 @@
   g_string_free (out, TRUE);
 }
 
-/* Values that are none, or beyond what can be kept, are read in the safe way, and said to be. */
+/* Values that cannot be parsed or are out of range get a safe default or the nearest bound; those
+ * that cannot be parsed are reported. */
 static void
 notices (void)
 {
@@ -314,21 +317,21 @@
       HReader *read = read_message (false, text, body);
       AdapterAnswer answer;
 
-      platform_adapter_ops ()->read_answer (kept, &answer);
+      platform_adapter_ops ()->read_answer (last_head, &answer);
       g_assert_cmpfloat_with_epsilon (answer.notice.rate, cases[i].rate, 1e-9);
       g_assert_cmpint (answer.notice.leaving, ==, cases[i].leaving);
       g_assert_cmpint (answer.notice.backoff_us, ==, cases[i].backoff_us);
       g_assert_cmpstr (answer.unread, ==, cases[i].unread);
       g_string_truncate (body, 0);
-      platform_adapter_ops ()->write_answer (body, kept);
-      g_assert_nonnull (strstr (body->str, cases[i].fields)); /* the caller gets it as it came */
+      platform_adapter_ops ()->write_answer (body, last_head);
+      g_assert_nonnull (strstr (body->str, cases[i].fields)); /* passed on unchanged */
       hread_free (read);
       g_string_free (body, TRUE);
       g_free (text);
     }
 }
 
-/* Advice when to come back in an answer that is no refusal is the caller's to obey. */
+/* Retry-After in an answer that is no refusal is meant for the caller only. */
 static void
 advice_for_callers (void)
 {
@@ -337,36 +340,37 @@
       false, "HTTP/1.1 301 Moved\r\nContent-Length: 0\r\nRetry-After: 9\r\n\r\n", body);
   AdapterAnswer answer;
 
-  platform_adapter_ops ()->read_answer (kept, &answer);
+  platform_adapter_ops ()->read_answer (last_head, &answer);
   g_assert_true (notice_is_empty (&answer.notice));
   hread_free (read);
   g_string_free (body, TRUE);
 }
 
-/* ---- The list ---- */
+/* ---- The list of servers ---- */
 
-/* A page with this entry between two whole ones holds these two and says what is wrong. */
+/* A page with this invalid entry between two valid ones yields these two and an error that names
+ * the field. */
 static void
-check_spoilt (const char *entry, const char *field)
+check_invalid_entry (const char *entry, const char *field)
 {
-  static const char whole[] = "{\"Service\":\"s\",\"Address\":\"10.0.0.9:%d\",\"Zone\":\"z\","
-                              "\"Version\":\"v1\",\"Slots\":5,\"State\":\"ready\","
-                              "\"ColdRemainingMs\":0,\"Id\":\"sound-%d\"}";
+  static const char valid_entry[] = "{\"Service\":\"s\",\"Address\":\"10.0.0.9:%d\",\"Zone\":\"z\","
+                                    "\"Version\":\"v1\",\"Slots\":5,\"State\":\"ready\","
+                                    "\"ColdRemainingMs\":0,\"Id\":\"sound-%d\"}";
   GArray *servers = g_array_new (FALSE, TRUE, sizeof (AdapterServer));
   GString *page = g_string_new ("{\"Instances\":[");
-  unsigned spoilt = 0;
+  unsigned invalid_count = 0;
   char *next;
   FtError error;
 
-  g_string_append_printf (page, whole, 1, 1);
+  g_string_append_printf (page, valid_entry, 1, 1);
   g_string_append_printf (page, ",%s,", entry);
-  g_string_append_printf (page, whole, 2, 2);
+  g_string_append_printf (page, valid_entry, 2, 2);
   g_string_append (page, "],\"Next\":null}");
   g_array_set_clear_func (servers, adapter_server_clear);
-  g_assert_cmpint (platform_read_list (page->str, page->len, servers, &next, &spoilt, &error), ==,
-                   FT_OK);
+  g_assert_cmpint (
+      platform_read_list (page->str, page->len, servers, &next, &invalid_count, &error), ==, FT_OK);
   g_test_message ("%s: %s", entry, error.text);
-  g_assert_cmpuint (spoilt, ==, 1);
+  g_assert_cmpuint (invalid_count, ==, 1);
   g_assert_nonnull (strstr (error.text, field));
   g_assert_cmpuint (servers->len, ==, 2);
   g_assert_cmpstr (g_array_index (servers, AdapterServer, 0).id, ==, "sound-1");
@@ -384,14 +388,14 @@
         "\"i-1\"}],\"Next\":\"p-50\"}";
   GArray *servers = g_array_new (FALSE, TRUE, sizeof (AdapterServer));
   GString *request = g_string_new (NULL);
-  unsigned spoilt = 0;
+  unsigned invalid_count = 0;
   char *next;
   FtError error;
 
   g_array_set_clear_func (servers, adapter_server_clear);
-  g_assert_cmpint (platform_read_list (text, strlen (text), servers, &next, &spoilt, &error), ==,
-                   FT_OK);
-  g_assert_cmpuint (spoilt, ==, 0);
+  g_assert_cmpint (platform_read_list (text, strlen (text), servers, &next, &invalid_count, &error),
+                   ==, FT_OK);
+  g_assert_cmpuint (invalid_count, ==, 0);
   const AdapterServer *server = &g_array_index (servers, AdapterServer, 0);
   g_assert_true (server->leaving);
   g_assert_cmpuint (server->addr.port, ==, 8080);
@@ -399,23 +403,25 @@
   platform_write_list_request (request, server->addr, next);
   g_assert_nonnull (strstr (request->str, "GET /instances?PageToken=p-50 HTTP/1.1\r\n"));
   g_free (next);
-  g_assert_cmpint (platform_read_list ("{", 1, servers, &next, &spoilt, &error), ==, FT_INVALID);
-  g_assert_cmpint (platform_read_list ("{\"Instances\":{}}", 16, servers, &next, &spoilt, &error),
-                   ==, FT_INVALID);
+  g_assert_cmpint (platform_read_list ("{", 1, servers, &next, &invalid_count, &error), ==,
+                   FT_INVALID);
+  g_assert_cmpint (
+      platform_read_list ("{\"Instances\":{}}", 16, servers, &next, &invalid_count, &error), ==,
+      FT_INVALID);
   g_array_unref (servers);
   g_string_free (request, TRUE);
 }
 
-/* An entry of the list comes from another writer: a field is missing, of another type or out of
- * range. Taken at its word it sends requests to nowhere; taken for a fault of the page it hides all
- * other servers from callers until it is gone. It names no server, and the others hold. */
+/* Guards against invalid entries of the list: a field is missing, of another type or out of range.
+ * An entry that is used anyway sends requests to a wrong address; rejecting the whole page hides
+ * all other servers from callers until the entry is gone. Only the invalid entry is skipped. */
 static void
-list_spoilt_entries (void)
+list_invalid_entries (void)
 {
   static const struct
   {
     const char *field;
-    const char *values[8]; /* that name no server; "": the field is missing */
+    const char *values[8]; /* invalid values; "": the field is missing */
   } cases[] = {
     { "Id", { "", "7", "null", "\"\"", "[\"i-1\"]", "\"i\\u0000\"" } },
     { "Service", { "", "true", "null", "\"\"", "{}" } },
@@ -427,7 +433,7 @@
     { "State", { "", "3", "null", "\"starting\"", "\"READY\"", "\"\"" } },
     { "born", { "\"1781680555014\"", "1781680555014.5", "-1", "true", "null", "0" } },
   };
-  static const char *const whole[][2] = {
+  static const char *const valid_entry[][2] = {
     { "Id", "\"i-1\"" },         { "Service", "\"s\"" },
     { "Zone", "\"z\"" },         { "Address", "\"10.0.0.9:8080\"" },
     { "Version", "\"v1\"" },     { "Slots", "5" },
@@ -440,26 +446,26 @@
     for (unsigned j = 0; cases[i].values[j]; j++)
       {
         GString *entry = g_string_new ("{");
-        for (unsigned k = 0; k < G_N_ELEMENTS (whole); k++)
+        for (unsigned k = 0; k < G_N_ELEMENTS (valid_entry); k++)
           {
-            bool this_one = strcmp (whole[k][0], cases[i].field) == 0;
-            const char *value = this_one ? cases[i].values[j] : whole[k][1];
+            bool this_one = strcmp (valid_entry[k][0], cases[i].field) == 0;
+            const char *value = this_one ? cases[i].values[j] : valid_entry[k][1];
             if (*value)
-              g_string_append_printf (entry, "%s\"%s\":%s", entry->len > 1 ? "," : "", whole[k][0],
-                                      value);
+              g_string_append_printf (entry, "%s\"%s\":%s", entry->len > 1 ? "," : "",
+                                      valid_entry[k][0], value);
           }
         g_string_append (entry, "}");
-        check_spoilt (entry->str, cases[i].field);
+        check_invalid_entry (entry->str, cases[i].field);
         g_string_free (entry, TRUE);
       }
   for (unsigned i = 0; i < G_N_ELEMENTS (entries); i++)
-    check_spoilt (entries[i], "Id");
+    check_invalid_entry (entries[i], "Id");
 }
 
-/* ---- Packed documents ---- */
+/* ---- Compressed catalogues and settings ---- */
 
 static void
-packed_documents (void)
+compressed_catalogues (void)
 {
   GString *text = g_string_new (NULL);
 
@@ -477,10 +483,10 @@
   g_string_free (text, TRUE);
 }
 
-/* A bound that is no whole number, as those of a scaled deployment, kept every instance from its
- * start. */
+/* Guards against instances that do not start because a bound in their settings is not a whole
+ * number, as in a scaled-down deployment. */
 static void
-bounds_with_fractions (void)
+fractional_bounds (void)
 {
   static const char text[]
       = "{\"name\":\"n\",\"role\":\"entry\",\"ip\":\"10.0.0.1\",\"domain\":\"z\","
@@ -491,24 +497,24 @@
   FtError error = { 0 };
 
   close (g_mkstemp (path));
-  char *good = g_strdup_printf (text, "17.55"), *bad = g_strdup_printf (text, "\"many\"");
-  g_assert_true (g_file_set_contents (path, good, -1, NULL));
+  char *valid = g_strdup_printf (text, "17.55"), *invalid = g_strdup_printf (text, "\"many\"");
+  g_assert_true (g_file_set_contents (path, valid, -1, NULL));
   if (settings_read (path, &settings, &error) != FT_OK)
     g_error ("%s: %s", error.field, error.text);
   g_assert_cmpint (settings->budget_slack, ==, 17);
   g_assert_cmpint (settings->grace_s, ==, 8);
   settings_free (settings);
-  g_assert_true (g_file_set_contents (path, bad, -1, NULL));
+  g_assert_true (g_file_set_contents (path, invalid, -1, NULL));
   g_assert_cmpint (settings_read (path, &settings, &error), ==, FT_INVALID);
   g_assert_cmpstr (error.field, ==, "budget_slack");
   g_unlink (path);
-  g_free (good);
-  g_free (bad);
+  g_free (valid);
+  g_free (invalid);
   g_free (path);
 }
 
 static FtStatus
-parse_with (const char *fields, Settings **settings, FtError *error)
+parse_settings_with (const char *fields, Settings **settings, FtError *error)
 {
   char *text
       = g_strdup_printf ("{\"name\":\"n\",\"role\":\"entry\",\"ip\":\"10.0.0.1\",\"domain\":\"z\","
@@ -521,28 +527,29 @@
   return status;
 }
 
-/* A wrong value of a setting for load must name its field; without these settings all are off. */
+/* An invalid value of a load setting must be rejected with the name of its field. Without these
+ * settings, their features are off. */
 static void
-settings_for_load (void)
+load_settings (void)
 {
-  static const char *const bad[][2] = { { ",\"return_part\":\"1.5\"", "return_part" },
-                                        { ",\"return_part\":\"half\"", "return_part" },
-                                        { ",\"return_place_part\":\"2\"", "return_place_part" },
-                                        { ",\"handover_wait_ms\":5001", "handover_wait_ms" },
-                                        { ",\"handover_wait_ms\":-1", "handover_wait_ms" },
-                                        { ",\"fair_shares\":\"yes\"", "fair_shares" } };
+  static const char *const invalid[][2] = { { ",\"return_part\":\"1.5\"", "return_part" },
+                                            { ",\"return_part\":\"half\"", "return_part" },
+                                            { ",\"return_place_part\":\"2\"", "return_place_part" },
+                                            { ",\"handover_wait_ms\":5001", "handover_wait_ms" },
+                                            { ",\"handover_wait_ms\":-1", "handover_wait_ms" },
+                                            { ",\"fair_shares\":\"yes\"", "fair_shares" } };
   Settings *settings = NULL;
   FtError error = { 0 };
 
-  g_assert_cmpint (parse_with ("", &settings, &error), ==, FT_OK);
+  g_assert_cmpint (parse_settings_with ("", &settings, &error), ==, FT_OK);
   g_assert_cmpint (settings->handover_wait_ms, ==, 0);
   g_assert_cmpfloat (settings->return_part, ==, 0);
   g_assert_false (settings->fair_shares);
   settings_free (settings);
-  for (unsigned i = 0; i < G_N_ELEMENTS (bad); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
-      g_assert_cmpint (parse_with (bad[i][0], &settings, &error), ==, FT_INVALID);
-      g_assert_cmpstr (error.field, ==, bad[i][1]);
+      g_assert_cmpint (parse_settings_with (invalid[i][0], &settings, &error), ==, FT_INVALID);
+      g_assert_cmpstr (error.field, ==, invalid[i][1]);
     }
 }
 
@@ -550,17 +557,17 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/adapter/invalid", invalid_declarations);
-  g_test_add_func ("/adapter/truncated", truncated_declarations);
-  g_test_add_func ("/adapter/good", good_declaration);
-  g_test_add_func ("/adapter/forward", forwarded_head);
+  g_test_add_func ("/adapter/invalid", invalid_catalogues);
+  g_test_add_func ("/adapter/truncated", truncated_catalogues);
+  g_test_add_func ("/adapter/good", valid_catalogue);
+  g_test_add_func ("/adapter/forward", forwarded_request);
   g_test_add_func ("/adapter/answers", answers);
   g_test_add_func ("/adapter/notices", notices);
   g_test_add_func ("/adapter/advice_for_callers", advice_for_callers);
   g_test_add_func ("/adapter/list", list_pages);
-  g_test_add_func ("/adapter/list_spoilt", list_spoilt_entries);
-  g_test_add_func ("/adapter/fractions", bounds_with_fractions);
-  g_test_add_func ("/adapter/settings_for_load", settings_for_load);
-  g_test_add_func ("/adapter/packed", packed_documents);
+  g_test_add_func ("/adapter/list_spoilt", list_invalid_entries);
+  g_test_add_func ("/adapter/fractions", fractional_bounds);
+  g_test_add_func ("/adapter/settings_for_load", load_settings);
+  g_test_add_func ("/adapter/packed", compressed_catalogues);
   return g_test_run ();
 }
