--- a/test/blame.c
+++ b/test/blame.c
@@ -1,4 +1,5 @@
-/* blame.c - the account of contents that end servers, and what an instance makes of it. */
+/* blame.c - the crash table, which counts server crashes per request content, and the quarantine of
+ * contents at an instance. */
 #include "clock.h"
 #include "content.h"
 #include "quarantine.h"
@@ -7,148 +8,149 @@
 #include <stdio.h>
 #include <string.h>
 
-#define KILLER   G_GUINT64_CONSTANT (77)
-#define INNOCENT G_GUINT64_CONSTANT (5)
+#define HARMFUL  G_GUINT64_CONSTANT (77)
+#define HARMLESS G_GUINT64_CONSTANT (5)
 
-/* ---- The account ---- */
+/* ---- The crash table ---- */
 
 static uint64_t log_index;
 
 static bool
-ended_at (CrashTable *blame, const char *server, int64_t wall_ms, uint64_t content)
+add_crash_at (CrashTable *table, const char *server, int64_t wall_ms, uint64_t content)
 {
   u_quad_t contents[] = { content };
-  MsgCrash ended = { (char *) server, wall_ms, { 1, contents } };
+  MsgCrash add_crash = { (char *) server, wall_ms, { 1, contents } };
 
-  return crashes_add (blame, ++log_index, &ended);
+  return crashes_add (table, ++log_index, &add_crash);
 }
 
 static bool
-ended (CrashTable *blame, const char *server, uint64_t content)
+add_crash (CrashTable *table, const char *server, uint64_t content)
 {
-  return ended_at (blame, server, 0, content);
+  return add_crash_at (table, server, 0, content);
 }
 
 static unsigned
-ends_of (const CrashTable *blame, uint64_t content)
+crash_count (const CrashTable *table, uint64_t content)
 {
-  const MsgSuspect *suspect = crashes_find (blame, content);
+  const MsgSuspect *suspect = crashes_find (table, content);
 
   return suspect ? suspect->ends : 0;
 }
 
 static bool
-cleared (CrashTable *blame, uint64_t content)
+clear_content (CrashTable *table, uint64_t content)
 {
   u_quad_t contents[] = { content };
   MsgCleared op = { { 1, contents } };
 
-  return crashes_clear (blame, ++log_index, &op);
+  return crashes_clear (table, ++log_index, &op);
 }
 
-/* A server ends, and three entries each tell of it, two of them twice. Its content is charged with
- * one end. The server starts again under its name and ends once more: that is another one. */
+/* The same crash of a server is reported several times, with times that differ a little: it counts
+ * once. When the server has restarted under the same name and crashes again, that counts as another
+ * crash. */
 static void
-an_end_counts_once (void)
+crash_counts_once (void)
 {
-  CrashTable *blame = crashes_new ();
-
-  g_assert_true (ended_at (blame, "s", 1000, KILLER));
-  g_assert_false (ended_at (blame, "s", 1000, KILLER));
-  g_assert_false (ended_at (blame, "s", 1400, KILLER));
-  g_assert_false (ended_at (blame, "s", 700, KILLER));
-  g_assert_cmpuint (ends_of (blame, KILLER), ==, 1);
-  g_assert_true (ended_at (blame, "s", 5000, KILLER));
-  g_assert_true (ended_at (blame, "t", 5000, KILLER));
-  g_assert_cmpuint (ends_of (blame, KILLER), ==, 3);
-  crashes_free (blame);
+  CrashTable *table = crashes_new ();
+
+  g_assert_true (add_crash_at (table, "s", 1000, HARMFUL));
+  g_assert_false (add_crash_at (table, "s", 1000, HARMFUL));
+  g_assert_false (add_crash_at (table, "s", 1400, HARMFUL));
+  g_assert_false (add_crash_at (table, "s", 700, HARMFUL));
+  g_assert_cmpuint (crash_count (table, HARMFUL), ==, 1);
+  g_assert_true (add_crash_at (table, "s", 5000, HARMFUL));
+  g_assert_true (add_crash_at (table, "t", 5000, HARMFUL));
+  g_assert_cmpuint (crash_count (table, HARMFUL), ==, 3);
+  crashes_free (table);
 }
 
-/* A caller's request was on two servers as their domain lost power, and is then answered: nothing
- * is left against it. */
+/* A request was on two servers when their failure domain lost power, and is then answered: its
+ * content has no crashes any more. */
 static void
 answered_content_is_cleared (void)
 {
-  CrashTable *blame = crashes_new ();
-
-  ended (blame, "s", INNOCENT);
-  ended (blame, "t", INNOCENT);
-  g_assert_true (cleared (blame, INNOCENT));
-  g_assert_false (cleared (blame, INNOCENT));
-  ended (blame, "u", INNOCENT);
-  g_assert_cmpuint (ends_of (blame, INNOCENT), ==, 1);
-  crashes_free (blame);
+  CrashTable *table = crashes_new ();
+
+  add_crash (table, "s", HARMLESS);
+  add_crash (table, "t", HARMLESS);
+  g_assert_true (clear_content (table, HARMLESS));
+  g_assert_false (clear_content (table, HARMLESS));
+  add_crash (table, "u", HARMLESS);
+  g_assert_cmpuint (crash_count (table, HARMLESS), ==, 1);
+  crashes_free (table);
 }
 
-/* The path to a server was cut in a way that looks like its end, and it answers others. The end is
- * struck from every content that was charged with it, and from no other. */
+/* A network fault looked like the crash of a server, but the server still answers. The crash is
+ * retracted from every content that it was counted for, and crashes of other servers stay. */
 static void
-survivors_end_is_struck (void)
+disproved_crash_is_retracted (void)
 {
-  CrashTable *blame = crashes_new ();
+  CrashTable *table = crashes_new ();
   MsgCrashRetracted survived = { (char *) "s" };
 
-  ended (blame, "s", INNOCENT);
-  ended (blame, "s", KILLER);
-  ended (blame, "t", KILLER);
-  g_assert_true (crashes_retract (blame, ++log_index, &survived));
-  g_assert_false (crashes_retract (blame, ++log_index, &survived));
-  g_assert_cmpuint (ends_of (blame, INNOCENT), ==, 0);
-  g_assert_cmpuint (ends_of (blame, KILLER), ==, 1);
-  crashes_free (blame);
+  add_crash (table, "s", HARMLESS);
+  add_crash (table, "s", HARMFUL);
+  add_crash (table, "t", HARMFUL);
+  g_assert_true (crashes_retract (table, ++log_index, &survived));
+  g_assert_false (crashes_retract (table, ++log_index, &survived));
+  g_assert_cmpuint (crash_count (table, HARMLESS), ==, 0);
+  g_assert_cmpuint (crash_count (table, HARMFUL), ==, 1);
+  crashes_free (table);
 }
 
-/* Ten times as many contents as the account holds meet one end each, between and after the ends of
- * one that ends servers. It stays in the account with all of its ends. */
+/* Ten times as many contents as the table holds get one crash each. A content with more crashes
+ * must stay in the table with all of them. */
 static void
-flood_pushes_out_nobody_with_more (void)
+flood_evicts_single_crashes_only (void)
 {
-  CrashTable *blame = crashes_new ();
-  unsigned held;
+  CrashTable *table = crashes_new ();
+  unsigned quarantined;
   char server[16];
 
-  ended (blame, "k0", KILLER);
-  ended (blame, "k1", KILLER);
+  add_crash (table, "k0", HARMFUL);
+  add_crash (table, "k1", HARMFUL);
   for (unsigned i = 0; i < 10 * CRASHES_MAX_CONTENTS; i++)
     {
       snprintf (server, sizeof server, "s%u", i);
-      ended (blame, server, 1000 + i);
+      add_crash (table, server, 1000 + i);
     }
-  g_assert_cmpuint (crashes_count (blame, &held), ==, CRASHES_MAX_CONTENTS);
-  g_assert_cmpuint (held, ==, 0);
-  ended (blame, "k2", KILLER);
-  g_assert_cmpuint (ends_of (blame, KILLER), ==, 3);
-  crashes_count (blame, &held);
-  g_assert_cmpuint (held, ==, 1);
-  crashes_free (blame);
+  g_assert_cmpuint (crashes_count (table, &quarantined), ==, CRASHES_MAX_CONTENTS);
+  g_assert_cmpuint (quarantined, ==, 0);
+  add_crash (table, "k2", HARMFUL);
+  g_assert_cmpuint (crash_count (table, HARMFUL), ==, 3);
+  crashes_count (table, &quarantined);
+  g_assert_cmpuint (quarantined, ==, 1);
+  crashes_free (table);
 }
 
-/* A content goes on ending servers for long: the count goes on though only the latest are named. */
+/* A content crashes many servers: all are counted, but only the latest are listed. */
 static void
-many_ends_are_counted (void)
+many_crashes_are_counted (void)
 {
-  CrashTable *blame = crashes_new ();
+  CrashTable *table = crashes_new ();
   char server[16];
 
   for (unsigned i = 0; i < 20; i++)
     {
       snprintf (server, sizeof server, "s%u", i);
-      ended (blame, server, KILLER);
+      add_crash (table, server, HARMFUL);
     }
-  const MsgSuspect *suspect = crashes_find (blame, KILLER);
+  const MsgSuspect *suspect = crashes_find (table, HARMFUL);
   g_assert_cmpuint (suspect->ends, ==, 20);
   g_assert_cmpuint (suspect->latest.latest_len, ==, FT_SUSPECT_CRASHES_MAX);
   g_assert_cmpstr (suspect->latest.latest_val[FT_SUSPECT_CRASHES_MAX - 1].server, ==, "s19");
-  crashes_free (blame);
+  crashes_free (table);
 }
 
-/* A voter starts again from its snapshot, or another one is sent it: the account is as it was, and
- * the same operation changes both alike. */
+/* A voter restores a snapshot: its crash table is the same, and the next operation changes it in
+ * the same way as the original. */
 static void
-account_outlives_its_voter (void)
+table_survives_snapshot (void)
 {
   State *state = state_new (), *later = state_new ();
-  u_quad_t contents[] = { KILLER, INNOCENT };
+  u_quad_t contents[] = { HARMFUL, HARMLESS };
   MsgOp op = { .kind = MSG_OP_CRASH };
   StateResult verdict;
 
@@ -161,7 +163,7 @@
   state_apply (later, 2, &op, &verdict);
   GByteArray *one = state_capture (state), *other = state_capture (later);
   g_assert_cmpmem (one->data, one->len, other->data, other->len);
-  g_assert_cmpuint (ends_of (state_blame (later), INNOCENT), ==, 2);
+  g_assert_cmpuint (crash_count (state_blame (later), HARMLESS), ==, 2);
   g_assert_cmpuint (crashes_index (state_blame (later)), ==, 2);
   g_byte_array_unref (one);
   g_byte_array_unref (other);
@@ -170,25 +172,25 @@
   state_free (later);
 }
 
-/* A voter is started with a newer program on the snapshot of an older one, which has no account of
- * ends. It takes part at once, with an empty account, instead of calling its snapshot damaged. */
+/* After an upgrade a voter restores a snapshot of an older program, which has no crash table. The
+ * table is empty then, and the snapshot must not be taken for a corrupt one. */
 static void
-older_snapshot_has_no_account (void)
+older_snapshot_has_no_table (void)
 {
   State *state = state_new (), *later = state_new ();
   MsgOp op = { .kind = MSG_OP_DOCUMENT };
   StateResult verdict;
-  unsigned held;
+  unsigned quarantined;
 
   op.MsgOp_u.document.number = 3;
   op.MsgOp_u.document.text.text_val = (char *) "text";
   op.MsgOp_u.document.text.text_len = 4;
   state_apply (state, 1, &op, &verdict);
   GByteArray *bytes = state_capture (state);
-  g_byte_array_set_size (bytes, bytes->len - 24); /* what the older program did not write */
+  g_byte_array_set_size (bytes, bytes->len - 24); /* the older program did not write this part */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_OK);
   g_assert_cmpuint (state_document (later)->number, ==, 3);
-  g_assert_cmpuint (crashes_count (state_blame (later), &held), ==, 0);
+  g_assert_cmpuint (crashes_count (state_blame (later), &quarantined), ==, 0);
   g_byte_array_set_size (bytes, bytes->len - 8); /* cut in the middle of the document */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_CORRUPT);
   g_byte_array_unref (bytes);
@@ -196,22 +198,22 @@
   state_free (later);
 }
 
-/* ---- What an instance makes of it ---- */
+/* ---- The quarantine of one instance ---- */
 
-static TestClock clock_of_test;
+static TestClock fake_clock;
 static Quarantine *quar;
 
 static void
 begin (void)
 {
-  clock_of_test = test_clock ();
-  quar = quar_new (&clock_of_test.base);
+  fake_clock = test_clock ();
+  quar = quar_new (&fake_clock.base);
 }
 
 static void
-pass (int64_t us)
+advance_clock (int64_t us)
 {
-  clock_of_test.now += us;
+  fake_clock.now += us;
 }
 
 static QuarState
@@ -220,9 +222,9 @@
   return quar_check (quar, content).state;
 }
 
-/* The voters' account: one content with so many ends, of servers s0, s1, ... */
+/* Replaces the table by one with this content only, with crashes of servers s0, s1, ... */
 static bool
-account (uint64_t index, uint64_t content, unsigned ends)
+update_table (uint64_t index, uint64_t content, unsigned ends)
 {
   static const char *const servers[] = { "s0", "s1", "s2", "s3", "s4", "s5" };
   uint32_t digests[6];
@@ -233,153 +235,156 @@
   return quar_update_table (quar, index, &record, ends > 0);
 }
 
-/* The account says that three servers ended under a content. Its requests wait for SETTLE, since
- * somebody may have answered it, and are sent to no server after. */
+/* A content reaches three crashes. Its requests wait until recheck_at, since another instance may
+ * have answered it, and are sent to no server after that. */
 static void
-third_end_holds_it (void)
+third_crash_quarantines (void)
 {
   begin ();
-  account (1, KILLER, 2);
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_SUSPECT);
-  account (2, KILLER, 3);
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_RECHECK);
-  g_assert_cmpint (state_of (INNOCENT), ==, QUAR_NO_CRASHES);
-  clock_of_test.now = quar_check (quar, KILLER).recheck_at;
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_BLOCKED);
-  account (3, KILLER, 4);
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_BLOCKED); /* it does not settle anew */
+  update_table (1, HARMFUL, 2);
+  g_assert_cmpint (state_of (HARMFUL), ==, QUAR_SUSPECT);
+  update_table (2, HARMFUL, 3);
+  g_assert_cmpint (state_of (HARMFUL), ==, QUAR_RECHECK);
+  g_assert_cmpint (state_of (HARMLESS), ==, QUAR_NO_CRASHES);
+  fake_clock.now = quar_check (quar, HARMFUL).recheck_at;
+  g_assert_cmpint (state_of (HARMFUL), ==, QUAR_BLOCKED);
+  update_table (3, HARMFUL, 4);
+  g_assert_cmpint (state_of (HARMFUL), ==, QUAR_BLOCKED); /* the wait does not start again */
   g_assert_cmpuint (quar_count_blocked (quar), ==, 1);
   quar_free (quar);
 }
 
-/* An older account comes late, from a voter that lags: what is held stays held. */
+/* An older table arrives late, from a lagging voter: what is quarantined stays so. */
 static void
-older_account_changes_nothing (void)
+older_table_is_ignored (void)
 {
   begin ();
-  g_assert_true (account (7, KILLER, 3));
-  pass (FT_SECOND);
-  g_assert_false (account (6, KILLER, 2));
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_BLOCKED);
-  g_assert_true (account (8, KILLER, 0)); /* let go by an operator */
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_NO_CRASHES);
+  g_assert_true (update_table (7, HARMFUL, 3));
+  advance_clock (FT_SECOND);
+  g_assert_false (update_table (6, HARMFUL, 2));
+  g_assert_cmpint (state_of (HARMFUL), ==, QUAR_BLOCKED);
+  g_assert_true (update_table (8, HARMFUL, 0)); /* released by an operator */
+  g_assert_cmpint (state_of (HARMFUL), ==, QUAR_NO_CRASHES);
   quar_free (quar);
 }
 
-/* No voter can be heard. What the entry saw itself and what others tell it add up to three ends,
- * and it stops by itself; what the account has already is not counted twice. */
+/* No voter is reachable. The crashes in the table, those seen here and those reported by other
+ * instances add up to three, which quarantines the content. A crash that is in the table already is
+ * not counted twice. */
 static void
 evidence_counts_without_voters (void)
 {
   begin ();
-  account (1, KILLER, 2);
-  quar_add_crash (quar, KILLER, "s1", true);
-  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 2);
-  quar_add_crash (quar, KILLER, "elsewhere", false);
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_RECHECK);
-  pass (FT_SECOND);
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_BLOCKED);
+  update_table (1, HARMFUL, 2);
+  quar_add_crash (quar, HARMFUL, "s1", true);
+  g_assert_cmpuint (quar_check (quar, HARMFUL).ends, ==, 2);
+  quar_add_crash (quar, HARMFUL, "elsewhere", false);
+  g_assert_cmpint (state_of (HARMFUL), ==, QUAR_RECHECK);
+  advance_clock (FT_SECOND);
+  g_assert_cmpint (state_of (HARMFUL), ==, QUAR_BLOCKED);
   quar_free (quar);
 }
 
-/* The voters have taken a report over: from then on their account alone counts, so that what they
- * clear is cleared here too. What others told goes once voters have been heard for a while. */
+/* Once the voters have recorded a crash, only their table counts for it, so that what they clear is
+ * cleared here too. Reports of other instances are dropped once the voters have been reachable for
+ * a while. */
 static void
-account_takes_evidence_over (void)
+table_replaces_evidence (void)
 {
   begin ();
-  quar_add_crash (quar, KILLER, "a", true);
-  quar_add_crash (quar, KILLER, "b", false);
-  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 2);
+  quar_add_crash (quar, HARMFUL, "a", true);
+  quar_add_crash (quar, HARMFUL, "b", false);
+  g_assert_cmpuint (quar_check (quar, HARMFUL).ends, ==, 2);
   quar_crash_recorded (quar, "a");
-  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 1);
+  g_assert_cmpuint (quar_check (quar, HARMFUL).ends, ==, 1);
   for (unsigned i = 0; i < 100; i++)
     {
-      pass (50 * FT_MS);
-      quar_tick (quar, i % 10 != 0); /* voters are heard for half a second at a time */
+      advance_clock (50 * FT_MS);
+      quar_tick (quar, i % 10 != 0); /* never reachable for longer than half a second */
     }
-  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 1);
+  g_assert_cmpuint (quar_check (quar, HARMFUL).ends, ==, 1);
   for (unsigned i = 0; i < 100; i++)
     {
-      pass (50 * FT_MS);
+      advance_clock (50 * FT_MS);
       quar_tick (quar, true);
     }
-  g_assert_cmpint (state_of (KILLER), ==, QUAR_NO_CRASHES);
+  g_assert_cmpint (state_of (HARMFUL), ==, QUAR_NO_CRASHES);
   quar_free (quar);
 }
 
-/* A failure domain loses power under a content that half of all callers ask for: six servers end
- * under it within a moment. Its callers wait a little and are not refused, since an instance that
- * has just answered it tells the voters. */
+/* A failure domain loses power while six of its servers run the same popular content. Its requests
+ * wait a little and are not refused, since an instance that has just answered this content tells
+ * the voters. */
 static void
-popular_content_is_proved (void)
+recently_answered_is_reported (void)
 {
-  uint64_t proofs[4];
+  uint64_t answered[4];
 
   begin ();
-  g_assert_false (quar_answered (quar, INNOCENT)); /* nothing is said against it yet */
-  pass (FT_SECOND);
-  account (1, INNOCENT, 6);
-  g_assert_cmpint (state_of (INNOCENT), ==, QUAR_RECHECK);
-  g_assert_cmpuint (quar_recently_answered (quar, proofs, 4), ==, 1);
-  g_assert_cmpuint (proofs[0], ==, INNOCENT);
-  account (2, INNOCENT, 0);
-  g_assert_cmpint (state_of (INNOCENT), ==, QUAR_NO_CRASHES);
+  g_assert_false (quar_answered (quar, HARMLESS)); /* no crash is recorded yet */
+  advance_clock (FT_SECOND);
+  update_table (1, HARMLESS, 6);
+  g_assert_cmpint (state_of (HARMLESS), ==, QUAR_RECHECK);
+  g_assert_cmpuint (quar_recently_answered (quar, answered, 4), ==, 1);
+  g_assert_cmpuint (answered[0], ==, HARMLESS);
+  update_table (2, HARMLESS, 0);
+  g_assert_cmpint (state_of (HARMLESS), ==, QUAR_NO_CRASHES);
   quar_free (quar);
 }
 
-/* A content was answered long ago and ends servers now, since they run another release. The old
- * answer speaks for it no more; one that was still under way when it was held does. */
+/* A content was answered long ago and crashes servers now, since they run another release. The old
+ * answer proves nothing; an answer that completes after the quarantine began does. */
 static void
 old_answer_proves_nothing (void)
 {
-  uint64_t proofs[4];
+  uint64_t answered[4];
 
   begin ();
-  quar_answered (quar, KILLER);
-  pass (60 * FT_SECOND);
-  account (1, KILLER, 3);
-  g_assert_cmpuint (quar_recently_answered (quar, proofs, 4), ==, 0);
-  g_assert_true (quar_answered (quar, KILLER));
-  g_assert_cmpuint (quar_recently_answered (quar, proofs, 4), ==, 1);
+  quar_answered (quar, HARMFUL);
+  advance_clock (60 * FT_SECOND);
+  update_table (1, HARMFUL, 3);
+  g_assert_cmpuint (quar_recently_answered (quar, answered, 4), ==, 0);
+  g_assert_true (quar_answered (quar, HARMFUL));
+  g_assert_cmpuint (quar_recently_answered (quar, answered, 4), ==, 1);
   quar_free (quar);
 }
 
-/* A path is cut so that it looks like a server's end, and the server answers this instance a moment
- * after. It lives. What it answers seconds later says nothing: it may have started again. */
+/* A network fault looked like the crash of a server, which answers this instance a moment later:
+ * that disproves the crash. An answer seconds later does not, since the server may have restarted.
+ */
 static void
-server_that_answers_lives (void)
+answer_disproves_crash (void)
 {
   begin ();
-  int64_t before = clock_of_test.now;
-  pass (10 * FT_MS);
-  account (1, INNOCENT, 2);
-  pass (10 * FT_MS);
-  g_assert_false (quar_crash_disproved (quar, "s0", before)); /* it was sent before the end */
-  g_assert_true (quar_crash_disproved (quar, "s0", clock_of_test.now));
-  g_assert_false (quar_crash_disproved (quar, "s9", clock_of_test.now));
-  pass (5 * FT_SECOND);
-  account (2, INNOCENT, 2);
-  g_assert_false (quar_crash_disproved (quar, "s0", clock_of_test.now));
+  int64_t before = fake_clock.now;
+  advance_clock (10 * FT_MS);
+  update_table (1, HARMLESS, 2);
+  advance_clock (10 * FT_MS);
+  g_assert_false (quar_crash_disproved (quar, "s0", before)); /* sent before the crash */
+  g_assert_true (quar_crash_disproved (quar, "s0", fake_clock.now));
+  g_assert_false (quar_crash_disproved (quar, "s9", fake_clock.now));
+  advance_clock (5 * FT_SECOND);
+  update_table (2, HARMLESS, 2);
+  g_assert_false (quar_crash_disproved (quar, "s0", fake_clock.now));
   quar_free (quar);
 }
 
-/* Thousands of contents meet one end each at this instance, with no voter to tell. The one that had
- * two keeps them. */
+/* Thousands of contents get one crash each at this instance while no voter is reachable. The one
+ * with two crashes keeps them. */
 static void
 evidence_is_bounded (void)
 {
   char server[16];
 
   begin ();
-  quar_add_crash (quar, KILLER, "a", true);
-  quar_add_crash (quar, KILLER, "b", true);
+  quar_add_crash (quar, HARMFUL, "a", true);
+  quar_add_crash (quar, HARMFUL, "b", true);
   for (unsigned i = 0; i < 5000; i++)
     {
       snprintf (server, sizeof server, "s%u", i);
       quar_add_crash (quar, 1000 + i, server, true);
     }
-  g_assert_cmpuint (quar_check (quar, KILLER).ends, ==, 2);
+  g_assert_cmpuint (quar_check (quar, HARMFUL).ends, ==, 2);
   quar_free (quar);
 }
 
@@ -387,20 +392,20 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/blame/once", an_end_counts_once);
+  g_test_add_func ("/blame/once", crash_counts_once);
   g_test_add_func ("/blame/cleared", answered_content_is_cleared);
-  g_test_add_func ("/blame/survived", survivors_end_is_struck);
-  g_test_add_func ("/blame/flood", flood_pushes_out_nobody_with_more);
-  g_test_add_func ("/blame/many", many_ends_are_counted);
-  g_test_add_func ("/blame/snapshot", account_outlives_its_voter);
-  g_test_add_func ("/blame/older_snapshot", older_snapshot_has_no_account);
-  g_test_add_func ("/quarantine/third", third_end_holds_it);
-  g_test_add_func ("/quarantine/older", older_account_changes_nothing);
+  g_test_add_func ("/blame/survived", disproved_crash_is_retracted);
+  g_test_add_func ("/blame/flood", flood_evicts_single_crashes_only);
+  g_test_add_func ("/blame/many", many_crashes_are_counted);
+  g_test_add_func ("/blame/snapshot", table_survives_snapshot);
+  g_test_add_func ("/blame/older_snapshot", older_snapshot_has_no_table);
+  g_test_add_func ("/quarantine/third", third_crash_quarantines);
+  g_test_add_func ("/quarantine/older", older_table_is_ignored);
   g_test_add_func ("/quarantine/alone", evidence_counts_without_voters);
-  g_test_add_func ("/quarantine/taken_over", account_takes_evidence_over);
-  g_test_add_func ("/quarantine/popular", popular_content_is_proved);
+  g_test_add_func ("/quarantine/taken_over", table_replaces_evidence);
+  g_test_add_func ("/quarantine/popular", recently_answered_is_reported);
   g_test_add_func ("/quarantine/old_answer", old_answer_proves_nothing);
-  g_test_add_func ("/quarantine/lives", server_that_answers_lives);
+  g_test_add_func ("/quarantine/lives", answer_disproves_crash);
   g_test_add_func ("/quarantine/bounded", evidence_is_bounded);
   return g_test_run ();
 }
--- a/test/delta.c
+++ b/test/delta.c
@@ -1,31 +1,32 @@
-/* delta.c - documents told as changes of the one before. */
+/* delta.c - encoding of a document as a delta against the previous one. */
 #include "delta.h"
 
 #include <string.h>
 
-#define MOST (1u << 20)
+#define DOCUMENT_SIZE_MAX (1u << 20)
 
-static uint64_t state;
+static uint64_t random_state;
 
 static uint64_t
-draw (uint64_t most)
+random_below (uint64_t limit)
 {
-  state = state * 6364136223846793005u + 1442695040888963407u;
-  return (state >> 33) % most;
+  random_state = random_state * 6364136223846793005u + 1442695040888963407u;
+  return (random_state >> 33) % limit;
 }
 
-/* Routes and organisations as large deployments have them, with names that do not compress. */
+/* A document as large deployments have it, with random names that do not compress. */
 static GString *
 document (unsigned version, unsigned parts)
 {
   GString *out = g_string_new (NULL);
 
-  state = 5;
+  random_state = 5;
   g_string_append_printf (out, "{\"Version\":%u,\"Routes\":[", version);
   for (unsigned i = 0; i < parts; i++)
-    g_string_append_printf (
-        out, "{\"Name\":\"r-%08x\",\"Host\":\"h%06x.example\",\"TimeoutMs\":%u},",
-        (unsigned) draw (1u << 31), (unsigned) draw (1u << 24), (unsigned) draw (9000));
+    g_string_append_printf (out,
+                            "{\"Name\":\"r-%08x\",\"Host\":\"h%06x.example\",\"TimeoutMs\":%u},",
+                            (unsigned) random_below (1u << 31), (unsigned) random_below (1u << 24),
+                            (unsigned) random_below (9000));
   return out;
 }
 
@@ -42,7 +43,7 @@
   GBytes *delta = delta_make (base, text);
   gsize size;
   const void *data = g_bytes_get_data (delta, &size);
-  GBytes *again = delta_apply (base, data, size, MOST);
+  GBytes *again = delta_apply (base, data, size, DOCUMENT_SIZE_MAX);
 
   g_assert_nonnull (again);
   g_assert_true (g_bytes_equal (again, text));
@@ -53,9 +54,9 @@
   return size;
 }
 
-/* A change of one organisation was as many bytes for each entry as the whole document. */
+/* Guards against a small change that costs as many bytes for each entry as the whole document. */
 static void
-small_changes (void)
+test_small_changes (void)
 {
   GString *before = document (99, 1000), *after = document (100, 1000);
 
@@ -72,28 +73,28 @@
 static void
 mutate (GString *text)
 {
-  unsigned count = 1 + (unsigned) draw (6);
+  unsigned count = 1 + (unsigned) random_below (6);
 
   for (unsigned i = 0; i < count; i++)
     {
-      gsize at = draw (text->len + 1), most = draw (200);
-      if (draw (2))
+      gsize at = random_below (text->len + 1), size = random_below (200);
+      if (random_below (2))
         g_string_insert_len (text, (gssize) at, "some other bytes of any length",
-                             (gssize) draw (30));
+                             (gssize) random_below (30));
       else
-        g_string_erase (text, (gssize) at, (gssize) MIN (most, text->len - at));
+        g_string_erase (text, (gssize) at, (gssize) MIN (size, text->len - at));
     }
 }
 
-/* Any two documents, empty ones among them. */
+/* Random pairs of documents, also empty ones. */
 static void
-any_documents (void)
+test_any_documents (void)
 {
   for (unsigned seed = 0; seed < 300; seed++)
     {
       GString *before = document (seed, seed % 40), *after = g_string_new (NULL);
       g_string_append_len (after, before->str, (gssize) before->len);
-      state = seed * 7919 + 1;
+      random_state = seed * 7919 + 1;
       mutate (after);
       if (seed % 10 == 0)
         g_string_truncate (seed % 20 ? before : after, 0);
@@ -103,9 +104,10 @@
     }
 }
 
-/* Spoilt bytes, or a delta against another base, made a document that nobody wrote. */
+/* Guards against a corrupt delta, or one against another base, that yields a wrong document instead
+ * of an error. */
 static void
-spoilt (void)
+test_corrupt (void)
 {
   GString *before = document (1, 50), *after = document (2, 50), *other = document (3, 50);
 
@@ -115,16 +117,16 @@
   gsize size;
   const uint8_t *data = g_bytes_get_data (delta, &size);
 
-  g_assert_null (delta_apply (foreign, data, size, MOST));
+  g_assert_null (delta_apply (foreign, data, size, DOCUMENT_SIZE_MAX));
   g_assert_null (delta_apply (base, data, size, 100));
   for (gsize at = 0; at < size; at++)
     {
       uint8_t *copy = g_memdup2 (data, size);
-      copy[at] ^= (uint8_t) (1 + draw (255));
-      GBytes *got = delta_apply (base, copy, size, MOST);
+      copy[at] ^= (uint8_t) (1 + random_below (255));
+      GBytes *got = delta_apply (base, copy, size, DOCUMENT_SIZE_MAX);
       g_assert_true (got == NULL || g_bytes_equal (got, text));
       g_clear_pointer (&got, g_bytes_unref);
-      g_assert_null (delta_apply (base, data, at, MOST));
+      g_assert_null (delta_apply (base, data, at, DOCUMENT_SIZE_MAX));
       g_free (copy);
     }
   g_bytes_unref (delta);
@@ -140,8 +142,8 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/delta/small_changes", small_changes);
-  g_test_add_func ("/delta/any", any_documents);
-  g_test_add_func ("/delta/spoilt", spoilt);
+  g_test_add_func ("/delta/small_changes", test_small_changes);
+  g_test_add_func ("/delta/any", test_any_documents);
+  g_test_add_func ("/delta/spoilt", test_corrupt);
   return g_test_run ();
 }
--- a/test/found.c
+++ b/test/found.c
@@ -1,12 +1,14 @@
-/* found.c - random schedules for voters that are found while running: kills, lost power with
- * unsynced writes gone, lost disks, machines replaced by empty ones at other addresses, cuts, late
- * messages. A disk is lost, or a machine replaced, only when the set is whole again; what keeps its
- * disk is killed and cut off in any number at any moment, also in the middle of elections. With odd
- * seeds a voter also ends while it syncs, when it has sent what does not wait for the sync.
+/* found.c - random fault schedules for voters that discover each other while running.
  *
- * Checked all the while: what a proved leader has acknowledged is never lost and never older at a
- * later proved leader; no two voters are proved to lead in one moment. Seeded; the verdict of a
- * seed is always the same.
+ * Faults: kills, power loss that discards unsynced writes, lost disks, machines replaced by empty
+ * ones at other addresses, partitions, late messages. A disk is lost or a machine replaced only
+ * while all voters are up and caught up. Voters that keep their disks are killed and partitioned in
+ * any number at any time, also during elections. With odd seeds a voter also ends during a sync,
+ * after it has sent the messages that need not wait for that sync.
+ *
+ * Checked at every step: what a leader with a valid lease has acknowledged is never lost and is
+ * never older at a later leader; no two voters hold a valid leader lease at the same time. A seed
+ * always gives the same result.
  */
 #include "clock.h"
 #include "raft.h"
@@ -15,21 +17,21 @@
 #include <stdio.h>
 #include <string.h>
 
-#define IDS      12 /* addresses that ever exist; three form, others come in their place */
-#define STEPS    6000
-#define STEP     (10 * FT_MS)
-#define FILES    3
-#define CALM     400 /* steps without, and then as many with shaking */
-#define SHAKEN   12  /* steps between two shakes, on average: a few in each election */
-#define MESSAGES 4096
-#define LOG      2  /* of FILES */
-#define SYNCS    40 /* syncs of all voters between two that do not return, on average */
+#define VOTERS_MAX            12 /* three form the first set, the others replace lost machines */
+#define STEPS                 6000
+#define STEP_US               (10 * FT_MS)
+#define FILES                 3
+#define PHASE_STEPS           400 /* length of the phases, by turns without and with restarts */
+#define RESTART_INTERVAL      12  /* mean steps between two restarts: a few in each election */
+#define MESSAGES_MAX          4096
+#define LOG_FILE              2  /* index in names */
+#define SYNC_FAILURE_INTERVAL 40 /* mean count of syncs, of all voters, between two that fail */
 
 typedef struct
 {
   FtDisk base;
-  GByteArray *now[FILES], *lasting[FILES];
-  bool lost; /* a sync did not return */
+  GByteArray *now[FILES], *synced[FILES];
+  bool sync_failed; /* the voter ended during a sync */
 } MemDisk;
 
 typedef struct
@@ -39,7 +41,7 @@
   MemDisk disk;
   State *state;
   Raft *raft;
-  int64_t back_at;
+  int64_t restart_at;
 } Voter;
 
 typedef struct
@@ -47,30 +49,30 @@
   uint32_t from, to;
   int64_t at;
   GByteArray *bytes;
-} Mail;
+} Message;
 
 static const char *const names[FILES] = { "ident", "snap", "log" };
 static TestClock now;
-static Seeded source, losses;
-static bool lose_in_syncs;
-static Voter voters[IDS];
-static GArray *mail; /* Mail */
+static SeededRandom random_source, sync_random;
+static bool syncs_may_fail;
+static Voter voters[VOTERS_MAX];
+static GArray *messages; /* of Message */
 static uint32_t sender;
 static uint64_t acknowledged, proposed;
-static unsigned cut_one; /* id that is cut off; 0: none */
-static unsigned replaced, wiped, killed, accepted, cut_short;
-static int64_t apart_until; /* voters of odd and even ids do not hear each other; 0: they do */
+static unsigned cut_off; /* id of the voter without connections; 0: none */
+static unsigned replaced, wiped, killed, accepted, failed_syncs;
+static int64_t partition_until; /* until then odd and even ids are partitioned */
 
-/* ---- The world ---- */
+/* ---- Simulated disks and network ---- */
 
 static unsigned
-draw (unsigned most)
+random_below (unsigned limit)
 {
-  return (unsigned) (seeded_next (&source.base) % most);
+  return (unsigned) (seeded_next (&random_source.base) % limit);
 }
 
 static unsigned
-file_of (const char *name)
+file_index (const char *name)
 {
   for (unsigned i = 0; i < FILES; i++)
     if (strcmp (names[i], name) == 0)
@@ -81,7 +83,7 @@
 static FtStatus
 disk_read (FtDisk *base, const char *name, GByteArray *out)
 {
-  GByteArray *file = ((MemDisk *) base)->now[file_of (name)];
+  GByteArray *file = ((MemDisk *) base)->now[file_index (name)];
 
   if (file == NULL)
     return FT_NOT_FOUND;
@@ -92,7 +94,7 @@
 static FtStatus
 disk_append (FtDisk *base, const char *name, const void *data, size_t size)
 {
-  GByteArray **file = &((MemDisk *) base)->now[file_of (name)];
+  GByteArray **file = &((MemDisk *) base)->now[file_index (name)];
 
   if (*file == NULL)
     *file = g_byte_array_new ();
@@ -114,19 +116,19 @@
 disk_sync (FtDisk *base, const char *name)
 {
   MemDisk *disk = (MemDisk *) base;
-  unsigned file = file_of (name);
+  unsigned file = file_index (name);
 
-  if (lose_in_syncs && seeded_next (&losses.base) % SYNCS == 0)
+  if (syncs_may_fail && seeded_next (&sync_random.base) % SYNC_FAILURE_INTERVAL == 0)
     {
-      disk->lost = true;
-      cut_short++;
+      disk->sync_failed = true;
+      failed_syncs++;
       return FT_IO;
     }
-  /* A folder is synced as well when a file is first used; contents were, before they were renamed.
-   */
+  /* A log sync also makes the other files durable: the real disk syncs the folder when a file is
+   * first used, and syncs the contents of a replaced file before it renames it. */
   for (unsigned i = 0; i < FILES; i++)
-    if (i == file || (file == LOG && !disk->lost))
-      copy_file (&disk->lasting[i], disk->now[i]);
+    if (i == file || (file == LOG_FILE && !disk->sync_failed))
+      copy_file (&disk->synced[i], disk->now[i]);
   return FT_OK;
 }
 
@@ -134,7 +136,7 @@
 disk_replace (FtDisk *base, const char *name, const void *data, size_t size)
 {
   MemDisk *disk = (MemDisk *) base;
-  unsigned file = file_of (name);
+  unsigned file = file_index (name);
 
   g_clear_pointer (&disk->now[file], g_byte_array_unref);
   disk_append (base, name, data, size);
@@ -144,7 +146,7 @@
 static FtStatus
 disk_truncate (FtDisk *base, const char *name, size_t size)
 {
-  g_byte_array_set_size (((MemDisk *) base)->now[file_of (name)], (guint) size);
+  g_byte_array_set_size (((MemDisk *) base)->now[file_index (name)], (guint) size);
   return disk_sync (base, name);
 }
 
@@ -154,13 +156,13 @@
 static void
 on_send (void *host, uint32_t to, GByteArray *bytes)
 {
-  Mail one = { sender, to, now.now + (1 + draw (8)) * FT_MS, bytes };
+  Message message = { sender, to, now.now + (1 + random_below (8)) * FT_MS, bytes };
 
   (void) host;
-  if (draw (50) == 0)
-    one.at += draw (2000) * FT_MS; /* very late */
-  if (mail->len < MESSAGES)
-    g_array_append_val (mail, one);
+  if (random_below (50) == 0)
+    message.at += random_below (2000) * FT_MS; /* delayed for a long time */
+  if (messages->len < MESSAGES_MAX)
+    g_array_append_val (messages, message);
   else
     g_byte_array_unref (bytes);
 }
@@ -189,30 +191,31 @@
                     .min_voters = 3 };
   FtError error = { 0 };
 
-  bool lose = lose_in_syncs;
-  lose_in_syncs = false; /* a voter that starts has said nothing yet */
+  bool may_fail = syncs_may_fail;
+  /* A starting voter has sent nothing yet that a failed sync could contradict. */
+  syncs_may_fail = false;
   voter->state = state_new ();
-  if (raft_new (&conf, &now.base, &source.base, &voter->disk.base, voter->state, &raft_ops, NULL,
-                &voter->raft, &error)
+  if (raft_new (&conf, &now.base, &random_source.base, &voter->disk.base, voter->state, &raft_ops,
+                NULL, &voter->raft, &error)
       != FT_OK)
     g_error ("voter %u does not start: %s: %s", voter->id, error.field, error.text);
   voter->up = voter->exists = true;
-  voter->disk.lost = false;
-  lose_in_syncs = lose;
-  for (unsigned i = 0; i < IDS; i++)
+  voter->disk.sync_failed = false;
+  syncs_may_fail = may_fail;
+  for (unsigned i = 0; i < VOTERS_MAX; i++)
     if (voters[i].exists)
-      raft_add_peer (voter->raft, voters[i].id); /* as views of other voters tell */
+      raft_add_peer (voter->raft, voters[i].id); /* as it would learn from other voters */
 }
 
 static void
-stop (Voter *voter, bool power)
+stop (Voter *voter, bool power_loss)
 {
   raft_free (voter->raft);
   state_free (voter->state);
   voter->raft = NULL;
   voter->up = false;
-  for (unsigned i = 0; power && i < FILES; i++)
-    copy_file (&voter->disk.now[i], voter->disk.lasting[i]);
+  for (unsigned i = 0; power_loss && i < FILES; i++)
+    copy_file (&voter->disk.now[i], voter->disk.synced[i]);
 }
 
 static void
@@ -221,14 +224,14 @@
   for (unsigned i = 0; i < FILES; i++)
     {
       g_clear_pointer (&voter->disk.now[i], g_byte_array_unref);
-      g_clear_pointer (&voter->disk.lasting[i], g_byte_array_unref);
+      g_clear_pointer (&voter->disk.synced[i], g_byte_array_unref);
     }
 }
 
-/* ---- Promises ---- */
+/* ---- Invariants ---- */
 
 static uint64_t
-held (const Voter *voter)
+document_number (const Voter *voter)
 {
   const MsgDocument *document = state_document (voter->state);
 
@@ -240,16 +243,16 @@
 {
   Voter *leader = NULL;
 
-  for (unsigned i = 0; i < IDS; i++)
+  for (unsigned i = 0; i < VOTERS_MAX; i++)
     {
       Voter *voter = &voters[i];
       if (!voter->up || !raft_leading (voter->raft))
         continue;
       if (leader)
-        g_error ("%u and %u are both proved to lead", leader->id, voter->id);
-      if (held (voter) < acknowledged)
+        g_error ("voters %u and %u both hold the leader lease", leader->id, voter->id);
+      if (document_number (voter) < acknowledged)
         g_error ("leader %u holds %lu, %lu was acknowledged", voter->id,
-                 (unsigned long) held (voter), (unsigned long) acknowledged);
+                 (unsigned long) document_number (voter), (unsigned long) acknowledged);
       leader = voter;
     }
   return leader;
@@ -270,54 +273,57 @@
   raft_flush (leader->raft);
 }
 
-/* ---- Faults: one voter at a time, and the next when the set is whole again ---- */
+/* ---- Faults ---- */
+
+/* All voters of the leader's set are up, are members and have almost all of the log. */
 
 static bool
-whole (const Voter *leader)
+all_caught_up (const Voter *leader)
 {
   uint32_t ids[FT_VOTERS_MAX];
-  unsigned count, up = 0, there = 0;
+  unsigned count, up = 0, caught_up = 0;
 
   if (leader == NULL)
     return false;
   count = raft_voters (leader->raft, ids);
-  for (unsigned i = 0; i < IDS; i++)
+  for (unsigned i = 0; i < VOTERS_MAX; i++)
     {
-      there += voters[i].up && raft_is_member (voters[i].raft)
-               && raft_commit (voters[i].raft) + 2 >= raft_commit (leader->raft);
+      caught_up += voters[i].up && raft_is_member (voters[i].raft)
+                   && raft_commit (voters[i].raft) + 2 >= raft_commit (leader->raft);
       up += voters[i].up;
     }
-  return count >= 3 && there == count && up == count;
+  return count >= 3 && caught_up == count && up == count;
 }
 
+/* A fault that may cost a disk: the next one must wait until all_caught_up () is true again. */
 static void
-hit (void)
+inject_single_fault (void)
 {
-  Voter *voter = &voters[draw (IDS)];
-  unsigned how = draw (5);
+  Voter *voter = &voters[random_below (VOTERS_MAX)];
+  unsigned kind = random_below (5);
 
   if (!voter->up)
     return;
-  if (how == 4)
+  if (kind == 4)
     {
-      cut_one = voter->id;
-      voter->back_at = now.now + (500 + draw (4000)) * FT_MS;
+      cut_off = voter->id;
+      voter->restart_at = now.now + (500 + random_below (4000)) * FT_MS;
       return;
     }
-  stop (voter, draw (2));
-  voter->back_at = now.now + (100 + draw (4000)) * FT_MS;
+  stop (voter, random_below (2));
+  voter->restart_at = now.now + (100 + random_below (4000)) * FT_MS;
   killed++;
-  if (how == 0)
+  if (kind == 0)
     {
       wipe (voter);
       wiped++;
     }
-  if (how != 1)
+  if (kind != 1)
     return;
-  for (unsigned i = 0; i < IDS; i++)
+  for (unsigned i = 0; i < VOTERS_MAX; i++)
     if (!voters[i].exists)
       {
-        voter->back_at = INT64_MAX; /* gone for good */
+        voter->restart_at = INT64_MAX; /* never restarted */
         wipe (voter);
         start (&voters[i], false);
         replaced++;
@@ -325,131 +331,132 @@
       }
 }
 
-/* Faults that take no disk: several at once, and again before the last one is over. */
+/* A fault that costs no disk; several may overlap. */
 static void
-shake (void)
+inject_restart (void)
 {
-  Voter *voter = &voters[draw (IDS)];
-  unsigned how = draw (10);
+  Voter *voter = &voters[random_below (VOTERS_MAX)];
+  unsigned kind = random_below (10);
 
-  if (how == 0)
-    apart_until = now.now + (200 + draw (1500)) * FT_MS;
-  if (how < 2 || !voter->up)
+  if (kind == 0)
+    partition_until = now.now + (200 + random_below (1500)) * FT_MS;
+  if (kind < 2 || !voter->up)
     return;
-  stop (voter, how < 8);
-  voter->back_at = now.now + (10 + draw (300)) * FT_MS;
+  stop (voter, kind < 8);
+  voter->restart_at = now.now + (10 + random_below (300)) * FT_MS;
   killed++;
 }
 
 static bool
-is_apart (uint32_t a, uint32_t b)
+is_partitioned (uint32_t a, uint32_t b)
 {
-  return now.now < apart_until && a % 2 != b % 2;
+  return now.now < partition_until && a % 2 != b % 2;
 }
 
 static void
-bring_back (void)
+end_faults (void)
 {
-  for (unsigned i = 0; i < IDS; i++)
+  for (unsigned i = 0; i < VOTERS_MAX; i++)
     {
       Voter *voter = &voters[i];
-      if (voter->up && voter->disk.lost)
+      if (voter->up && voter->disk.sync_failed)
         {
-          stop (voter, draw (2)); /* or only the process has ended */
-          voter->back_at = now.now + (10 + draw (300)) * FT_MS;
+          stop (voter, random_below (2)); /* either power loss or only the end of the process */
+          voter->restart_at = now.now + (10 + random_below (300)) * FT_MS;
         }
-      if (voter->exists && !voter->up && now.now >= voter->back_at)
+      if (voter->exists && !voter->up && now.now >= voter->restart_at)
         start (voter, false);
-      if (cut_one == voter->id && voter->up && now.now >= voter->back_at)
-        cut_one = 0;
+      if (cut_off == voter->id && voter->up && now.now >= voter->restart_at)
+        cut_off = 0;
     }
 }
 
 /* ---- Running ---- */
 
 static Voter *
-by_id (uint32_t id)
+find_voter (uint32_t id)
 {
-  return id >= 1 && id <= IDS ? &voters[id - 1] : NULL;
+  return id >= 1 && id <= VOTERS_MAX ? &voters[id - 1] : NULL;
 }
 
 static void
 deliver (void)
 {
-  for (unsigned i = 0; i < mail->len;)
+  for (unsigned i = 0; i < messages->len;)
     {
-      Mail one = g_array_index (mail, Mail, i);
-      if (one.at > now.now)
+      Message message = g_array_index (messages, Message, i);
+      if (message.at > now.now)
         {
           i++;
           continue;
         }
-      g_array_remove_index_fast (mail, i);
-      Voter *to = by_id (one.to);
+      g_array_remove_index_fast (messages, i);
+      Voter *to = find_voter (message.to);
       Msg msg = { 0 };
-      bool cut
-          = (cut_one && (one.from == cut_one || one.to == cut_one)) || is_apart (one.from, one.to);
+      bool cut = (cut_off && (message.from == cut_off || message.to == cut_off))
+                 || is_partitioned (message.from, message.to);
       if (to && to->up && !cut
-          && codec_unpack (CODEC (Msg), one.bytes->data, one.bytes->len, &msg, NULL) == FT_OK)
+          && codec_unpack (CODEC (Msg), message.bytes->data, message.bytes->len, &msg, NULL)
+                 == FT_OK)
         {
           sender = to->id;
-          raft_receive (to->raft, one.from, &msg);
+          raft_receive (to->raft, message.from, &msg);
           raft_flush (to->raft);
         }
       codec_clear (CODEC (Msg), &msg);
-      g_byte_array_unref (one.bytes);
+      g_byte_array_unref (message.bytes);
     }
 }
 
 static void
-schedule (unsigned seed)
+run_schedule (unsigned seed)
 {
   now = test_clock ();
-  source = losses = seeded (seed);
-  mail = g_array_new (FALSE, FALSE, sizeof (Mail));
-  acknowledged = proposed = cut_one = 0;
-  apart_until = 0;
-  for (unsigned i = 0; i < IDS; i++)
+  random_source = sync_random = seeded_random (seed);
+  messages = g_array_new (FALSE, FALSE, sizeof (Message));
+  acknowledged = proposed = cut_off = 0;
+  partition_until = 0;
+  for (unsigned i = 0; i < VOTERS_MAX; i++)
     voters[i] = (Voter){ .id = i + 1, .disk.base.ops = &disk_ops };
   for (unsigned i = 0; i < 3; i++)
     start (&voters[i], true);
   for (unsigned step = 0; step < STEPS; step++)
     {
-      now.now += STEP;
+      now.now += STEP_US;
       deliver ();
-      for (unsigned i = 0; i < IDS; i++)
+      for (unsigned i = 0; i < VOTERS_MAX; i++)
         if (voters[i].up && step % 2 == 0)
           {
             sender = voters[i].id;
             raft_tick (voters[i].raft);
             raft_flush (voters[i].raft);
           }
-      lose_in_syncs = seed % 2 == 1 && step / CALM % 2 == 1;
+      syncs_may_fail = seed % 2 == 1 && step / PHASE_STEPS % 2 == 1;
       Voter *leader = check_leaders ();
-      if (leader && held (leader) > acknowledged)
+      if (leader && document_number (leader) > acknowledged)
         {
-          acknowledged = held (leader);
+          acknowledged = document_number (leader);
           accepted++;
         }
-      if (leader && draw (30) == 0)
+      if (leader && random_below (30) == 0)
         propose (leader);
-      if (cut_one == 0 && whole (leader) && draw (60) == 0)
-        hit ();
-      if (step / CALM % 2 == 1 && draw (SHAKEN) == 0)
-        shake ();
-      bring_back ();
+      if (cut_off == 0 && all_caught_up (leader) && random_below (60) == 0)
+        inject_single_fault ();
+      if (step / PHASE_STEPS % 2 == 1 && random_below (RESTART_INTERVAL) == 0)
+        inject_restart ();
+      end_faults ();
     }
   if (acknowledged == 0)
     g_error ("nothing was ever accepted");
-  for (unsigned i = 0; i < IDS; i++)
+  for (unsigned i = 0; i < VOTERS_MAX; i++)
     {
       if (voters[i].up)
         stop (&voters[i], false);
       wipe (&voters[i]);
     }
-  for (unsigned i = 0; i < mail->len; i++)
-    g_byte_array_unref (g_array_index (mail, Mail, i).bytes);
-  g_array_unref (mail);
+  for (unsigned i = 0; i < messages->len; i++)
+    g_byte_array_unref (g_array_index (messages, Message, i).bytes);
+  g_array_unref (messages);
 }
 
 int
@@ -462,12 +469,12 @@
   for (unsigned seed = first; seed < first + count; seed++)
     {
       fprintf (stderr, argc > 1 ? "# seed %u\n" : "", seed);
-      schedule (seed);
+      run_schedule (seed);
     }
   printf (
       "# %u schedules from seed %u: %u changes accepted, %u kills, %u syncs cut short, %u disks "
       "lost, %u machines replaced\n",
-      count, first, accepted, killed, cut_short, wiped, replaced);
+      count, first, accepted, killed, failed_syncs, wiped, replaced);
   printf ("ok 1 - what was acknowledged is kept by voters that come and go\n");
   return 0;
 }
--- a/test/seeded.h
+++ b/test/seeded.h
@@ -1,4 +1,4 @@
-/* seeded.h - random numbers that a seed repeats. */
+/* seeded.h - a pseudo-random generator (splitmix64) that yields the same sequence for a seed. */
 #ifndef TEST_SEEDED_H
 #define TEST_SEEDED_H
 
@@ -8,12 +8,12 @@
 {
   FtRandom base;
   uint64_t state;
-} Seeded;
+} SeededRandom;
 
 static inline uint64_t
 seeded_next (FtRandom *random)
 {
-  Seeded *seeded = (Seeded *) random;
+  SeededRandom *seeded = (SeededRandom *) random;
 
   seeded->state += 0x9e3779b97f4a7c15u;
   uint64_t z = seeded->state;
@@ -24,10 +24,10 @@
 
 static const FtRandomOps seeded_ops = { seeded_next };
 
-static inline Seeded
-seeded (uint64_t seed)
+static inline SeededRandom
+seeded_random (uint64_t seed)
 {
-  return (Seeded){ { &seeded_ops }, seed };
+  return (SeededRandom){ { &seeded_ops }, seed };
 }
 
 #endif
--- a/test/stall.c
+++ b/test/stall.c
@@ -1,8 +1,8 @@
-/* stall.c - voters whose syncs last longer than an election's timeout, and voters that all start
- * again at once, on a virtual clock.
+/* stall.c - elections among voters whose disk syncs last longer than the election timeout, and
+ * among voters that all restart at once, on a virtual clock.
  *
- * As in a deployment a voter does nothing else while it syncs: what reaches it meanwhile waits, and
- * its clock has moved on when the sync returns.
+ * As in a deployment, a sync blocks the voter: messages that arrive meanwhile wait, and its clock
+ * has advanced by the duration of the sync when that returns.
  */
 #include "clock.h"
 #include "raft.h"
@@ -11,40 +11,40 @@
 
 #include <string.h>
 
-#define VOTERS      3 /* with slow disks */
-#define VOTERS_MOST FT_VOTERS_MAX
-#define FILES       3
-#define STEP        (5 * FT_MS)
-#define SEEDS       20
-#define ELECTED     (30 * FT_SECOND) /* a change is accepted by then, from nothing */
-#define ACKNOWLEDGE (5 * FT_SECOND)  /* what operators wait at least */
-#define WATCHED     (60 * FT_SECOND)
-#define EVERY       (8 * FT_SECOND) /* between two changes */
-#define REPEAT      FT_SECOND       /* an operator without an answer asks again */
-#define STARTS      50              /* seeds of the tests that start voters again */
-#define SPREAD      (370 * FT_MS)   /* between the first and the last start of seven voters */
-#define RATE_ERROR  15000           /* of a clock, in a million */
-#define LED_SOON    (700 * FT_MS)   /* after a majority's start, when all is well */
-#define LED_LATE    FT_SECOND       /* when voters must first learn of a newer term */
-#define RESTARTED   (50 * FT_MS)    /* after a confirmed round, at most */
+#define SLOW_VOTERS             3 /* in the tests of slow disks */
+#define VOTERS_MAX              FT_VOTERS_MAX
+#define FILES                   3
+#define STEP_US                 (5 * FT_MS)
+#define SEEDS                   20
+#define ELECTION_TIME_MAX       (30 * FT_SECOND) /* for the first change after a start */
+#define CHANGE_TIMEOUT          (5 * FT_SECOND)  /* the shortest time that operators wait */
+#define WATCH_TIME              (60 * FT_SECOND)
+#define CHANGE_INTERVAL         (8 * FT_SECOND) /* between two changes of the watch time */
+#define RESEND_INTERVAL         FT_SECOND       /* of an operator without an answer */
+#define RESTART_SEEDS           50              /* seeds of the tests that restart voters */
+#define START_SPREAD            (370 * FT_MS) /* between the first and last start of seven voters */
+#define CLOCK_ERROR_PPM         15000         /* of a clock's rate, in parts per million */
+#define RESTART_ELECTION_MAX    (700 * FT_MS) /* after a majority has started */
+#define NEWER_TERM_ELECTION_MAX FT_SECOND    /* as above, if voters must first learn a newer term */
+#define RESTART_DELAY_MAX       (50 * FT_MS) /* after a heartbeat round that a majority confirmed */
 
 typedef struct
 {
   FtDisk base;
   GByteArray *files[FILES];
   TestClock *clock;
-  int64_t least, most; /* how long a sync lasts */
+  int64_t min, max; /* duration of a sync */
 } SlowDisk;
 
 typedef struct
 {
   uint32_t id;
-  TestClock clock; /* runs ahead of the world's while a sync lasts */
+  TestClock clock; /* ahead of local_time () while a sync lasts */
   SlowDisk disk;
   State *state;
-  Raft *raft; /* NULL: it does not run */
-  int64_t proved_until;
-  int64_t rate_error; /* of its clock, in a million */
+  Raft *raft; /* NULL: not running */
+  int64_t lease_until;
+  int64_t clock_error_ppm; /* of its clock's rate */
 } Voter;
 
 typedef struct
@@ -52,21 +52,21 @@
   uint32_t from, to;
   int64_t at;
   GByteArray *bytes;
-} Mail;
+} Message;
 
 static const char *const names[FILES] = { "ident", "snap", "log" };
-static Seeded source;
-static Voter voters[VOTERS_MOST];
+static SeededRandom random_source;
+static Voter voters[VOTERS_MAX];
 static unsigned voter_count;
-static GArray *mail; /* Mail, in order of sending */
-static int64_t world, step_us;
+static GArray *messages; /* of Message, in the order of sending */
+static int64_t world_now, step_us;
 static uint64_t proposed;
-static uint32_t cut_off; /* id of a voter that hears nobody and is heard by none; 0: none */
+static uint32_t cut_off; /* id of the voter without connections; 0: none */
 
 /* ---- Disks ---- */
 
 static GByteArray **
-file_of (FtDisk *base, const char *name)
+find_file (FtDisk *base, const char *name)
 {
   for (unsigned i = 0; i < FILES; i++)
     if (strcmp (names[i], name) == 0)
@@ -77,7 +77,7 @@
 static FtStatus
 disk_read (FtDisk *base, const char *name, GByteArray *out)
 {
-  GByteArray *file = *file_of (base, name);
+  GByteArray *file = *find_file (base, name);
 
   if (file == NULL)
     return FT_NOT_FOUND;
@@ -88,7 +88,7 @@
 static FtStatus
 disk_append (FtDisk *base, const char *name, const void *data, size_t size)
 {
-  GByteArray **file = file_of (base, name);
+  GByteArray **file = find_file (base, name);
 
   if (*file == NULL)
     *file = g_byte_array_new ();
@@ -100,17 +100,17 @@
 disk_sync (FtDisk *base, const char *name)
 {
   SlowDisk *disk = (SlowDisk *) base;
-  uint64_t spread = (uint64_t) (disk->most - disk->least) + 1;
+  uint64_t spread = (uint64_t) (disk->max - disk->min) + 1;
 
   (void) name;
-  disk->clock->now += disk->least + (int64_t) (ft_random_next (&source.base) % spread);
+  disk->clock->now += disk->min + (int64_t) (ft_random_next (&random_source.base) % spread);
   return FT_OK;
 }
 
 static FtStatus
 disk_replace (FtDisk *base, const char *name, const void *data, size_t size)
 {
-  g_clear_pointer (file_of (base, name), g_byte_array_unref);
+  g_clear_pointer (find_file (base, name), g_byte_array_unref);
   disk_append (base, name, data, size);
   return disk_sync (base, name);
 }
@@ -118,7 +118,7 @@
 static FtStatus
 disk_truncate (FtDisk *base, const char *name, size_t size)
 {
-  g_byte_array_set_size (*file_of (base, name), (guint) size);
+  g_byte_array_set_size (*find_file (base, name), (guint) size);
   return disk_sync (base, name);
 }
 
@@ -127,21 +127,21 @@
 
 /* ---- Voters ---- */
 
-/* What the voter's clock shows while it does not sync. */
+/* Time of the voter's clock, leaving out a sync under way. */
 static int64_t
 local_time (const Voter *voter)
 {
-  return world + (world - test_clock ().now) * voter->rate_error / 1000000;
+  return world_now + (world_now - test_clock ().now) * voter->clock_error_ppm / 1000000;
 }
 
 static void
 on_send (void *host, uint32_t to, GByteArray *bytes)
 {
   Voter *voter = host;
-  int64_t synced = voter->clock.now - local_time (voter);
-  Mail one = { voter->id, to, world + synced + MIN (FT_MS, step_us), bytes };
+  int64_t sync_delay = voter->clock.now - local_time (voter);
+  Message message = { voter->id, to, world_now + sync_delay + MIN (FT_MS, step_us), bytes };
 
-  g_array_append_val (mail, one);
+  g_array_append_val (messages, message);
 }
 
 static void
@@ -158,7 +158,7 @@
 static void
 start (Voter *voter)
 {
-  uint32_t ids[VOTERS_MOST];
+  uint32_t ids[VOTERS_MAX];
   RaftConf conf = { .self = voter->id,
                     .voters = ids,
                     .count = voter_count,
@@ -171,24 +171,24 @@
     ids[i] = i + 1;
   voter->clock.now = local_time (voter);
   voter->state = state_new ();
-  g_assert_cmpint (raft_new (&conf, &voter->clock.base, &source.base, &voter->disk.base,
+  g_assert_cmpint (raft_new (&conf, &voter->clock.base, &random_source.base, &voter->disk.base,
                              voter->state, &raft_ops, voter, &voter->raft, &error),
                    ==, FT_OK);
 }
 
-/* Ends the process; its disk keeps what it held, and what was on its way to it is lost. */
+/* Ends the process: its files stay, messages on their way to it are lost. */
 static void
 stop (Voter *voter)
 {
   raft_free (voter->raft);
   state_free (voter->state);
   voter->raft = NULL;
-  voter->proved_until = 0;
-  for (unsigned i = 0; i < mail->len;)
-    if (g_array_index (mail, Mail, i).to == voter->id)
+  voter->lease_until = 0;
+  for (unsigned i = 0; i < messages->len;)
+    if (g_array_index (messages, Message, i).to == voter->id)
       {
-        g_byte_array_unref (g_array_index (mail, Mail, i).bytes);
-        g_array_remove_index (mail, i);
+        g_byte_array_unref (g_array_index (messages, Message, i).bytes);
+        g_array_remove_index (messages, i);
       }
     else
       i++;
@@ -197,28 +197,29 @@
 static void
 receive (Voter *voter)
 {
-  for (unsigned i = 0; i < mail->len;)
+  for (unsigned i = 0; i < messages->len;)
     {
-      Mail one = g_array_index (mail, Mail, i);
-      if (one.to != voter->id || one.at > world)
+      Message message = g_array_index (messages, Message, i);
+      if (message.to != voter->id || message.at > world_now)
         {
           i++;
           continue;
         }
-      g_array_remove_index (mail, i);
+      g_array_remove_index (messages, i);
       Msg msg = { 0 };
-      g_assert_cmpint (codec_unpack (CODEC (Msg), one.bytes->data, one.bytes->len, &msg, NULL), ==,
-                       FT_OK);
-      if (cut_off != one.from && cut_off != one.to)
-        raft_receive (voter->raft, one.from, &msg);
+      g_assert_cmpint (
+          codec_unpack (CODEC (Msg), message.bytes->data, message.bytes->len, &msg, NULL), ==,
+          FT_OK);
+      if (cut_off != message.from && cut_off != message.to)
+        raft_receive (voter->raft, message.from, &msg);
       codec_clear (CODEC (Msg), &msg);
-      g_byte_array_unref (one.bytes);
+      g_byte_array_unref (message.bytes);
     }
 }
 
-/* A voter's turn, but for one that syncs. */
+/* Lets the voter handle its messages and timers, unless a sync still blocks it. */
 static void
-turn (Voter *voter)
+run_voter (Voter *voter)
 {
   if (voter->raft == NULL || voter->clock.now > local_time (voter))
     return;
@@ -226,34 +227,34 @@
   receive (voter);
   raft_tick (voter->raft);
   raft_flush (voter->raft);
-  voter->proved_until = raft_lease_until (voter->raft);
+  voter->lease_until = raft_lease_until (voter->raft);
 }
 
 static void
 step (void)
 {
-  unsigned proved = 0;
+  unsigned lease_holders = 0;
 
-  world += step_us;
+  world_now += step_us;
   for (unsigned i = 0; i < voter_count; i++)
-    turn (&voters[i]);
+    run_voter (&voters[i]);
   for (unsigned i = 0; i < voter_count; i++)
-    proved += voters[i].proved_until > local_time (&voters[i]);
-  g_assert_cmpuint (proved, <=, 1);
+    lease_holders += voters[i].lease_until > local_time (&voters[i]);
+  g_assert_cmpuint (lease_holders, <=, 1);
 }
 
-/* NULL: nobody is proved to lead. */
+/* Returns the voter with a valid leader lease; NULL: there is none. */
 static Voter *
-leader (void)
+find_leader (void)
 {
   for (unsigned i = 0; i < voter_count; i++)
-    if (voters[i].proved_until > local_time (&voters[i]))
+    if (voters[i].lease_until > local_time (&voters[i]))
       return &voters[i];
   return NULL;
 }
 
 static uint64_t
-held (const Voter *voter)
+document_number (const Voter *voter)
 {
   const MsgDocument *document = state_document (voter->state);
 
@@ -261,12 +262,12 @@
 }
 
 static uint64_t
-newest_held (void)
+newest_document (void)
 {
   uint64_t newest = 0;
 
   for (unsigned i = 0; i < voter_count; i++)
-    newest = MAX (newest, held (&voters[i]));
+    newest = MAX (newest, document_number (&voters[i]));
   return newest;
 }
 
@@ -278,7 +279,7 @@
   uint64_t index;
 
   for (unsigned i = 0; i < voter_count; i++)
-    if (voters[i].clock.now <= world && raft_leading (voters[i].raft))
+    if (voters[i].clock.now <= world_now && raft_leading (voters[i].raft))
       {
         op.MsgOp_u.document.number = ++proposed;
         op.MsgOp_u.document.text.text_val = text;
@@ -288,21 +289,22 @@
   return false;
 }
 
-/* An operator that sends a change until it is in force somewhere. Returns how long that took. */
+/* Sends a change as an operator does, again and again until some voter has applied it or the time
+ * is over. Returns how long that took. */
 static int64_t
-change (int64_t most)
+run_change (int64_t max)
 {
-  int64_t began = world;
-  uint64_t before = newest_held ();
+  int64_t began = world_now;
+  uint64_t before = newest_document ();
   int64_t sent = 0;
 
-  while (newest_held () == before && world - began <= most)
+  while (newest_document () == before && world_now - began <= max)
     {
-      if (world - sent >= REPEAT && propose ())
-        sent = world;
+      if (world_now - sent >= RESEND_INTERVAL && propose ())
+        sent = world_now;
       step ();
     }
-  return world - began;
+  return world_now - began;
 }
 
 static uint64_t
@@ -316,12 +318,12 @@
 }
 
 static void
-begin_many (unsigned seed, unsigned count, int64_t turn_us)
+begin_voters (unsigned seed, unsigned count, int64_t new_step_us)
 {
-  source = seeded (seed);
-  mail = g_array_new (FALSE, FALSE, sizeof (Mail));
-  world = test_clock ().now;
-  step_us = turn_us;
+  random_source = seeded_random (seed);
+  messages = g_array_new (FALSE, FALSE, sizeof (Message));
+  world_now = test_clock ().now;
+  step_us = new_step_us;
   proposed = cut_off = 0;
   voter_count = count;
   for (unsigned i = 0; i < count; i++)
@@ -334,11 +336,11 @@
 static void
 begin (unsigned seed, const int64_t (*syncs)[2])
 {
-  begin_many (seed, VOTERS, STEP);
-  for (unsigned i = 0; i < VOTERS; i++)
+  begin_voters (seed, SLOW_VOTERS, STEP_US);
+  for (unsigned i = 0; i < SLOW_VOTERS; i++)
     {
-      voters[i].disk.least = syncs[i][0];
-      voters[i].disk.most = syncs[i][1];
+      voters[i].disk.min = syncs[i][0];
+      voters[i].disk.max = syncs[i][1];
       start (&voters[i]);
     }
 }
@@ -352,133 +354,137 @@
       for (unsigned file = 0; file < FILES; file++)
         g_clear_pointer (&voters[i].disk.files[file], g_byte_array_unref);
     }
-  for (unsigned i = 0; i < mail->len; i++)
-    g_byte_array_unref (g_array_index (mail, Mail, i).bytes);
-  g_array_unref (mail);
+  for (unsigned i = 0; i < messages->len; i++)
+    g_byte_array_unref (g_array_index (messages, Message, i).bytes);
+  g_array_unref (messages);
 }
 
-/* From nothing a change is accepted; then the leader stays, and further changes are accepted. */
+/* Checks that new voters accept a change, and that later changes are accepted in the same term. */
 static void
-elect_and_stay (const int64_t (*syncs)[2], int64_t most)
+check_leader_stays (const int64_t (*syncs)[2], int64_t max)
 {
   for (unsigned seed = 1; seed <= SEEDS; seed++)
     {
       begin (seed, syncs);
-      g_assert_cmpint (change (ELECTED), <=, ELECTED);
+      g_assert_cmpint (run_change (ELECTION_TIME_MAX), <=, ELECTION_TIME_MAX);
       uint64_t term = newest_term ();
-      for (int64_t until = world + WATCHED; world < until;)
+      for (int64_t until = world_now + WATCH_TIME; world_now < until;)
         {
-          for (int64_t next = world + EVERY; world < next;)
+          for (int64_t next = world_now + CHANGE_INTERVAL; world_now < next;)
             step ();
-          g_assert_cmpint (change (most), <=, most);
+          g_assert_cmpint (run_change (max), <=, max);
         }
       g_assert_cmpuint (newest_term (), ==, term);
       end ();
     }
 }
 
-/* Every disk stalls: voters stood again and again, and no leader stayed. */
+/* All disks are slow. Guards against voters that start elections again and again, so that no leader
+ * stays. */
 static void
 test_all_slow (void)
 {
-  static const int64_t syncs[VOTERS][2] = { { 2 * FT_SECOND, 2 * FT_SECOND },
-                                            { 2 * FT_SECOND, 2 * FT_SECOND },
-                                            { 2 * FT_SECOND, 2 * FT_SECOND } };
+  static const int64_t syncs[SLOW_VOTERS][2] = { { 2 * FT_SECOND, 2 * FT_SECOND },
+                                                 { 2 * FT_SECOND, 2 * FT_SECOND },
+                                                 { 2 * FT_SECOND, 2 * FT_SECOND } };
 
-  elect_and_stay (syncs, 2 * ACKNOWLEDGE);
+  check_leader_stays (syncs, 2 * CHANGE_TIMEOUT);
 }
 
-/* As above, with syncs of any length: a candidate's votes came when it had stood again. */
+/* As above, with syncs of random length. Guards against votes that arrive only after the candidate
+ * has started its next election. */
 static void
 test_uneven (void)
 {
-  static const int64_t syncs[VOTERS][2] = { { 200 * FT_MS, 3 * FT_SECOND },
-                                            { 200 * FT_MS, 3 * FT_SECOND },
-                                            { 200 * FT_MS, 3 * FT_SECOND } };
+  static const int64_t syncs[SLOW_VOTERS][2] = { { 200 * FT_MS, 3 * FT_SECOND },
+                                                 { 200 * FT_MS, 3 * FT_SECOND },
+                                                 { 200 * FT_MS, 3 * FT_SECOND } };
 
   for (unsigned seed = 1; seed <= SEEDS; seed++)
     {
       begin (seed, syncs);
-      g_assert_cmpint (change (ELECTED), <=, ELECTED);
+      g_assert_cmpint (run_change (ELECTION_TIME_MAX), <=, ELECTION_TIME_MAX);
       end ();
     }
 }
 
-/* Two of three disks stall: the leader with the good one took its followers for lost. */
+/* Two of three disks are slow. Guards against a leader with a fast disk that takes its followers
+ * for dead. */
 static void
 test_followers_slow (void)
 {
-  static const int64_t syncs[VOTERS][2] = { { 5 * FT_MS, 5 * FT_MS },
-                                            { 2 * FT_SECOND, 2 * FT_SECOND },
-                                            { 2 * FT_SECOND, 2 * FT_SECOND } };
+  static const int64_t syncs[SLOW_VOTERS][2] = { { 5 * FT_MS, 5 * FT_MS },
+                                                 { 2 * FT_SECOND, 2 * FT_SECOND },
+                                                 { 2 * FT_SECOND, 2 * FT_SECOND } };
 
   for (unsigned seed = 1; seed <= SEEDS; seed++)
     {
       begin (seed, syncs);
-      g_assert_cmpint (change (ELECTED), <=, ELECTED);
+      g_assert_cmpint (run_change (ELECTION_TIME_MAX), <=, ELECTION_TIME_MAX);
       end ();
     }
 }
 
-/* The leader's disk alone begins to stall: operators wait no longer than they do for a new one. */
+/* Only the leader's disk becomes slow. Changes must be accepted as soon as after the election of
+ * another leader. */
 static void
 test_leader_slow (void)
 {
-  static const int64_t syncs[VOTERS][2]
+  static const int64_t syncs[SLOW_VOTERS][2]
       = { { 5 * FT_MS, 5 * FT_MS }, { 5 * FT_MS, 5 * FT_MS }, { 5 * FT_MS, 5 * FT_MS } };
 
   for (unsigned seed = 1; seed <= SEEDS; seed++)
     {
       begin (seed, syncs);
-      g_assert_cmpint (change (ACKNOWLEDGE), <=, ACKNOWLEDGE);
+      g_assert_cmpint (run_change (CHANGE_TIMEOUT), <=, CHANGE_TIMEOUT);
       for (unsigned i = 0; i < voter_count; i++)
         if (raft_leading (voters[i].raft))
-          voters[i].disk.least = voters[i].disk.most = 20 * FT_SECOND;
+          voters[i].disk.min = voters[i].disk.max = 20 * FT_SECOND;
       for (unsigned i = 0; i < 3; i++)
-        g_assert_cmpint (change (ACKNOWLEDGE), <=, ACKNOWLEDGE);
+        g_assert_cmpint (run_change (CHANGE_TIMEOUT), <=, CHANGE_TIMEOUT);
       end ();
     }
 }
 
 static int64_t
-draw (int64_t most)
+random_below (int64_t max)
 {
-  return (int64_t) (ft_random_next (&source.base) % (uint64_t) most);
+  return (int64_t) (ft_random_next (&random_source.base) % (uint64_t) max);
 }
 
 static int64_t
-until_led (void)
+run_until_led (void)
 {
-  int64_t began = world;
+  int64_t began = world_now;
 
-  while (leader () == NULL && world - began < ELECTED)
+  while (find_leader () == NULL && world_now - began < ELECTION_TIME_MAX)
     step ();
-  return world - began;
+  return world_now - began;
 }
 
-/* Starts all voters that do not run, spread over that time. Returns how long after the last of a
- * majority's start one is proved to lead. */
+/* Starts all voters at random times within spread. Returns the time from the start that completed a
+ * majority until a leader holds a valid lease. */
 static int64_t
 start_all (int64_t spread)
 {
-  int64_t at[VOTERS_MOST] = { 0 }, began = world, majority = 0;
+  int64_t at[VOTERS_MAX] = { 0 }, began = world_now, majority = 0;
   unsigned running = 0;
 
   for (unsigned i = 0; i < voter_count; i++)
-    at[i] = world + draw (spread);
-  while (leader () == NULL)
+    at[i] = world_now + random_below (spread);
+  while (find_leader () == NULL)
     {
       for (unsigned i = 0; i < voter_count; i++)
-        if (voters[i].raft == NULL && world >= at[i])
+        if (voters[i].raft == NULL && world_now >= at[i])
           {
             start (&voters[i]);
             if (++running == voter_count / 2 + 1)
-              majority = world;
+              majority = world_now;
           }
       step ();
-      g_assert_cmpint (world - began, <, ELECTED);
+      g_assert_cmpint (world_now - began, <, ELECTION_TIME_MAX);
     }
-  return world - majority;
+  return world_now - majority;
 }
 
 static int
@@ -490,53 +496,54 @@
 }
 
 static void
-report (const char *what, int64_t *times)
+report_times (const char *what, int64_t *times)
 {
   int64_t sum = 0;
-  unsigned middle = STARTS / 2;
+  unsigned middle = RESTART_SEEDS / 2;
 
-  qsort (times, STARTS, sizeof *times, compare_times);
-  for (unsigned i = 0; i < STARTS; i++)
+  qsort (times, RESTART_SEEDS, sizeof *times, compare_times);
+  for (unsigned i = 0; i < RESTART_SEEDS; i++)
     sum += times[i];
   g_test_message ("%s: mean %.0f ms, median %.0f, longest %.0f", what,
-                  (double) sum / STARTS / FT_MS, (double) times[middle] / FT_MS,
-                  (double) times[STARTS - 1] / FT_MS);
+                  (double) sum / RESTART_SEEDS / FT_MS, (double) times[middle] / FT_MS,
+                  (double) times[RESTART_SEEDS - 1] / FT_MS);
 }
 
 static void
-run_for (int64_t least, int64_t spread)
+run_for (int64_t min, int64_t spread)
 {
-  for (int64_t until = world + least + draw (spread); world < until;)
+  for (int64_t until = world_now + min + random_below (spread); world_now < until;)
     step ();
 }
 
-/* Failure: voters that have just started wait for a usual timeout, which is meant for a silent
- * leader. Symptom: after a loss of all power nobody leads for up to a second. */
+/* Guards against voters that wait for the usual election timeout, which is meant for a silent
+ * leader, after they have just started: after a total power loss there was no leader for up to a
+ * second. */
 static void
 test_all_restart (void)
 {
-  int64_t formed[STARTS], led[STARTS];
+  int64_t first_led_after[RESTART_SEEDS], led_after[RESTART_SEEDS];
 
-  for (unsigned seed = 1; seed <= STARTS; seed++)
+  for (unsigned seed = 1; seed <= RESTART_SEEDS; seed++)
     {
-      begin_many (seed, VOTERS_MOST, FT_MS);
+      begin_voters (seed, VOTERS_MAX, FT_MS);
       for (unsigned i = 0; i < voter_count; i++)
-        voters[i].disk.most = 3 * FT_MS;
-      formed[seed - 1] = start_all (1);
+        voters[i].disk.max = 3 * FT_MS;
+      first_led_after[seed - 1] = start_all (1);
       run_for (FT_SECOND, FT_SECOND);
       for (unsigned i = 0; i < voter_count; i++)
         stop (&voters[i]);
-      led[seed - 1] = start_all (SPREAD);
-      g_assert_cmpint (led[seed - 1], <=, LED_SOON);
+      led_after[seed - 1] = start_all (START_SPREAD);
+      g_assert_cmpint (led_after[seed - 1], <=, RESTART_ELECTION_MAX);
       end ();
     }
-  report ("first set, from the start", formed);
-  report ("from the last of a majority's start", led);
+  report_times ("first election, from the start of a majority", first_led_after);
+  report_times ("election after a restart of all voters, from the start of a majority", led_after);
 }
 
-/* The voter's disk says that it stood in the next term. */
+/* Writes to the voter's disk that it was a candidate in the next term. */
 static void
-stood (Voter *voter)
+record_candidacy (Voter *voter)
 {
   FtError error = { 0 };
   WalState from;
@@ -549,50 +556,50 @@
   wal_free (wal);
 }
 
-/* Failure: a voter that lacks the last change stood in a newer term as all lost power. It cannot
- * win, and the others learn that term from its refusals. Symptom: each of them waits for a usual
- * timeout although nobody leads. */
+/* A voter that lacks the last change was a candidate in a newer term when all voters lost power. It
+ * cannot win, and the others learn that term from its refusals. Guards against each of them waiting
+ * for the usual election timeout then, although there is no leader. */
 static void
 test_newer_term (void)
 {
-  for (unsigned seed = 1; seed <= STARTS; seed++)
+  for (unsigned seed = 1; seed <= RESTART_SEEDS; seed++)
     {
-      begin_many (seed, VOTERS, FT_MS);
+      begin_voters (seed, SLOW_VOTERS, FT_MS);
       start_all (1);
-      if (leader () != &voters[0])
+      if (find_leader () != &voters[0])
         {
           run_for (FT_SECOND, FT_SECOND);
           cut_off = voters[0].id;
-          g_assert_cmpint (change (ACKNOWLEDGE), <=, ACKNOWLEDGE);
+          g_assert_cmpint (run_change (CHANGE_TIMEOUT), <=, CHANGE_TIMEOUT);
           for (unsigned i = 0; i < voter_count; i++)
             stop (&voters[i]);
-          stood (&voters[0]);
+          record_candidacy (&voters[0]);
           cut_off = 0;
-          g_assert_cmpint (start_all (1), <=, LED_LATE);
+          g_assert_cmpint (start_all (1), <=, NEWER_TERM_ELECTION_MAX);
         }
       end ();
     }
 }
 
-/* Failure: two voters confirm a round and start again at once, on clocks that run fast, and elect
- * one of them while the lease of the leader, which is cut off and whose clock runs slowly, still
- * holds. Two schedulers then give the same places away. step () checks it. */
+/* Two voters with fast clocks confirm a heartbeat round and restart at once, while the leader,
+ * whose clock is slow, is cut off. Guards against their electing one of them while the leader's
+ * lease is still valid, so that two schedulers grant the same slots. step () checks this. */
 static void
 test_lease_holds (void)
 {
-  for (unsigned seed = 1; seed <= STARTS; seed++)
+  for (unsigned seed = 1; seed <= RESTART_SEEDS; seed++)
     {
-      begin_many (seed, VOTERS, FT_MS / 5);
+      begin_voters (seed, SLOW_VOTERS, FT_MS / 5);
       for (unsigned i = 0; i < voter_count; i++)
         start (&voters[i]);
-      g_assert_cmpint (until_led (), <, ELECTED);
-      Voter *old = leader ();
+      g_assert_cmpint (run_until_led (), <, ELECTION_TIME_MAX);
+      Voter *old = find_leader ();
       for (unsigned i = 0; i < voter_count; i++)
-        voters[i].rate_error = &voters[i] == old ? -RATE_ERROR : RATE_ERROR;
+        voters[i].clock_error_ppm = &voters[i] == old ? -CLOCK_ERROR_PPM : CLOCK_ERROR_PPM;
       run_for (FT_SECOND, FT_SECOND);
-      for (int64_t before = old->proved_until; old->proved_until == before;)
+      for (int64_t before = old->lease_until; old->lease_until == before;)
         step ();
-      run_for (0, seed % 2 ? RESTARTED : 1);
+      run_for (0, seed % 2 ? RESTART_DELAY_MAX : 1);
       cut_off = old->id;
       for (unsigned i = 0; i < voter_count; i++)
         if (&voters[i] != old)
@@ -600,9 +607,9 @@
             stop (&voters[i]);
             start (&voters[i]);
           }
-      while (leader () == old)
+      while (find_leader () == old)
         step ();
-      g_assert_cmpint (until_led (), <, ELECTED);
+      g_assert_cmpint (run_until_led (), <, ELECTION_TIME_MAX);
       end ();
     }
 }
--- a/test/torture.c
+++ b/test/torture.c
@@ -1,17 +1,19 @@
-/* torture.c - a seeded random test of everything that must survive.
+/* torture.c - checks safety and recovery under random faults, on simulated nodes.
  *
- * Operators race, resend and lose answers; instances crash, restart, freeze and lose their disks;
- * links are cut one way or both; voters' messages are lost, doubled and reordered; clocks differ in
- * rate. After every step it is checked that
+ * Operators submit concurrent changes, resend them and lose answers; instances crash, restart,
+ * freeze and lose their disks; links are cut in one direction or both; messages between voters are
+ * lost, duplicated and reordered; clocks run at different rates. After every step these invariants
+ * are checked:
  *
- *   accepted   an accepted change has one text for ever, and no instance ever goes back
- *   verdict    one change id has one verdict
- *   holder     two instances never hold one pool's valid lease at a time
+ *   accepted   the text of an accepted change never changes, and no instance ever returns to an
+ *              older catalogue
+ *   verdict    a change id has only one verdict
+ *   holder     two instances never hold a valid lease of the same pool at the same time
  *   claim      a key is granted to one request only
- *   in force   a change that was reported in force is in force at every instance that takes
- * requests
+ *   in force   a change that was reported in force is in force at every instance that accepts
+ *              requests
  *
- * Usage: torture [SCHEDULES [SEED]]. A failure prints the seed, and the seed repeats it.
+ * Usage: torture [SCHEDULES [SEED]]. A failure prints its seed; running that seed reproduces it.
  */
 #include "sim.h"
 
@@ -30,7 +32,7 @@
 typedef struct
 {
   char id[32];
-  uint64_t revision; /* accepted as; 0: not known to be accepted */
+  uint64_t revision; /* revision it was accepted as; 0: not known to be accepted */
   bool refused;
   uint64_t base;
   char *text;
@@ -38,25 +40,25 @@
 
 typedef struct
 {
-  unsigned instance, life;
+  unsigned instance, start_count;
   uint64_t number;
   int change, key;
-  unsigned claimer;
-} Asked;
+  unsigned claim_number;
+} PendingCall;
 
 typedef struct
 {
   Change changes[CHANGES];
   unsigned change_count;
-  char *accepted[CHANGES + 1];     /* text by revision */
-  uint64_t highest[INSTANCES + 1]; /* revision seen at an instance in its life */
-  unsigned seen_life[INSTANCES + 1];
-  char owner[KEYS][32]; /* request that a key was granted to */
-  unsigned claims;
-  GArray *asked;
-  uint64_t seed, in_force, next_question;
+  char *accepted[CHANGES + 1];         /* text by revision */
+  uint64_t newest_seen[INSTANCES + 1]; /* newest revision at an instance since its last start */
+  unsigned seen_start_count[INSTANCES + 1];
+  char key_owner[KEYS][32]; /* request that the key was granted to */
+  unsigned claim_count;
+  GArray *pending;
+  uint64_t seed, in_force, next_query;
   unsigned accepted_count, granted_count;
-  GHashTable *force_questions; /* "instance/number" -> revision */
+  GHashTable *in_force_queries; /* "instance/number" -> revision */
 } World;
 
 static void
@@ -80,23 +82,23 @@
       number);
 }
 
-/* ---- What nodes say ---- */
+/* ---- Callbacks of the simulation ---- */
 
-static Asked *
-find_asked (World *world, Sim *sim, unsigned instance, uint64_t number)
+static PendingCall *
+find_pending (World *world, Sim *sim, unsigned instance, uint64_t number)
 {
-  for (unsigned i = 0; i < world->asked->len; i++)
+  for (unsigned i = 0; i < world->pending->len; i++)
     {
-      Asked *asked = &g_array_index (world->asked, Asked, i);
-      if (asked->instance == instance && asked->number == number
-          && asked->life == sim_life (sim, instance))
-        return asked;
+      PendingCall *pending = &g_array_index (world->pending, PendingCall, i);
+      if (pending->instance == instance && pending->number == number
+          && pending->start_count == sim_life (sim, instance))
+        return pending;
     }
   return NULL;
 }
 
 static void
-judge_change (World *world, Sim *sim, Change *change, FtStatus status, uint64_t revision)
+check_verdict (World *world, Sim *sim, Change *change, FtStatus status, uint64_t revision)
 {
   if (status == FT_OK)
     {
@@ -123,21 +125,21 @@
             const char *text)
 {
   World *world = sim_user (sim);
-  Asked *asked = find_asked (world, sim, instance, number);
+  PendingCall *pending = find_pending (world, sim, instance, number);
 
-  if (asked == NULL)
+  if (pending == NULL)
     return;
-  if (asked->change >= 0)
-    judge_change (world, sim, &world->changes[asked->change], status, revision);
-  else if (asked->key >= 0 && status == FT_OK)
+  if (pending->change >= 0)
+    check_verdict (world, sim, &world->changes[pending->change], status, revision);
+  else if (pending->key >= 0 && status == FT_OK)
     {
       char request[32];
-      g_snprintf (request, sizeof request, "claim-%u", asked->claimer);
+      g_snprintf (request, sizeof request, "claim-%u", pending->claim_number);
       if (strcmp (text, request) != 0)
         fail (world, sim, "claim: granted in another request's name");
-      if (*world->owner[asked->key] && strcmp (world->owner[asked->key], request) != 0)
+      if (*world->key_owner[pending->key] && strcmp (world->key_owner[pending->key], request) != 0)
         fail (world, sim, "claim: one key was granted twice");
-      g_strlcpy (world->owner[asked->key], request, 32);
+      g_strlcpy (world->key_owner[pending->key], request, 32);
       world->granted_count++;
     }
 }
@@ -148,17 +150,17 @@
   World *world = sim_user (sim);
   uint64_t revision = ft_cat_revision (cat);
 
-  if (world->seen_life[instance] != sim_life (sim, instance))
+  if (world->seen_start_count[instance] != sim_life (sim, instance))
     {
-      world->seen_life[instance] = sim_life (sim, instance);
-      world->highest[instance] = 0;
+      world->seen_start_count[instance] = sim_life (sim, instance);
+      world->newest_seen[instance] = 0;
     }
-  if (revision <= world->highest[instance])
+  if (revision <= world->newest_seen[instance])
     fail (world, sim, "accepted: an instance went back to an older catalogue");
-  world->highest[instance] = revision;
+  world->newest_seen[instance] = revision;
   if (world->accepted[revision] == NULL)
     {
-      /* Its operator may not have heard yet; the text itself says which change it was. */
+      /* Its operator may not have the verdict yet, so the change is identified by its text. */
       for (unsigned i = 0; i < world->change_count; i++)
         if (world->changes[i].base + 1 == revision
             && strcmp (world->changes[i].text, ft_cat_text (cat)) == 0)
@@ -178,17 +180,17 @@
 
   g_snprintf (key, sizeof key, "%u/%u/%" G_GUINT64_FORMAT, instance, sim_life (sim, instance),
               number);
-  uint64_t *revision = g_hash_table_lookup (world->force_questions, key);
+  uint64_t *revision = g_hash_table_lookup (world->in_force_queries, key);
   if (revision && status == FT_OK && g_strstr_len (body, (gssize) size, "\"in_force\":true"))
     world->in_force = MAX (world->in_force, *revision);
 }
 
 static const SimOps ops = { .verdict = on_verdict, .catalogue = on_catalogue, .found = on_found };
 
-/* ---- What is checked after every step ---- */
+/* ---- Invariants checked after every step ---- */
 
 static void
-check (World *world, Sim *sim)
+check_invariants (World *world, Sim *sim)
 {
   unsigned holders[2] = { 0, 0 };
   static const char *const pools[] = { "p", "q" };
@@ -201,7 +203,7 @@
       FtCat *cat = ft_node_catalogue (node);
       if (ft_node_is_fresh (node) && ft_cat_revision (cat) < world->in_force)
         fail (world, sim, "in force: an instance takes requests under an older catalogue");
-      /* A holder whose lease is not proved is held back by its own clock. */
+      /* This is false for a holder that cannot prove its lease by its own clock. */
       for (unsigned p = 0; p < 2; p++)
         holders[p] += ft_node_holds_lease (node, pools[p]);
     }
@@ -209,20 +211,20 @@
     fail (world, sim, "holder: two instances hold one pool's lease");
 }
 
-/* ---- What happens ---- */
+/* ---- Random steps: operators, claims, faults ---- */
 
 static unsigned
-pick (Sim *sim, unsigned below)
+random_below (Sim *sim, unsigned below)
 {
   return (unsigned) (sim_random (sim) % below);
 }
 
 static unsigned
-pick_alive (Sim *sim)
+random_live_instance (Sim *sim)
 {
   for (unsigned tries = 0; tries < 50; tries++)
     {
-      unsigned i = 1 + pick (sim, INSTANCES);
+      unsigned i = 1 + random_below (sim, INSTANCES);
       if (sim_node (sim, i) && !sim_frozen (sim, i))
         return i;
     }
@@ -233,18 +235,18 @@
 send_change (World *world, Sim *sim, unsigned at, unsigned index)
 {
   Change *change = &world->changes[index];
-  Asked asked = { at, sim_life (sim, at), 0, (int) index, -1, 0 };
+  PendingCall pending = { at, sim_life (sim, at), 0, (int) index, -1, 0 };
 
-  asked.number = ft_node_propose_catalogue (sim_node (sim, at), change->id, "operator",
-                                            change->base, change->text, 1);
-  g_array_append_val (world->asked, asked);
+  pending.number = ft_node_propose_catalogue (sim_node (sim, at), change->id, "operator",
+                                              change->base, change->text, 1);
+  g_array_append_val (world->pending, pending);
   sim_flush (sim, at);
 }
 
 static void
 make_change (World *world, Sim *sim)
 {
-  unsigned at = pick_alive (sim);
+  unsigned at = random_live_instance (sim);
 
   if (at == 0 || world->change_count == CHANGES)
     return;
@@ -260,32 +262,32 @@
 static void
 resend_change (World *world, Sim *sim)
 {
-  unsigned at = pick_alive (sim);
+  unsigned at = random_live_instance (sim);
 
   if (at && world->change_count)
-    send_change (world, sim, at, pick (sim, world->change_count));
+    send_change (world, sim, at, random_below (sim, world->change_count));
 }
 
 static void
 make_claim (World *world, Sim *sim)
 {
-  unsigned at = pick_alive (sim), key = pick (sim, KEYS);
+  unsigned at = random_live_instance (sim), key = random_below (sim, KEYS);
   char name[32], request[32];
 
   if (at == 0)
     return;
-  Asked asked = { at, sim_life (sim, at), 0, -1, (int) key, world->claims++ };
+  PendingCall pending = { at, sim_life (sim, at), 0, -1, (int) key, world->claim_count++ };
   g_snprintf (name, sizeof name, "key-%u", key);
-  g_snprintf (request, sizeof request, "claim-%u", asked.claimer);
-  asked.number = ft_node_claim (sim_node (sim, at), name, "digest", request, 1);
-  g_array_append_val (world->asked, asked);
+  g_snprintf (request, sizeof request, "claim-%u", pending.claim_number);
+  pending.number = ft_node_claim (sim_node (sim, at), name, "digest", request, 1);
+  g_array_append_val (world->pending, pending);
   sim_flush (sim, at);
 }
 
 static void
-ask_in_force (World *world, Sim *sim)
+query_in_force (World *world, Sim *sim)
 {
-  unsigned at = pick_alive (sim);
+  unsigned at = random_live_instance (sim);
   char text[32];
 
   FtCat *cat = at ? ft_node_catalogue (sim_node (sim, at)) : NULL;
@@ -295,16 +297,16 @@
   g_snprintf (text, sizeof text, "%" G_GUINT64_FORMAT, revision);
   uint64_t number = ft_node_query (sim_node (sim, at), FT_QUERY_IN_FORCE, text);
   g_hash_table_replace (
-      world->force_questions,
+      world->in_force_queries,
       g_strdup_printf ("%u/%u/%" G_GUINT64_FORMAT, at, sim_life (sim, at), number),
       g_memdup2 (&revision, sizeof revision));
   sim_flush (sim, at);
 }
 
-/* A voter may lose its disk only while the others are whole: two lost of three is the end of any
- * majority, which no rule can mend. */
+/* A voter may lose its disk only while the others are members with working storage: when two of
+ * three disks are lost, accepted changes are lost, whatever the protocol does. */
 static bool
-voters_settled (Sim *sim)
+voters_healthy (Sim *sim)
 {
   for (unsigned i = 1; i <= 3; i++)
     {
@@ -318,15 +320,15 @@
   return true;
 }
 
-/* What was accepted last is on two voters; one of them loses its disk right when the other dies.
- * The third, which lags, and the blank one must not go on as if they were a majority that
- * remembers. */
+/* The last accepted changes are on two voters only; one of them loses its disk just as the other
+ * dies. The lagging third voter and the one with the empty disk must not form a majority, as
+ * neither has these changes. */
 static void
-lose_two (World *world, Sim *sim)
+lose_two_voters (World *world, Sim *sim)
 {
-  unsigned lagging = 1 + pick (sim, 3);
+  unsigned lagging = 1 + random_below (sim, 3);
 
-  if (!voters_settled (sim))
+  if (!voters_healthy (sim))
     return;
   for (unsigned k = 1; k <= INSTANCES; k++)
     if (k != lagging)
@@ -349,20 +351,20 @@
 }
 
 static void
-fault (World *world, Sim *sim)
+inject_fault (World *world, Sim *sim)
 {
-  unsigned i = 1 + pick (sim, INSTANCES), j = 1 + pick (sim, INSTANCES);
+  unsigned i = 1 + random_below (sim, INSTANCES), j = 1 + random_below (sim, INSTANCES);
 
-  switch (pick (sim, 9))
+  switch (random_below (sim, 9))
     {
     case 0:
     case 1:
       sim_kill (sim, i);
       break;
     case 2:
-      if (voters_settled (sim))
+      if (voters_healthy (sim))
         {
-          i = 1 + pick (sim, 3);
+          i = 1 + random_below (sim, 3);
           sim_kill (sim, i);
           sim_wipe (sim, i);
           sim_restart (sim, i);
@@ -376,7 +378,7 @@
         if (k != i)
           {
             sim_cut (sim, i, k, true);
-            sim_cut (sim, k, i, pick (sim, 2));
+            sim_cut (sim, k, i, random_below (sim, 2));
           }
       break;
     case 5:
@@ -384,11 +386,11 @@
         sim_cut (sim, i, j, true);
       break;
     case 7:
-      lose_two (world, sim);
+      lose_two_voters (world, sim);
       break;
     case 6:
-      sim_kill (sim, 1 + pick (sim, 3));
-      sim_kill (sim, 1 + pick (sim, 3));
+      sim_kill (sim, 1 + random_below (sim, 3));
+      sim_kill (sim, 1 + random_below (sim, 3));
       break;
     default:
       for (unsigned k = 1; k <= INSTANCES; k++)
@@ -397,7 +399,7 @@
 }
 
 static void
-mend (Sim *sim)
+repair (Sim *sim)
 {
   for (unsigned i = 1; i <= INSTANCES; i++)
     {
@@ -406,19 +408,19 @@
       if (sim_frozen (sim, i))
         sim_freeze (sim, i, false);
     }
-  if (pick (sim, 2))
+  if (random_below (sim, 2))
     sim_heal (sim);
 }
 
 static void
 step (World *world, Sim *sim)
 {
-  switch (pick (sim, 10))
+  switch (random_below (sim, 10))
     {
     case 0:
     case 1:
       make_change (world, sim);
-      make_change (world, sim); /* two operators race with equal numbers */
+      make_change (world, sim); /* two operators submit changes of the same base revision */
       break;
     case 2:
       resend_change (world, sim);
@@ -428,32 +430,32 @@
       make_claim (world, sim);
       break;
     case 5:
-      ask_in_force (world, sim);
+      query_in_force (world, sim);
       break;
     case 6:
     case 7:
-      fault (world, sim);
+      inject_fault (world, sim);
       break;
     default:
-      mend (sim);
+      repair (sim);
     }
   for (unsigned i = 0; i < 10; i++)
     {
       sim_run (sim, sim_now (sim) + (int64_t) (sim_random (sim) % (uint64_t) (300 * FT_MS)));
-      check (world, sim);
+      check_invariants (world, sim);
     }
 }
 
-/* With everything mended the system must come to rest with every accepted change in force. */
+/* Once all faults are repaired, every accepted change must come into force at every instance. */
 static void
-settle (World *world, Sim *sim)
+settle_and_check (World *world, Sim *sim)
 {
   uint64_t last = 0;
 
-  mend (sim);
+  repair (sim);
   sim_heal (sim);
   sim_run (sim, sim_now (sim) + 20 * FT_SECOND);
-  check (world, sim);
+  check_invariants (world, sim);
   for (unsigned r = 1; r <= CHANGES; r++)
     if (world->accepted[r])
       last = r;
@@ -462,9 +464,10 @@
       FtNode *node = sim_node (sim, i);
       FtCat *cat = ft_node_catalogue (node);
       if (last && (cat == NULL || ft_cat_revision (cat) < last))
-        fail (world, sim, "accepted: a change is lost after everything was mended");
+        fail (world, sim, "accepted: a change is lost after everything was repaired");
       if (last && !ft_node_is_fresh (node))
-        fail (world, sim, "liveness: an instance does not come back");
+        fail (world, sim,
+              "liveness: an instance accepts no requests after everything was repaired");
     }
 }
 
@@ -481,20 +484,20 @@
                    .doubling = (double) (seed % 2) * 0.1,
                    .clock_error = 0.005 };
 
-  world.asked = g_array_new (FALSE, FALSE, sizeof (Asked));
-  world.force_questions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  world.pending = g_array_new (FALSE, FALSE, sizeof (PendingCall));
+  world.in_force_queries = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   Sim *sim = sim_new (&conf, &ops, &world);
   sim_run (sim, 3 * FT_SECOND);
   for (unsigned i = 0; i < STEPS; i++)
     step (&world, sim);
-  settle (&world, sim);
+  settle_and_check (&world, sim);
   *accepted += world.accepted_count;
   *granted += world.granted_count;
   sim_free (sim);
   for (unsigned i = 0; i < world.change_count; i++)
     g_free (world.changes[i].text);
-  g_array_unref (world.asked);
-  g_hash_table_unref (world.force_questions);
+  g_array_unref (world.pending);
+  g_hash_table_unref (world.in_force_queries);
 }
 
 int
@@ -510,7 +513,7 @@
   printf ("# %u schedules from seed %" G_GUINT64_FORMAT
           ": %u changes accepted, %u claims granted\n",
           schedules, seed, accepted, granted);
-  /* A test in which nothing happens proves nothing. */
+  /* Fails as well if hardly any change or claim succeeded, since then nothing was tested. */
   printf ("%s 1 - nothing accepted is lost or reverts\n",
           accepted > schedules && granted > schedules ? "ok" : "not ok");
   return accepted > schedules && granted > schedules ? 0 : 1;
