--- a/test/malformed.c
+++ b/test/malformed.c
@@ -1,5 +1,7 @@
-/* malformed.c - sends spoilt bytes to a port: malformed http|rpc PORT COUNT SEED. Prints how many
- * connections got a reply, and how many of these began with a 4xx status. */
+/* malformed.c - sends corrupted requests to a port.
+ *
+ * Usage: malformed http|rpc PORT COUNT SEED. Prints how many connections got a reply, and how many
+ * of these replies began with a 4xx status. */
 #include <arpa/inet.h>
 #include <glib.h>
 #include <stdio.h>
@@ -12,8 +14,8 @@
                            "Authorization: Bearer kalkhaus-key\r\nContent-Length: 63\r\n"
                            "Connection: close\r\n\r\n{\"model\":\"none\",\"messages\":[{\"role\":"
                            "\"user\",\"content\":\"hello\"}]}";
-/* One ONC RPC record: mark, transaction, call, version 2, program, version, procedure, two empty
- * credentials, then what would be a batch. */
+/* One ONC RPC record: record mark, transaction id, call, RPC version 2, program, version,
+ * procedure, two empty authenticators, then the arguments, a batch of messages. */
 static const char rpc[] = "\x80\0\0\x54\0\0\0\1\0\0\0\0\0\0\0\2\x20\x46\x4f\x58\0\0\0\1\0\0\0\1"
                           "\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\2\0\0\0\1\0\0\0\0\0\0\0\7"
                           "\0\0\0\0\0\0\0\1\0\0\0\4\0\0\0\0\0\0\0\10\1\2\3\4\5\6\7\10";
@@ -35,7 +37,7 @@
 }
 
 static void
-spoil (GRand *random, char *bytes, gsize size)
+corrupt (GRand *random, char *bytes, gsize size)
 {
   int changes = g_rand_int_range (random, 1, 6);
 
@@ -46,7 +48,7 @@
 int
 main (int argc, char **argv)
 {
-  unsigned replies = 0, refused = 0, unreached = 0;
+  unsigned replies = 0, refused = 0, not_connected = 0;
 
   if (argc != 5)
     return 2;
@@ -60,12 +62,13 @@
       int fd = connect_to ((int) g_ascii_strtoll (argv[2], NULL, 10));
       if (fd < 0)
         {
-          unreached++;
+          not_connected++;
           continue;
         }
       memcpy (bytes, is_http ? http : rpc, size);
-      spoil (random, bytes, size);
-      /* The end of what is sent, so that a server that waits for more need not time out. */
+      corrupt (random, bytes, size);
+      /* Ends the stream, so that a server that waits for more bytes does not wait for its timeout.
+       */
       ssize_t got = -1;
       if (send (fd, bytes, size, MSG_NOSIGNAL) == (ssize_t) size && shutdown (fd, SHUT_WR) == 0)
         got = recv (fd, reply, sizeof reply, 0);
@@ -73,8 +76,8 @@
       refused += got > 12 && memcmp (reply, "HTTP/1.1 4", 10) == 0;
       close (fd);
     }
-  printf ("%d sent, %u not connected, %u replies, %u of them 4xx\n", count, unreached, replies,
+  printf ("%d sent, %u not connected, %u replies, %u of them 4xx\n", count, not_connected, replies,
           refused);
   g_rand_free (random);
-  return unreached > 0;
+  return not_connected > 0;
 }
--- a/test/rollout.c
+++ b/test/rollout.c
@@ -1,5 +1,5 @@
-/* rollout.c - orders of versions: the account in the log, the plan, the judge, and which servers
- * the scheduler uses, each on a clock of the test's own. */
+/* rollout.c - roll-outs of versions: the replicated table of roll-outs, the plan, the judge, and
+ * which servers the scheduler uses, each on a fake clock. */
 #include "clock.h"
 #include "judge.h"
 #include "rollplan.h"
@@ -8,18 +8,18 @@
 
 #include <string.h>
 
-/* ---- The account ---- */
+/* ---- The table of roll-outs ---- */
 
 static bool
-order (RolloutTable *account, uint64_t index, const char *target, uint64_t after)
+apply_order (RolloutTable *table, uint64_t index, const char *target, uint64_t after)
 {
   MsgRolloutStart start = { (char *) "s", (char *) target, (char *) "v1", 12000, after };
 
-  return roll_apply_start (account, index, &start);
+  return roll_apply_start (table, index, &start);
 }
 
 static bool
-step_to (RolloutTable *account, uint64_t index, uint64_t number, MsgRolloutPhase phase)
+apply_step (RolloutTable *table, uint64_t index, uint64_t number, MsgRolloutPhase phase)
 {
   MsgRolloutStep step = { .service = (char *) "s",
                           .number = number,
@@ -27,57 +27,58 @@
                           .trial = { .elapsed_ms = (int64_t) index, .reserved = 7 },
                           .why = (char *) "why" };
 
-  return roll_apply_step (account, index, &step);
+  return roll_apply_step (table, index, &step);
 }
 
-/* The answer to an order is lost, and its operator sends it again, to another voter, after a change
- * of charge, or after the end. Each time it is acknowledged, and nothing begins twice. */
+/* The answer to an order is lost, and the operator sends the order again: to another voter, after a
+ * change of leader, or after the roll-out has ended. Each time it is acknowledged, and no roll-out
+ * starts twice. */
 static void
-order_again_begins_nothing (void)
+repeated_order_starts_nothing (void)
 {
-  RolloutTable *account = roll_new ();
+  RolloutTable *table = roll_new ();
 
-  g_assert_cmpint (roll_check (account, "s", "v2", false), ==, ROLL_NEW);
-  g_assert_true (order (account, 5, "v2", 0));
-  g_assert_cmpint (roll_check (account, "s", "v2", false), ==, ROLL_KNOWN);
-  g_assert_cmpint (roll_check (account, "s", "v3", false), ==, ROLL_BUSY);
-  g_assert_false (order (account, 6, "v2", 0)); /* proposed twice, by two voters */
-  g_assert_false (order (account, 7, "v3", 5)); /* another is under way */
-  g_assert_true (step_to (account, 8, 5, MSG_ROLLOUT_ROLLED_BACK));
-  g_assert_false (order (account, 9, "v2", 0)); /* late: its proposer knew of none */
-  g_assert_cmpint (roll_check (account, "s", "v2", true), ==, ROLL_KNOWN);
-  g_assert_cmpint (roll_check (account, "s", "v2", false), ==, ROLL_NEW);
-  g_assert_true (order (account, 10, "v2", 5)); /* tried anew, long after */
-  g_assert_true (step_to (account, 11, 10, MSG_ROLLOUT_MOVING));
-  g_assert_true (step_to (account, 12, 10, MSG_ROLLOUT_COMPLETED));
-  g_assert_cmpint (roll_check (account, "s", "v2", false), ==, ROLL_KNOWN);
-  g_assert_cmpint (roll_check (account, "s", "v3", false), ==, ROLL_NEW);
-  roll_free (account);
+  g_assert_cmpint (roll_check (table, "s", "v2", false), ==, ROLL_NEW);
+  g_assert_true (apply_order (table, 5, "v2", 0));
+  g_assert_cmpint (roll_check (table, "s", "v2", false), ==, ROLL_KNOWN);
+  g_assert_cmpint (roll_check (table, "s", "v3", false), ==, ROLL_BUSY);
+  g_assert_false (apply_order (table, 6, "v2", 0)); /* proposed by two voters */
+  g_assert_false (apply_order (table, 7, "v3", 5)); /* another roll-out is active */
+  g_assert_true (apply_step (table, 8, 5, MSG_ROLLOUT_ROLLED_BACK));
+  g_assert_false (apply_order (table, 9, "v2", 0)); /* late: its proposer knew of no roll-out */
+  g_assert_cmpint (roll_check (table, "s", "v2", true), ==, ROLL_KNOWN);
+  g_assert_cmpint (roll_check (table, "s", "v2", false), ==, ROLL_NEW);
+  g_assert_true (apply_order (table, 10, "v2", 5)); /* ordered again long after */
+  g_assert_true (apply_step (table, 11, 10, MSG_ROLLOUT_MOVING));
+  g_assert_true (apply_step (table, 12, 10, MSG_ROLLOUT_COMPLETED));
+  g_assert_cmpint (roll_check (table, "s", "v2", false), ==, ROLL_KNOWN);
+  g_assert_cmpint (roll_check (table, "s", "v3", false), ==, ROLL_NEW);
+  roll_free (table);
 }
 
-/* A voter that was in charge wakes and proposes an older step. What was rolled back or completed
- * stays so, and a step of an earlier order moves nothing. */
+/* A former leader resumes and proposes an old step. A roll-out that was rolled back or completed
+ * stays so, and a step of an earlier order changes nothing. */
 static void
-ends_are_for_good (void)
+ended_rollout_stays_ended (void)
 {
-  RolloutTable *account = roll_new ();
+  RolloutTable *table = roll_new ();
 
-  order (account, 1, "v2", 0);
-  g_assert_true (step_to (account, 2, 1, MSG_ROLLOUT_MOVING));
-  g_assert_false (step_to (account, 3, 1, MSG_ROLLOUT_TRYING));
-  g_assert_true (step_to (account, 4, 1, MSG_ROLLOUT_ROLLED_BACK));
-  g_assert_false (step_to (account, 5, 1, MSG_ROLLOUT_COMPLETED));
-  g_assert_false (step_to (account, 5, 1, MSG_ROLLOUT_ROLLED_BACK));
-  g_assert_true (order (account, 6, "v3", 1));
-  g_assert_false (step_to (account, 7, 1, MSG_ROLLOUT_COMPLETED));
-  g_assert_cmpint (roll_find (account, "s")->phase, ==, MSG_ROLLOUT_TRYING);
-  roll_free (account);
+  apply_order (table, 1, "v2", 0);
+  g_assert_true (apply_step (table, 2, 1, MSG_ROLLOUT_MOVING));
+  g_assert_false (apply_step (table, 3, 1, MSG_ROLLOUT_TRYING));
+  g_assert_true (apply_step (table, 4, 1, MSG_ROLLOUT_ROLLED_BACK));
+  g_assert_false (apply_step (table, 5, 1, MSG_ROLLOUT_COMPLETED));
+  g_assert_false (apply_step (table, 5, 1, MSG_ROLLOUT_ROLLED_BACK));
+  g_assert_true (apply_order (table, 6, "v3", 1));
+  g_assert_false (apply_step (table, 7, 1, MSG_ROLLOUT_COMPLETED));
+  g_assert_cmpint (roll_find (table, "s")->phase, ==, MSG_ROLLOUT_TRYING);
+  roll_free (table);
 }
 
-/* Everything loses power in the middle of a roll-out: a voter starts from its snapshot. The order,
- * its phase and what was spent are there. */
+/* All instances lose power during a roll-out, and a voter restores its snapshot. The order, its
+ * phase and the requests used by the trial must be in it. */
 static void
-snapshot_holds_it (void)
+snapshot_keeps_rollout (void)
 {
   State *state = state_new (), *later = state_new ();
   MsgOp start = { .kind = MSG_OP_ROLLOUT_START }, step = { .kind = MSG_OP_ROLLOUT_STEP };
@@ -94,23 +95,23 @@
   state_apply (state, 5, &step, &verdict);
   GByteArray *bytes = state_capture (state);
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_OK);
-  const MsgRollout *held = roll_find (state_rollouts (later), "s");
-  g_assert_nonnull (held);
-  g_assert_cmpstr (held->target, ==, "v2");
-  g_assert_cmpstr (held->before, ==, "v1");
-  g_assert_cmpint (held->phase, ==, MSG_ROLLOUT_MOVING);
-  g_assert_cmpint (held->trial.elapsed_ms, ==, 6000);
-  g_assert_cmpuint (held->trial.reserved, ==, 90);
+  const MsgRollout *restored = roll_find (state_rollouts (later), "s");
+  g_assert_nonnull (restored);
+  g_assert_cmpstr (restored->target, ==, "v2");
+  g_assert_cmpstr (restored->before, ==, "v1");
+  g_assert_cmpint (restored->phase, ==, MSG_ROLLOUT_MOVING);
+  g_assert_cmpint (restored->trial.elapsed_ms, ==, 6000);
+  g_assert_cmpuint (restored->trial.reserved, ==, 90);
   g_assert_cmpuint (roll_index (state_rollouts (later)), ==, 5);
   g_byte_array_unref (bytes);
   state_free (state);
   state_free (later);
 }
 
-/* A voter is started with a newer program on a snapshot that knows no roll-outs yet, but contents
- * under which servers ended. It takes part, and keeps these. */
+/* After an upgrade a voter restores a snapshot of an older program, which has a crash table but no
+ * roll-outs. It must accept the snapshot and keep the crashes. */
 static void
-older_snapshot_has_none (void)
+older_snapshot_has_no_rollouts (void)
 {
   State *state = state_new (), *later = state_new ();
   MsgOp op = { .kind = MSG_OP_CRASH };
@@ -122,11 +123,11 @@
   op.MsgOp_u.ended.contents.contents_val = &content;
   state_apply (state, 1, &op, &verdict);
   GByteArray *bytes = state_capture (state);
-  g_byte_array_set_size (bytes, bytes->len - 12); /* what the older program did not write */
+  g_byte_array_set_size (bytes, bytes->len - 12); /* the older program did not write this part */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_OK);
   g_assert_nonnull (crashes_find (state_blame (later), content));
   g_assert_cmpuint (roll_index (state_rollouts (later)), ==, 0);
-  g_byte_array_set_size (bytes, bytes->len - 4); /* cut in the middle of what it did write */
+  g_byte_array_set_size (bytes, bytes->len - 4); /* truncates the part that it did write */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_CORRUPT);
   g_byte_array_unref (bytes);
   state_free (state);
@@ -138,7 +139,7 @@
 static const PlanLimits limits = { 0.1, 50 };
 
 static PlanInput
-facts_at (int64_t elapsed_us)
+plan_input_at (int64_t elapsed_us)
 {
   unsigned placed = (unsigned) (300 * elapsed_us / FT_SECOND);
 
@@ -154,9 +155,9 @@
                       .answers = placed / 20 };
 }
 
-/* 300 requests a second for a service, a limit of 12 s, answers of up to 3 s. The version is tried
- * with a small part, is moved to in time for the others' answers to end before the limit, and never
- * has had more than it may if it turns out to be bad. */
+/* 300 requests a second, a time limit of 12 s, answers of up to 3 s. The version gets a small share
+ * first and never more requests than a bad version may get. The move begins early enough for
+ * answers of other versions to end before the time limit. */
 static void
 trial_then_move_in_time (void)
 {
@@ -165,11 +166,11 @@
 
   for (int64_t at = 0; moved_ms == 0; at += 20 * FT_MS)
     {
-      PlanInput facts = facts_at (at);
-      facts.granted = granted;
-      facts.answers = granted;
-      plan_next (&limits, &facts, &step);
-      g_assert_cmpfloat (granted, <=, 0.1 * facts.placed + 50);
+      PlanInput input = plan_input_at (at);
+      input.granted = granted;
+      input.answers = granted;
+      plan_next (&limits, &input, &step);
+      g_assert_cmpfloat (granted, <=, 0.1 * input.placed + 50);
       g_assert_cmpint (step.phase, !=, MSG_ROLLOUT_ROLLED_BACK);
       granted += MIN (step.left, (unsigned) (300 * 0.02 * step.share + 0.99));
       if (step.phase == MSG_ROLLOUT_MOVING)
@@ -180,80 +181,82 @@
   g_assert_cmpuint (moved_ms, <=, 12000 - 3000 - 500);
 }
 
-/* Requests still run on servers of other versions as everything has moved. These stop at once when
- * the roll-out is completed, so it is not; at the limit what may run once only is waited for. */
+/* Requests still run on servers of other versions after the move. These servers may stop as soon as
+ * the roll-out is completed, so it waits; after the time limit it waits only for requests that must
+ * not be sent a second time. */
 static void
 completes_when_nothing_runs (void)
 {
-  PlanInput facts = facts_at (13 * FT_SECOND);
+  PlanInput input = plan_input_at (13 * FT_SECOND);
   PlanStep step;
 
-  facts.phase = MSG_ROLLOUT_MOVING;
-  facts.phase_us = 2 * FT_SECOND;
-  facts.running_before = facts.once_before = 1;
-  plan_next (&limits, &facts, &step);
+  input.phase = MSG_ROLLOUT_MOVING;
+  input.phase_us = 2 * FT_SECOND;
+  input.running_before = input.once_before = 1;
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_MOVING);
-  facts.once_before = 0; /* a stream that can go on elsewhere, and the limit is over */
-  plan_next (&limits, &facts, &step);
+  input.once_before = 0; /* only a stream that can continue elsewhere; the time limit is over */
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_COMPLETED);
-  facts.elapsed_us = 9 * FT_SECOND; /* there is time for it to end */
-  plan_next (&limits, &facts, &step);
+  input.elapsed_us = 9 * FT_SECOND; /* before the limit it may still end */
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_MOVING);
-  facts.elapsed_us = 13 * FT_SECOND;
-  facts.running_before = 0;
-  plan_next (&limits, &facts, &step);
+  input.elapsed_us = 13 * FT_SECOND;
+  input.running_before = 0;
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_COMPLETED);
-  facts.elapsed_us = 9 * FT_SECOND;
-  facts.unheard = 1; /* what it runs is not known */
-  plan_next (&limits, &facts, &step);
+  input.elapsed_us = 9 * FT_SECOND;
+  input.unheard = 1; /* an entry whose running requests are unknown */
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_MOVING);
-  facts.unheard = 0;
-  facts.elapsed_us = 9 * FT_SECOND;
-  facts.suspicion = 0.7; /* there is time to know better */
-  plan_next (&limits, &facts, &step);
+  input.unheard = 0;
+  input.elapsed_us = 9 * FT_SECOND;
+  input.suspicion = 0.7; /* before the limit more evidence can come */
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_MOVING);
-  facts.suspicion = 1;
-  plan_next (&limits, &facts, &step);
+  input.suspicion = 1;
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_ROLLED_BACK);
 }
 
-/* No server of the version comes, or too few for the load, or it is not shown to be sound. Nothing
- * moves, and at the limit it is rolled back for that reason. */
+/* No server of the version starts, or too few for the load, or there is not enough evidence that
+ * the version is good. The trial goes on, and at the time limit it is rolled back with that reason.
+ */
 static void
-rolls_back_what_cannot_move (void)
+rolls_back_if_it_cannot_move (void)
 {
-  PlanInput facts = facts_at (8 * FT_SECOND);
+  PlanInput input = plan_input_at (8 * FT_SECOND);
   PlanStep step;
 
-  facts.places = 100;
-  plan_next (&limits, &facts, &step);
+  input.places = 100;
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_TRYING);
-  facts.elapsed_us = 12 * FT_SECOND;
-  plan_next (&limits, &facts, &step);
+  input.elapsed_us = 12 * FT_SECOND;
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_ROLLED_BACK);
   g_assert_cmpstr (step.why, ==, "its servers have too little capacity for the load");
-  facts.servers = 0;
-  plan_next (&limits, &facts, &step);
+  input.servers = 0;
+  plan_next (&limits, &input, &step);
   g_assert_cmpstr (step.why, ==, "no server of the version was available in time");
-  facts = facts_at (8 * FT_SECOND);
-  facts.after = facts.before = 0.4; /* nothing can be told while both fail */
-  plan_next (&limits, &facts, &step);
+  input = plan_input_at (8 * FT_SECOND);
+  input.after = input.before = 0.4; /* no conclusion while both versions fail */
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_TRYING);
-  facts = facts_at (12 * FT_SECOND);
-  facts.answers = 3;
-  plan_next (&limits, &facts, &step);
+  input = plan_input_at (12 * FT_SECOND);
+  input.answers = 3;
+  plan_next (&limits, &input, &step);
   g_assert_cmpstr (step.why, ==, "it was not shown to be sound in time");
 }
 
-/* Nobody asks for the service: nobody can be hurt, so it moves all the same. */
+/* A service without requests moves without evidence, since a bad version would fail nobody. */
 static void
 idle_service_moves (void)
 {
-  PlanInput facts = facts_at (11 * FT_SECOND);
+  PlanInput input = plan_input_at (11 * FT_SECOND);
   PlanStep step;
 
-  facts.placed = facts.granted = facts.answers = 0;
-  plan_next (&limits, &facts, &step);
+  input.placed = input.granted = input.answers = 0;
+  plan_next (&limits, &input, &step);
   g_assert_cmpint (step.phase, ==, MSG_ROLLOUT_MOVING);
 }
 
@@ -264,130 +267,134 @@
   TestClock clock;
   Judge *judge;
   GRand *rand;
-} Court;
+} JudgeFixture;
 
-static Court *
-court_new (guint32 seed)
+static JudgeFixture *
+judge_fixture_new (guint32 seed)
 {
-  Court *court = g_new0 (Court, 1);
+  JudgeFixture *fixture = g_new0 (JudgeFixture, 1);
 
-  court->clock = test_clock ();
-  court->judge = judge_new (&court->clock.base, JUDGE_CUSUM);
-  judge_set_servers (court->judge, 4);
-  court->rand = g_rand_new_with_seed (seed);
-  return court;
+  fixture->clock = test_clock ();
+  fixture->judge = judge_new (&fixture->clock.base, JUDGE_CUSUM);
+  judge_set_servers (fixture->judge, 4);
+  fixture->rand = g_rand_new_with_seed (seed);
+  return fixture;
 }
 
 static void
-court_free (Court *court)
+judge_fixture_free (JudgeFixture *fixture)
 {
-  judge_free (court->judge);
-  g_rand_free (court->rand);
-  g_free (court);
+  judge_free (fixture->judge);
+  g_rand_free (fixture->rand);
+  g_free (fixture);
 }
 
 typedef struct
 {
-  double before, after; /* share of bad answers of both versions */
-  double one_server;    /* of the ordered version's first server */
-  double one_route;     /* of the ordered version on the first route */
-} Badness;
+  double before, after; /* share of bad answers of the previous and of the target version */
+  double one_server;    /* at least this share on the target version's first server */
+  double one_route;     /* at least this share of the target version on the first route */
+} BadShares;
 
-/* 300 requests a second over five routes, every sixteenth to four servers of the version. Returns
- * how many of them it took to condemn it; 0: it was not. */
+/* 300 requests a second over five routes, every sixteenth to four servers of the target version.
+ * Returns after how many of its answers the version was judged bad; 0: it was not. */
 static unsigned
-try_for (Court *court, double seconds, Badness bad)
+run_judge (JudgeFixture *fixture, double seconds, BadShares bad)
 {
   unsigned answers = 0;
 
   for (unsigned i = 0; i < 300 * seconds; i++)
     {
-      JudgeResult facts;
+      JudgeResult result;
       JudgeAnswer answer = { .route = 1 + i % 5, .ordered = i % 16 == 0 };
-      answer.server = (answer.ordered ? 1 : 100) + (guint32) g_rand_int_range (court->rand, 0, 4);
+      answer.server = (answer.ordered ? 1 : 100) + (guint32) g_rand_int_range (fixture->rand, 0, 4);
       double share = answer.ordered ? bad.after : bad.before;
       if (answer.ordered && answer.server == 1)
         share = MAX (share, bad.one_server);
       if (answer.ordered && answer.route == 1)
         share = MAX (share, bad.one_route);
-      answer.bad = g_rand_double (court->rand) < share;
-      court->clock.now += FT_SECOND / 300;
-      judge_add_answer (court->judge, &answer);
+      answer.bad = g_rand_double (fixture->rand) < share;
+      fixture->clock.now += FT_SECOND / 300;
+      judge_add_answer (fixture->judge, &answer);
       answers += answer.ordered;
-      judge_get_result (court->judge, &facts);
-      if (facts.suspicion >= 1)
+      judge_get_result (fixture->judge, &result);
+      if (result.suspicion >= 1)
         return answers;
     }
   return 0;
 }
 
-/* A version fails half of its requests, or all on one route. It is condemned by few answers. */
+/* A version fails half of its requests, or all on one route. Few answers suffice to detect it. */
 static void
-bad_versions_are_condemned (void)
+bad_version_is_detected (void)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      Court *court = court_new (seed);
-      unsigned took = try_for (court, 6, (Badness){ .before = 0.01, .after = 0.5 });
-      g_assert_cmpuint (took, >, 0);
-      g_assert_cmpuint (took, <=, 50);
-      court_free (court);
-      court = court_new (seed);
-      took = try_for (court, 6, (Badness){ .before = 0.01, .after = 0.01, .one_route = 1 });
-      g_assert_cmpuint (took, >, 0);
-      court_free (court);
+      JudgeFixture *fixture = judge_fixture_new (seed);
+      unsigned answers_taken = run_judge (fixture, 6, (BadShares){ .before = 0.01, .after = 0.5 });
+      g_assert_cmpuint (answers_taken, >, 0);
+      g_assert_cmpuint (answers_taken, <=, 50);
+      judge_fixture_free (fixture);
+      fixture = judge_fixture_new (seed);
+      answers_taken
+          = run_judge (fixture, 6, (BadShares){ .before = 0.01, .after = 0.01, .one_route = 1 });
+      g_assert_cmpuint (answers_taken, >, 0);
+      judge_fixture_free (fixture);
     }
 }
 
-/* A version is sound for four seconds and fails half of its requests then. What it did before does
- * not save it. */
+/* A version is good for four seconds and then fails half of its requests. The good answers must not
+ * delay the detection. */
 static void
-version_that_turns_bad (void)
+later_fault_is_detected (void)
 {
-  Court *court = court_new (1);
+  JudgeFixture *fixture = judge_fixture_new (1);
 
-  g_assert_cmpuint (try_for (court, 4, (Badness){ .before = 0.01, .after = 0.01 }), ==, 0);
-  unsigned took = try_for (court, 2, (Badness){ .before = 0.01, .after = 0.5 });
-  g_assert_cmpuint (took, >, 0);
-  g_assert_cmpuint (took, <=, 50);
-  court_free (court);
+  g_assert_cmpuint (run_judge (fixture, 4, (BadShares){ .before = 0.01, .after = 0.01 }), ==, 0);
+  unsigned answers_taken = run_judge (fixture, 2, (BadShares){ .before = 0.01, .after = 0.5 });
+  g_assert_cmpuint (answers_taken, >, 0);
+  g_assert_cmpuint (answers_taken, <=, 50);
+  judge_fixture_free (fixture);
 }
 
-/* One server of the version fails all it gets, or all servers of both versions fail half for some
- * seconds, or a tenth always. None of that is the version's fault. */
+/* One server of the version fails all its requests, or both versions fail almost half for some
+ * seconds, or a tenth all the time. None of these is a fault of the version. */
 static void
-sound_versions_are_not (void)
+good_version_is_not_rejected (void)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
-      Court *court = court_new (seed);
+      JudgeFixture *fixture = judge_fixture_new (seed);
       g_assert_cmpuint (
-          try_for (court, 6, (Badness){ .before = 0.01, .after = 0.01, .one_server = 1 }), ==, 0);
-      court_free (court);
-      court = court_new (seed);
-      g_assert_cmpuint (try_for (court, 2, (Badness){ .before = 0.01, .after = 0.01 }), ==, 0);
-      g_assert_cmpuint (try_for (court, 4, (Badness){ .before = 0.45, .after = 0.45 }), ==, 0);
-      court_free (court);
-      court = court_new (seed);
-      g_assert_cmpuint (try_for (court, 6, (Badness){ .before = 0.1, .after = 0.1 }), ==, 0);
-      court_free (court);
+          run_judge (fixture, 6, (BadShares){ .before = 0.01, .after = 0.01, .one_server = 1 }), ==,
+          0);
+      judge_fixture_free (fixture);
+      fixture = judge_fixture_new (seed);
+      g_assert_cmpuint (run_judge (fixture, 2, (BadShares){ .before = 0.01, .after = 0.01 }), ==,
+                        0);
+      g_assert_cmpuint (run_judge (fixture, 4, (BadShares){ .before = 0.45, .after = 0.45 }), ==,
+                        0);
+      judge_fixture_free (fixture);
+      fixture = judge_fixture_new (seed);
+      g_assert_cmpuint (run_judge (fixture, 6, (BadShares){ .before = 0.1, .after = 0.1 }), ==, 0);
+      judge_fixture_free (fixture);
     }
 }
 
-/* The voter in charge is lost in the middle. The next one goes on from what the log says, instead
- * of beginning anew. */
+/* The leader is lost during a trial. The next one continues from the evidence in the log instead of
+ * starting with none. */
 static void
-evidence_is_taken_over (void)
+evidence_is_resumed (void)
 {
-  Court *court = court_new (1);
-  JudgeResult facts;
+  JudgeFixture *fixture = judge_fixture_new (1);
+  JudgeResult result;
 
-  judge_resume (court->judge, 12, 5, 0.8);
-  judge_get_result (court->judge, &facts);
-  g_assert_cmpuint (facts.answers, ==, 12);
-  g_assert_cmpuint (facts.bad, ==, 5);
-  g_assert_cmpfloat (facts.suspicion, >, 0.79);
-  court_free (court);
+  judge_resume (fixture->judge, 12, 5, 0.8);
+  judge_get_result (fixture->judge, &result);
+  g_assert_cmpuint (result.answers, ==, 12);
+  g_assert_cmpuint (result.bad, ==, 5);
+  g_assert_cmpfloat (result.suspicion, >, 0.79);
+  judge_fixture_free (fixture);
 }
 
 /* ---- Which servers get requests ---- */
@@ -396,26 +403,26 @@
 {
   TestClock clock;
   Sched *sched;
-  char last[8]; /* server granted last; "": refused or waiting */
+  char last_server[8]; /* server granted last; "": none since the last request */
   unsigned granted[4];
   unsigned judged, judged_bad;
   unsigned slots, prompt_tokens;
   uint64_t asked;
-  Judge *judge; /* hears of every answer; NULL: none */
-} Pool;
+  Judge *judge; /* gets every judged answer; NULL: none */
+} SchedFixture;
 
 static void
 on_grant (void *host, uint64_t owner, uint64_t request, const char *org, const char *server,
           int64_t max_idle_us)
 {
-  Pool *pool = host;
+  SchedFixture *fixture = host;
 
   (void) owner;
   (void) request;
   (void) org;
   (void) max_idle_us;
-  g_strlcpy (pool->last, server, sizeof pool->last);
-  pool->granted[server[1] - '0']++;
+  g_strlcpy (fixture->last_server, server, sizeof fixture->last_server);
+  fixture->granted[server[1] - '0']++;
 }
 
 static void
@@ -436,7 +443,7 @@
 }
 
 static void
-on_believes (void *host, const char *server, bool out, const char *why, int64_t for_us)
+on_server_out (void *host, const char *server, bool out, const char *why, int64_t for_us)
 {
   (void) host;
   (void) server;
@@ -448,468 +455,479 @@
 static void
 on_judged (void *host, const SchedVerdict *judged)
 {
-  Pool *pool = host;
+  SchedFixture *fixture = host;
 
-  pool->judged++;
-  pool->judged_bad += judged->bad;
-  if (pool->judge)
-    judge_add_answer (pool->judge,
+  fixture->judged++;
+  fixture->judged_bad += judged->bad;
+  if (fixture->judge)
+    judge_add_answer (fixture->judge,
                       &(JudgeAnswer){ judged->route, sched_server_digest (judged->server),
                                       judged->ordered, judged->bad });
   g_assert_cmpint (judged->ordered, ==, judged->server[1] >= '2');
 }
 
-static const SchedOps sched_ops = { on_grant, on_refuse, on_unused, on_believes, on_judged, NULL };
+static const SchedOps sched_ops
+    = { on_grant, on_refuse, on_unused, on_server_out, on_judged, NULL };
 
 #define ROUTES 3
 
-/* s0 and s1 have one version, s2 and s3 another; listed: a bit for each. */
+/* Lists the servers whose bits are set; s0 and s1 have version v1, s2 and s3 have v2. */
 static void
-list_servers (Pool *pool, unsigned listed)
+list_servers (SchedFixture *fixture, unsigned listed_mask)
 {
   static const char *const ids[] = { "s0", "s1", "s2", "s3" };
   SchedServer list[4];
   unsigned count = 0;
 
   for (unsigned i = 0; i < 4; i++)
-    if (listed >> i & 1)
-      list[count++] = (SchedServer){ ids[i], "s", "d", pool->slots, false, 0, i < 2 ? "v1" : "v2" };
-  sched_set_servers (pool->sched, list, count);
+    if (listed_mask >> i & 1)
+      list[count++]
+          = (SchedServer){ ids[i], "s", "d", fixture->slots, false, 0, i < 2 ? "v1" : "v2" };
+  sched_set_servers (fixture->sched, list, count);
 }
 
-static Pool *
-pool_new (unsigned listed)
+static SchedFixture *
+sched_fixture_new (unsigned listed_mask)
 {
-  Pool *pool = g_new0 (Pool, 1);
+  SchedFixture *fixture = g_new0 (SchedFixture, 1);
 
-  pool->clock = test_clock ();
-  pool->slots = 4;
-  pool->sched = sched_new (&pool->clock.base, &sched_ops, pool);
-  sched_set_service (pool->sched, "s", &(SchedServiceConf){ 0 });
-  list_servers (pool, listed);
-  return pool;
+  fixture->clock = test_clock ();
+  fixture->slots = 4;
+  fixture->sched = sched_new (&fixture->clock.base, &sched_ops, fixture);
+  sched_set_service (fixture->sched, "s", &(SchedServiceConf){ 0 });
+  list_servers (fixture, listed_mask);
+  return fixture;
 }
 
 static void
-pool_free (Pool *pool)
+sched_fixture_free (SchedFixture *fixture)
 {
-  sched_free (pool->sched);
-  g_free (pool);
+  sched_free (fixture->sched);
+  g_free (fixture);
 }
 
 static void
-ask_one (Pool *pool, uint64_t number)
+submit_one (SchedFixture *fixture, uint64_t number)
 {
-  int64_t now = pool->clock.now;
+  int64_t now = fixture->clock.now;
   SchedAsk ask = { .owner = 1,
                    .request = number,
                    .service = "s",
                    .org = "o",
-                   .prompt_tokens = pool->prompt_tokens,
+                   .prompt_tokens = fixture->prompt_tokens,
                    .route = 1 + (unsigned) (number % ROUTES),
                    .aim_at = now + FT_SECOND,
                    .limit_at = now + FT_SECOND,
                    .end_at = now + 2 * FT_SECOND };
 
-  *pool->last = '\0';
-  sched_ask (pool->sched, &ask);
+  *fixture->last_server = '\0';
+  sched_ask (fixture->sched, &ask);
 }
 
 static void
-run_many (Pool *pool, unsigned count, int64_t took_us)
+run_requests (SchedFixture *fixture, unsigned count, int64_t took_us)
 {
   static uint64_t number;
 
-  memset (pool->granted, 0, sizeof pool->granted);
+  memset (fixture->granted, 0, sizeof fixture->granted);
   for (unsigned i = 0; i < count; i++)
     {
       SchedResult result = { .outcome = SCHED_OK, .answer_us = took_us };
-      ask_one (pool, ++number);
-      pool->clock.now += took_us;
-      sched_first_event (pool->sched, 1, number, took_us);
-      sched_done (pool->sched, 1, number, &result);
-      sched_tick (pool->sched);
+      submit_one (fixture, ++number);
+      fixture->clock.now += took_us;
+      sched_first_event (fixture->sched, 1, number, took_us);
+      sched_done (fixture->sched, 1, number, &result);
+      sched_tick (fixture->sched);
     }
 }
 
 static unsigned
-granted_new (const Pool *pool)
+granted_target (const SchedFixture *fixture)
 {
-  return pool->granted[2] + pool->granted[3];
+  return fixture->granted[2] + fixture->granted[3];
 }
 
-/* Servers of a version that nobody ordered stand in the list. They get no request, not even when
- * all others are busy; only when no other is listed are they what there is. */
+/* The list has servers of a version that was never ordered. They get no request while servers of
+ * the version in use are listed, not even if all of these are busy, and are used when there is no
+ * other. */
 static void
-unordered_version_gets_nothing (void)
+unordered_version_gets_no_request (void)
 {
-  Pool *pool = pool_new (3);
+  SchedFixture *fixture = sched_fixture_new (3);
 
-  list_servers (pool, 15);
+  list_servers (fixture, 15);
   for (unsigned i = 1; i <= 12; i++)
-    ask_one (pool, 1000 + i);
-  g_assert_cmpuint (granted_new (pool), ==, 0);
-  sched_owner_gone (pool->sched, 1);
-  list_servers (pool, 12);
-  run_many (pool, 10, 20 * FT_MS);
-  g_assert_cmpuint (granted_new (pool), ==, 10);
-  pool_free (pool);
+    submit_one (fixture, 1000 + i);
+  g_assert_cmpuint (granted_target (fixture), ==, 0);
+  sched_owner_gone (fixture->sched, 1);
+  list_servers (fixture, 12);
+  run_requests (fixture, 10, 20 * FT_MS);
+  g_assert_cmpuint (granted_target (fixture), ==, 10);
+  sched_fixture_free (fixture);
 }
 
-/* A service starts with a list of thousands of servers, a few of them of a version that nobody has
- * ordered, named first. An instance with a part of a processor that compares each with each takes
- * half a second before it serves anybody; one pass finds the version of most. */
+/* A service starts with a list of thousands of servers; the first few have another version than the
+ * rest. The version of most servers is used. Comparing each server with each took half a second on
+ * a fraction of a processor before the first request was served; one pass suffices. */
 static void
-version_of_most_is_used (void)
+most_common_version_is_used (void)
 {
   enum
   {
-    MANY = 20000,
-    ODD = 3
+    SERVER_COUNT = 20000,
+    OTHER_COUNT = 3
   };
-  Pool *pool = pool_new (0);
-  SchedServer *list = g_new0 (SchedServer, MANY);
-  char (*ids)[16] = g_malloc0 (MANY * sizeof *ids);
+  SchedFixture *fixture = sched_fixture_new (0);
+  SchedServer *list = g_new0 (SchedServer, SERVER_COUNT);
+  char (*ids)[16] = g_malloc0 (SERVER_COUNT * sizeof *ids);
 
-  for (unsigned i = 0; i < MANY; i++)
+  for (unsigned i = 0; i < SERVER_COUNT; i++)
     {
-      g_snprintf (ids[i], sizeof ids[i], "%c0-%u", i < ODD ? 's' : 't', i);
-      list[i] = (SchedServer){ ids[i], "s", "d", 4, false, 0, i < ODD ? "v0" : "v1" };
+      g_snprintf (ids[i], sizeof ids[i], "%c0-%u", i < OTHER_COUNT ? 's' : 't', i);
+      list[i] = (SchedServer){ ids[i], "s", "d", 4, false, 0, i < OTHER_COUNT ? "v0" : "v1" };
     }
-  sched_set_servers (pool->sched, list, MANY);
+  sched_set_servers (fixture->sched, list, SERVER_COUNT);
   SchedServiceStats stats;
-  sched_service_stats (pool->sched, "s", &stats);
+  sched_service_stats (fixture->sched, "s", &stats);
   g_assert_cmpstr (stats.in_use, ==, "v1");
-  g_assert_cmpuint (stats.used.servers, ==, MANY - ODD);
+  g_assert_cmpuint (stats.used.servers, ==, SERVER_COUNT - OTHER_COUNT);
   g_free (ids);
   g_free (list);
-  pool_free (pool);
+  sched_fixture_free (fixture);
 }
 
-/* A trial: a tenth of each route's requests goes to the version, and no more than are left. They
- * are so few that one server would hold them all; both get some, so that one that fails by itself
+/* In a trial a tenth of each route's requests goes to the target version, until the count that is
+ * left is used up. One server could take them all; both get some, so that a single failing server
  * can be told from a bad version. */
 static void
 trial_gets_its_share (void)
 {
-  Pool *pool = pool_new (15);
+  SchedFixture *fixture = sched_fixture_new (15);
   SchedVersions trial = { "v1", "v2", "v2", 0.1, 1000, false, true };
 
-  sched_set_versions (pool->sched, "s", &trial);
-  run_many (pool, 400, 20 * FT_MS);
-  g_assert_cmpuint (granted_new (pool), >=, 38);
-  g_assert_cmpuint (granted_new (pool), <=, 40);
-  g_assert_cmpuint (pool->granted[2], >=, 15);
-  g_assert_cmpuint (pool->granted[3], >=, 15);
+  sched_set_versions (fixture->sched, "s", &trial);
+  run_requests (fixture, 400, 20 * FT_MS);
+  g_assert_cmpuint (granted_target (fixture), >=, 38);
+  g_assert_cmpuint (granted_target (fixture), <=, 40);
+  g_assert_cmpuint (fixture->granted[2], >=, 15);
+  g_assert_cmpuint (fixture->granted[3], >=, 15);
   trial.left = 3;
-  sched_set_versions (pool->sched, "s", &trial);
-  run_many (pool, 400, 20 * FT_MS);
-  g_assert_cmpuint (granted_new (pool), ==, 3);
-  g_assert_cmpuint (pool->judged, ==, 800);
-  g_assert_cmpuint (pool->judged_bad, ==, 0);
-  pool_free (pool);
+  sched_set_versions (fixture->sched, "s", &trial);
+  run_requests (fixture, 400, 20 * FT_MS);
+  g_assert_cmpuint (granted_target (fixture), ==, 3);
+  g_assert_cmpuint (fixture->judged, ==, 800);
+  g_assert_cmpuint (fixture->judged_bad, ==, 0);
+  sched_fixture_free (fixture);
 }
 
-/* What comes after a trial: after the move the servers of the version before get nothing, after a
- * roll-back those of the new one, even if no other is listed. */
+/* After the move the servers of the previous version get no request, after a roll-back those of the
+ * target get none, even if no other server is listed. */
 static void
-after_the_verdict (void)
+versions_after_rollout (void)
 {
-  Pool *pool = pool_new (15);
+  SchedFixture *fixture = sched_fixture_new (15);
 
-  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, false });
-  run_many (pool, 20, 20 * FT_MS);
-  g_assert_cmpuint (granted_new (pool), ==, 20);
-  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, false, false });
-  run_many (pool, 20, 20 * FT_MS);
-  g_assert_cmpuint (granted_new (pool), ==, 0);
-  list_servers (pool, 12);
-  ask_one (pool, 5000);
-  g_assert_cmpstr (pool->last, ==, "");
-  pool_free (pool);
+  sched_set_versions (fixture->sched, "s",
+                      &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, false });
+  run_requests (fixture, 20, 20 * FT_MS);
+  g_assert_cmpuint (granted_target (fixture), ==, 20);
+  sched_set_versions (fixture->sched, "s",
+                      &(SchedVersions){ "v1", "v2", "v2", 0, 0, false, false });
+  run_requests (fixture, 20, 20 * FT_MS);
+  g_assert_cmpuint (granted_target (fixture), ==, 0);
+  list_servers (fixture, 12);
+  submit_one (fixture, 5000);
+  g_assert_cmpstr (fixture->last_server, ==, "");
+  sched_fixture_free (fixture);
 }
 
-/* An entry was cut off while a trial ran, and the move was completed meanwhile: its list shows
- * servers of the new version alone. It goes on with these. */
+/* An entry was cut off during a trial, and the roll-out was completed meanwhile: its list has only
+ * servers of the target version. It uses these. */
 static void
-cut_off_entry_follows (void)
+reconnected_entry_follows (void)
 {
-  Pool *pool = pool_new (15);
+  SchedFixture *fixture = sched_fixture_new (15);
 
-  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, true, false });
-  run_many (pool, 20, 20 * FT_MS);
-  g_assert_cmpuint (granted_new (pool), ==, 0);
-  list_servers (pool, 12);
-  run_many (pool, 20, 20 * FT_MS);
-  g_assert_cmpuint (granted_new (pool), ==, 20);
-  pool_free (pool);
+  sched_set_versions (fixture->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0, 0, true, false });
+  run_requests (fixture, 20, 20 * FT_MS);
+  g_assert_cmpuint (granted_target (fixture), ==, 0);
+  list_servers (fixture, 12);
+  run_requests (fixture, 20, 20 * FT_MS);
+  g_assert_cmpuint (granted_target (fixture), ==, 20);
+  sched_fixture_free (fixture);
 }
 
-/* A version answers five times as slowly. Its answers are judged bad, those of the others are not;
- * one that does not come at all is judged before its caller's time is over. */
+/* The target version answers five times as slowly. Its answers are judged bad, those of the
+ * previous version are not. An answer that does not come is judged before the caller's deadline. */
 static void
 slow_answers_are_bad (void)
 {
-  Pool *pool = pool_new (15);
+  SchedFixture *fixture = sched_fixture_new (15);
 
-  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v1", "v2", "v2", 0.1, 0, false, true });
-  run_many (pool, 100, 40 * FT_MS);
-  g_assert_cmpuint (pool->judged_bad, ==, 0);
-  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
-  run_many (pool, 10, 200 * FT_MS);
-  g_assert_cmpuint (pool->judged_bad, ==, 10);
-  ask_one (pool, 9000);
-  pool->clock.now += 400 * FT_MS;
-  sched_tick (pool->sched);
-  g_assert_cmpuint (pool->judged_bad, ==, 11);
-  pool_free (pool);
+  sched_set_versions (fixture->sched, "s",
+                      &(SchedVersions){ "v1", "v2", "v2", 0.1, 0, false, true });
+  run_requests (fixture, 100, 40 * FT_MS);
+  g_assert_cmpuint (fixture->judged_bad, ==, 0);
+  sched_set_versions (fixture->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
+  run_requests (fixture, 10, 200 * FT_MS);
+  g_assert_cmpuint (fixture->judged_bad, ==, 10);
+  submit_one (fixture, 9000);
+  fixture->clock.now += 400 * FT_MS;
+  sched_tick (fixture->sched);
+  g_assert_cmpuint (fixture->judged_bad, ==, 11);
+  sched_fixture_free (fixture);
 }
 
-/* Another voter takes charge in the move, and its scheduler has no answer of the version before to
- * compare with. Events of a sound version come less often than is assumed of unknown servers; that
- * alone is no reason to roll back. A stream of the version before that ends tells what is slow. */
+/* Another voter becomes leader during the move, and its scheduler has no answer of the previous
+ * version to compare with. A good version may be slower than the default that is assumed for
+ * unknown servers; that must not count as evidence. The first stream of the previous version that
+ * ends gives the baseline. */
 static void
-nothing_known_is_no_evidence (void)
+unknown_latency_is_no_evidence (void)
 {
-  Pool *pool = pool_new (15);
+  SchedFixture *fixture = sched_fixture_new (15);
   SchedResult usual = { .outcome = SCHED_OK, .event_us = 25 * FT_MS };
   SchedResult slow = { .outcome = SCHED_OK, .event_us = 100 * FT_MS };
   SchedAsk old = { .owner = 1, .request = 50, .service = "s", .org = "o" };
 
-  sched_set_service (pool->sched, "s", &(SchedServiceConf){ .engine = true, .stride = 1 });
-  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
-  sched_adopt (pool->sched, &old, "s0");
-  sched_tick (pool->sched);
+  sched_set_service (fixture->sched, "s", &(SchedServiceConf){ .engine = true, .stride = 1 });
+  sched_set_versions (fixture->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
+  sched_adopt (fixture->sched, &old, "s0");
+  sched_tick (fixture->sched);
   for (uint64_t number = 1; number <= 10; number++)
     {
-      ask_one (pool, number);
-      sched_first_event (pool->sched, 1, number, 300 * FT_MS);
-      sched_done (pool->sched, 1, number, &usual);
+      submit_one (fixture, number);
+      sched_first_event (fixture->sched, 1, number, 300 * FT_MS);
+      sched_done (fixture->sched, 1, number, &usual);
     }
-  g_assert_cmpuint (pool->judged, ==, 10);
-  g_assert_cmpuint (pool->judged_bad, ==, 0);
-  sched_done (pool->sched, 1, old.request, &usual);
-  sched_tick (pool->sched);
-  ask_one (pool, 11);
-  sched_done (pool->sched, 1, 11, &slow);
-  g_assert_cmpuint (pool->judged_bad, ==, 1);
-  pool_free (pool);
+  g_assert_cmpuint (fixture->judged, ==, 10);
+  g_assert_cmpuint (fixture->judged_bad, ==, 0);
+  sched_done (fixture->sched, 1, old.request, &usual);
+  sched_tick (fixture->sched);
+  submit_one (fixture, 11);
+  sched_done (fixture->sched, 1, 11, &slow);
+  g_assert_cmpuint (fixture->judged_bad, ==, 1);
+  sched_fixture_free (fixture);
 }
 
 static void
-answer_in (Pool *pool, uint64_t number, int64_t took_us)
+answer_after (SchedFixture *fixture, uint64_t number, int64_t took_us)
 {
   SchedResult result = { .outcome = SCHED_OK, .answer_us = took_us };
 
-  ask_one (pool, number);
-  pool->clock.now += took_us;
-  sched_done (pool->sched, 1, number, &result);
-  sched_tick (pool->sched);
+  submit_one (fixture, number);
+  fixture->clock.now += took_us;
+  sched_done (fixture->sched, 1, number, &result);
+  sched_tick (fixture->sched);
 }
 
-/* Answers of one route of a plain service take eight times as long as those of the others, of both
- * versions. When everything moves the latest answers were short ones; what is long is judged by its
- * own route, and only what takes longer than there is slow. */
+/* On one route of a plain service both versions take eight times as long as on the others. Before
+ * the move the latest answers were short ones. Answers are compared with those of their own route,
+ * so only an answer that is long for its route is slow. */
 static void
 long_route_is_not_slow (void)
 {
-  Pool *pool = pool_new (13);
+  SchedFixture *fixture = sched_fixture_new (13);
   uint64_t number = 0;
 
-  sched_set_versions (pool->sched, "s",
+  sched_set_versions (fixture->sched, "s",
                       &(SchedVersions){ "v1", "v2", "v2", 0.1, 100, false, true });
   while (number < 50 * ROUTES)
     {
       number++;
-      answer_in (pool, number, number % ROUTES ? 20 * FT_MS : 160 * FT_MS);
+      answer_after (fixture, number, number % ROUTES ? 20 * FT_MS : 160 * FT_MS);
     }
   for (unsigned i = 0; i < 10; i++)
-    answer_in (pool, ++number * ROUTES + 1, 20 * FT_MS);
-  unsigned bad = pool->judged_bad;
-  sched_set_versions (pool->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
+    answer_after (fixture, ++number * ROUTES + 1, 20 * FT_MS);
+  unsigned bad = fixture->judged_bad;
+  sched_set_versions (fixture->sched, "s", &(SchedVersions){ "v2", "v1", "v2", 0, 0, false, true });
   for (unsigned i = 0; i < 10; i++)
-    answer_in (pool, ++number * ROUTES, 160 * FT_MS);
-  g_assert_cmpuint (pool->judged_bad, ==, bad);
+    answer_after (fixture, ++number * ROUTES, 160 * FT_MS);
+  g_assert_cmpuint (fixture->judged_bad, ==, bad);
   for (unsigned i = 0; i < 10; i++)
-    answer_in (pool, ++number * ROUTES, 600 * FT_MS);
-  g_assert_cmpuint (pool->judged_bad, ==, bad + 10);
-  pool_free (pool);
+    answer_after (fixture, ++number * ROUTES, 600 * FT_MS);
+  g_assert_cmpuint (fixture->judged_bad, ==, bad + 10);
+  sched_fixture_free (fixture);
 }
 
-/* ---- Answers of both versions at the same time ---- */
+/* ---- Trials with simulated answers of both versions ---- */
 
-#define PLAYED    (7 * FT_SECOND)
-#define ORDER_AT  (1 * FT_SECOND)
-#define BUSY_AT   (3 * FT_SECOND) /* the machine is busy from then on */
-#define ASKS      300             /* a second */
-#define TAIL_PART 0.03
-#define TAIL      5
-#define STREAMED  5   /* times as long an engine's answer takes */
-#define MILLIS    100 /* an answer's time on an idle machine */
-#define UNDER_WAY 2048
-#define PROMPT    1 /* so that prompts of one server hardly wait for each other */
-#define TOKENS    10
+#define TRIAL_TIME    (7 * FT_SECOND)
+#define ORDER_AT      (1 * FT_SECOND)
+#define LOAD_AT       (3 * FT_SECOND) /* when the machine becomes busy */
+#define REQUEST_RATE  300             /* requests a second */
+#define TAIL_SHARE    0.03
+#define TAIL_FACTOR   5
+#define STREAM_FACTOR 5   /* an engine's answers take this many times as long */
+#define ANSWER_MS     100 /* time of an answer on an idle machine */
+#define RUNNING_MAX   2048
+#define PROMPT_TOKENS 1 /* small, so that prefills hardly delay each other */
+#define ANSWER_TOKENS 10
 
 typedef struct
 {
-  double share;  /* of the requests, on the ordered version */
-  bool engine;   /* answers are streams of TOKENS, the first of them after a fifth of the time */
-  bool uneven;   /* routes differ, and a few answers of either version take TAIL times as long */
-  bool busy;     /* answers of both versions take 2.5 to 3.5 times as long from BUSY_AT on */
-  double slower; /* the ordered version's answers take so many times as long, and if it is busy
-                    from BUSY_AT on */
-} Play;
+  double share; /* of the requests, for the target version */
+  bool engine;  /* answers are streams; the first event comes after a fifth of the time */
+  bool uneven;  /* routes differ, and TAIL_SHARE of the answers take TAIL_FACTOR times as long */
+  bool busy;    /* from LOAD_AT on, answers of both versions take 2.5 to 3.5 times as long */
+  double slow_factor; /* the target version's answers take this many times as long; if busy is set,
+                         only from LOAD_AT on */
+} TrialCase;
 
 typedef struct
 {
   uint64_t number; /* 0: none */
   int64_t sent_at, first_at, due_at;
-} Sent;
+} SentRequest;
 
 static int64_t
-time_of (const Play *play, GRand *rand, uint64_t number, bool ordered, int64_t at)
+answer_time (const TrialCase *trial_case, GRand *rand, uint64_t number, bool ordered, int64_t at)
 {
-  double took = MILLIS * (double) FT_MS * g_rand_double_range (rand, 0.8, 1.2);
+  double took = ANSWER_MS * (double) FT_MS * g_rand_double_range (rand, 0.8, 1.2);
 
-  if (play->engine)
-    took *= STREAMED;
-  if (play->uneven)
+  if (trial_case->engine)
+    took *= STREAM_FACTOR;
+  if (trial_case->uneven)
     took *= 0.5 + 0.5 * (double) (number % ROUTES);
-  if (play->uneven && g_rand_double (rand) < TAIL_PART)
-    took *= TAIL;
-  if (play->busy && at >= BUSY_AT)
+  if (trial_case->uneven && g_rand_double (rand) < TAIL_SHARE)
+    took *= TAIL_FACTOR;
+  if (trial_case->busy && at >= LOAD_AT)
     took *= g_rand_double_range (rand, 2.5, 3.5);
-  if (ordered && (!play->busy || at >= BUSY_AT))
-    took *= play->slower;
+  if (ordered && (!trial_case->busy || at >= LOAD_AT))
+    took *= trial_case->slow_factor;
   return (int64_t) took;
 }
 
 static void
-go_on (Pool *pool, Sent *sent, bool engine)
+update_request (SchedFixture *fixture, SentRequest *sent, bool engine)
 {
-  int64_t now = pool->clock.now, took = now - sent->sent_at;
+  int64_t now = fixture->clock.now, took = now - sent->sent_at;
   SchedResult result = { .outcome = SCHED_OK, .answer_us = took };
 
   if (engine)
-    result.event_us = (now - sent->first_at) / TOKENS;
+    result.event_us = (now - sent->first_at) / ANSWER_TOKENS;
   if (sent->first_at == 0
       && now >= (engine ? sent->sent_at + (sent->due_at - sent->sent_at) / 5 : sent->due_at))
     {
       sent->first_at = now;
-      sched_first_event (pool->sched, 1, sent->number, took);
+      sched_first_event (fixture->sched, 1, sent->number, took);
     }
   if (now < sent->due_at)
     return;
-  sched_done (pool->sched, 1, sent->number, &result);
+  sched_done (fixture->sched, 1, sent->number, &result);
   sent->number = 0;
 }
 
 static void
-send_one (Pool *pool, const Play *play, GRand *rand, Sent *sent, int64_t at)
+send_request (SchedFixture *fixture, const TrialCase *trial_case, GRand *rand, SentRequest *sent,
+              int64_t at)
 {
-  int64_t now = pool->clock.now;
+  int64_t now = fixture->clock.now;
 
-  ask_one (pool, ++pool->asked);
-  g_assert_cmpstr (pool->last, !=, "");
+  submit_one (fixture, ++fixture->asked);
+  g_assert_cmpstr (fixture->last_server, !=, "");
   while (sent->number)
     sent++;
-  *sent = (Sent){ pool->asked, now, 0,
-                  now + time_of (play, rand, pool->asked, pool->last[1] >= '2', at) };
+  *sent = (SentRequest){
+    fixture->asked, now, 0,
+    now + answer_time (trial_case, rand, fixture->asked, fixture->last_server[1] >= '2', at)
+  };
 }
 
-/* Returns how many answers of the ordered version condemned it; 0: it was not. */
+/* Returns after how many of its answers the target version was judged bad; 0: it was not. */
 static unsigned
-play_trial (const Play *play, guint32 seed)
+run_trial (const TrialCase *trial_case, guint32 seed)
 {
-  Pool *pool = pool_new (0);
-  Sent sent[UNDER_WAY] = { { 0 } };
+  SchedFixture *fixture = sched_fixture_new (0);
+  SentRequest sent[RUNNING_MAX] = { { 0 } };
   GRand *rand = g_rand_new_with_seed (seed);
-  JudgeResult facts = { 0 };
+  JudgeResult result = { 0 };
 
-  pool->slots = UNDER_WAY / 4;
-  pool->prompt_tokens = play->engine ? PROMPT : 0;
-  sched_set_service (pool->sched, "s", &(SchedServiceConf){ .engine = play->engine, .stride = 1 });
-  list_servers (pool, 15);
+  fixture->slots = RUNNING_MAX / 4;
+  fixture->prompt_tokens = trial_case->engine ? PROMPT_TOKENS : 0;
+  sched_set_service (fixture->sched, "s",
+                     &(SchedServiceConf){ .engine = trial_case->engine, .stride = 1 });
+  list_servers (fixture, 15);
   SchedVersions trial = { "v1", "v2", "v2", 0, 10000, false, true };
-  sched_set_versions (pool->sched, "s", &trial);
-  pool->judge = judge_new (&pool->clock.base, JUDGE_CUSUM);
-  judge_set_servers (pool->judge, 2);
-  for (int64_t at = 0, asked = 0; at < PLAYED && facts.suspicion < 1; at += FT_MS)
+  sched_set_versions (fixture->sched, "s", &trial);
+  fixture->judge = judge_new (&fixture->clock.base, JUDGE_CUSUM);
+  judge_set_servers (fixture->judge, 2);
+  for (int64_t at = 0, asked = 0; at < TRIAL_TIME && result.suspicion < 1; at += FT_MS)
     {
-      pool->clock.now += FT_MS;
+      fixture->clock.now += FT_MS;
       if (at == ORDER_AT)
         {
-          trial.share = play->share;
-          sched_set_versions (pool->sched, "s", &trial);
+          trial.share = trial_case->share;
+          sched_set_versions (fixture->sched, "s", &trial);
         }
-      for (unsigned i = 0; i < UNDER_WAY; i++)
+      for (unsigned i = 0; i < RUNNING_MAX; i++)
         if (sent[i].number)
-          go_on (pool, &sent[i], play->engine);
-      for (; asked * FT_SECOND < at * ASKS; asked++)
-        send_one (pool, play, rand, sent, at);
+          update_request (fixture, &sent[i], trial_case->engine);
+      for (; asked * FT_SECOND < at * REQUEST_RATE; asked++)
+        send_request (fixture, trial_case, rand, sent, at);
       if (at % (20 * FT_MS) == 0)
-        sched_tick (pool->sched);
-      judge_get_result (pool->judge, &facts);
+        sched_tick (fixture->sched);
+      judge_get_result (fixture->judge, &result);
     }
-  unsigned took = facts.suspicion >= 1 ? facts.answers : 0;
-  judge_free (pool->judge);
+  unsigned answers_taken = result.suspicion >= 1 ? result.answers : 0;
+  judge_free (fixture->judge);
   g_rand_free (rand);
-  pool_free (pool);
-  return took;
+  sched_fixture_free (fixture);
+  return answers_taken;
 }
 
-/* The machine becomes busy in the middle of a trial, and answers of both versions take longer. A
- * judge that compares them with what the version before took until then, or looks at one version
- * first, condemns a sound one. */
+/* The machine becomes busy during a trial, and answers of both versions take longer. Guards against
+ * a judge that rejects a good version because it compares its answers with earlier ones of the
+ * previous version, or sees the slower answers of one version first. */
 static void
-busy_machine_condemns_nothing (void)
+busy_machine_is_not_blamed (void)
 {
-  static const Play plays[] = {
-    { .share = 0.06, .busy = true, .slower = 1 },
-    { .share = 0.5, .busy = true, .slower = 1 },
-    { .share = 0.06, .engine = true, .uneven = true, .busy = true, .slower = 1 },
-    { .share = 0.5, .engine = true, .uneven = true, .busy = true, .slower = 1 },
+  static const TrialCase trial_cases[] = {
+    { .share = 0.06, .busy = true, .slow_factor = 1 },
+    { .share = 0.5, .busy = true, .slow_factor = 1 },
+    { .share = 0.06, .engine = true, .uneven = true, .busy = true, .slow_factor = 1 },
+    { .share = 0.5, .engine = true, .uneven = true, .busy = true, .slow_factor = 1 },
   };
 
   for (guint32 seed = 1; seed <= 20; seed++)
-    for (unsigned i = 0; i < G_N_ELEMENTS (plays); i++)
-      g_assert_cmpuint (play_trial (&plays[i], seed), ==, 0);
+    for (unsigned i = 0; i < G_N_ELEMENTS (trial_cases); i++)
+      g_assert_cmpuint (run_trial (&trial_cases[i], seed), ==, 0);
 }
 
-/* A version is slower by itself, always or since the machine became busy. Compared with the version
- * before at the same time it is still condemned by the first few slow answers. */
+/* A version is slower than the previous one at the same time, always or only on a busy machine. The
+ * first few slow answers suffice to detect it. */
 static void
-slower_version_is_condemned (void)
+slow_version_is_detected (void)
 {
   enum
   {
-    FEW = 10,
-    SOUND = (int) ((BUSY_AT - ORDER_AT) / FT_SECOND * ASKS * 6 / 100)
+    ANSWERS_MAX = 10,
+    ANSWERS_BEFORE_LOAD = (int) ((LOAD_AT - ORDER_AT) / FT_SECOND * REQUEST_RATE * 6 / 100)
   };
-  static const Play always[] = {
-    { .share = 0.06, .slower = 4 },
-    { .share = 0.5, .slower = 4 },
-    { .share = 0.06, .engine = true, .uneven = true, .slower = 4 },
-    { .share = 0.5, .engine = true, .uneven = true, .slower = 4 },
+  static const TrialCase always[] = {
+    { .share = 0.06, .slow_factor = 4 },
+    { .share = 0.5, .slow_factor = 4 },
+    { .share = 0.06, .engine = true, .uneven = true, .slow_factor = 4 },
+    { .share = 0.5, .engine = true, .uneven = true, .slow_factor = 4 },
   };
-  static const Play later[] = {
-    { .share = 0.06, .busy = true, .slower = 4 },
-    { .share = 0.06, .engine = true, .uneven = true, .busy = true, .slower = 4 },
+  static const TrialCase later[] = {
+    { .share = 0.06, .busy = true, .slow_factor = 4 },
+    { .share = 0.06, .engine = true, .uneven = true, .busy = true, .slow_factor = 4 },
   };
 
   for (guint32 seed = 1; seed <= 20; seed++)
     {
       for (unsigned i = 0; i < G_N_ELEMENTS (always); i++)
         {
-          unsigned took = play_trial (&always[i], seed);
-          g_assert_cmpuint (took, >, 0);
-          g_assert_cmpuint (took, <=, FEW);
+          unsigned answers_taken = run_trial (&always[i], seed);
+          g_assert_cmpuint (answers_taken, >, 0);
+          g_assert_cmpuint (answers_taken, <=, ANSWERS_MAX);
         }
       for (unsigned i = 0; i < G_N_ELEMENTS (later); i++)
         {
-          unsigned took = play_trial (&later[i], seed);
-          g_assert_cmpuint (took, >, 0);
-          g_assert_cmpuint (took, <=, SOUND + FEW);
+          unsigned answers_taken = run_trial (&later[i], seed);
+          g_assert_cmpuint (answers_taken, >, 0);
+          g_assert_cmpuint (answers_taken, <=, ANSWERS_BEFORE_LOAD + ANSWERS_MAX);
         }
     }
 }
@@ -918,27 +936,27 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/rollout/again", order_again_begins_nothing);
-  g_test_add_func ("/rollout/for_good", ends_are_for_good);
-  g_test_add_func ("/rollout/snapshot", snapshot_holds_it);
-  g_test_add_func ("/rollout/older_snapshot", older_snapshot_has_none);
+  g_test_add_func ("/rollout/again", repeated_order_starts_nothing);
+  g_test_add_func ("/rollout/for_good", ended_rollout_stays_ended);
+  g_test_add_func ("/rollout/snapshot", snapshot_keeps_rollout);
+  g_test_add_func ("/rollout/older_snapshot", older_snapshot_has_no_rollouts);
   g_test_add_func ("/rollout/in_time", trial_then_move_in_time);
   g_test_add_func ("/rollout/completes", completes_when_nothing_runs);
-  g_test_add_func ("/rollout/cannot_move", rolls_back_what_cannot_move);
+  g_test_add_func ("/rollout/cannot_move", rolls_back_if_it_cannot_move);
   g_test_add_func ("/rollout/idle", idle_service_moves);
-  g_test_add_func ("/judge/bad", bad_versions_are_condemned);
-  g_test_add_func ("/judge/turns_bad", version_that_turns_bad);
-  g_test_add_func ("/judge/sound", sound_versions_are_not);
-  g_test_add_func ("/judge/taken_over", evidence_is_taken_over);
-  g_test_add_func ("/versions/unordered", unordered_version_gets_nothing);
-  g_test_add_func ("/versions/most", version_of_most_is_used);
+  g_test_add_func ("/judge/bad", bad_version_is_detected);
+  g_test_add_func ("/judge/turns_bad", later_fault_is_detected);
+  g_test_add_func ("/judge/sound", good_version_is_not_rejected);
+  g_test_add_func ("/judge/taken_over", evidence_is_resumed);
+  g_test_add_func ("/versions/unordered", unordered_version_gets_no_request);
+  g_test_add_func ("/versions/most", most_common_version_is_used);
   g_test_add_func ("/versions/trial", trial_gets_its_share);
-  g_test_add_func ("/versions/after", after_the_verdict);
-  g_test_add_func ("/versions/cut_off", cut_off_entry_follows);
+  g_test_add_func ("/versions/after", versions_after_rollout);
+  g_test_add_func ("/versions/cut_off", reconnected_entry_follows);
   g_test_add_func ("/versions/slow", slow_answers_are_bad);
-  g_test_add_func ("/versions/unknown", nothing_known_is_no_evidence);
+  g_test_add_func ("/versions/unknown", unknown_latency_is_no_evidence);
   g_test_add_func ("/versions/long_route", long_route_is_not_slow);
-  g_test_add_func ("/versions/busy", busy_machine_condemns_nothing);
-  g_test_add_func ("/versions/slower", slower_version_is_condemned);
+  g_test_add_func ("/versions/busy", busy_machine_is_not_blamed);
+  g_test_add_func ("/versions/slower", slow_version_is_detected);
   return g_test_run ();
 }
--- a/test/scenario.c
+++ b/test/scenario.c
@@ -1,22 +1,25 @@
-/* scenario.c - runs the scenarios of test/scenarios, written in Lua, on simulated nodes.
+/* scenario.c - runs the Lua scripts of test/scenarios on simulated nodes.
  *
- * The language is Lua with the functions below; a scenario fails by assert. Times are virtual
- * milliseconds.
+ * A scenario can call the functions below and fails by assert. Times are virtual milliseconds.
  *
- *   cluster{instances=, voters=, seed=, delay_ms=}   starts the nodes; once, first
+ *   cluster{instances=, voters=, seed=, delay_ms=}   starts the nodes; must be the first call
  *   run(ms)  now()
  *   kill(i)  restart(i) -> ok, status  wipe(i)  freeze(i)  thaw(i)
  *   cut(a, b)  isolate(i)  heal()  disk_fails(i, yes)  damage(i, file, offset)  file_size(i, file)
- *   catalogue{pools=, classes=, concurrent=, queue=, window=, mark=} -> text
+ *   catalogue{pools=, concurrent=, per_minute=, queue=, window=, mark=} -> text
  *   change(i, id, base, text)  claim(i, key, digest, request)  claim_end(i, key, request, how)
- *   find(i, kind, id)          -> ticket; kind: refusal, claim, history, in_force
+ *   find(i, kind, id)          -> ticket; kind: answer, refusal, claim, history, in_force,
+ *                              catalogue or suspects
  *   result(ticket)             -> status or nil, revision, text
  *   revision(i)  fresh(i)  member(i)  broken(i)  leader()  holder(pool)  leave(i) -> left
- *   server(pool, name, state)  live, leaving or gone, told to every live node
- *   server_at(i, pool, name, state)
- *   ask(i, {pool=, org=, class=, prompt=, first_ms=, due_ms=}) -> request
+ *   server(pool, name, state)  tells every live node; state: live, leaving or gone
+ *   server_at(i, pool, name, state)   tells one node
+ *   ask(i, {pool=, org=, class=, prompt=, first_ms=, due_ms=,
+ *          out=, content=}) -> request
  *   progress(request, tokens)  done(request, how)  ask_again(request)
- *   note(i, id)                keeps a refusal for auditors, as the shell does
+ *   server_ended(request)      reports that the server of the request crashed
+ *   release(i, content)        lets a quarantined content be sent again
+ *   note(i, id)                records a refusal for auditors, as the program around a node does
  *   state(request) -> waiting, granted, paused or refused; server or reason; number of grants
  */
 #include "sim.h"
@@ -30,12 +33,12 @@
 {
   const char *state;
   char detail[64];
-  unsigned instance, life, grants;
+  unsigned instance, start_count, grants;
 } Request;
 
 typedef struct
 {
-  unsigned instance, life;
+  unsigned instance, start_count;
   uint64_t number;
   bool done;
   FtStatus status;
@@ -47,16 +50,16 @@
 {
   Sim *sim;
   unsigned instances, voters;
-  GArray *requests; /* Request, by number - 1 */
-  GArray *tickets;  /* Ticket */
+  GArray *requests; /* of Request, at its number - 1 */
+  GArray *tickets;  /* of Ticket, at its number - 1 */
 } World;
 
 static World world;
 
-/* ---- What nodes say ---- */
+/* ---- Callbacks of the simulation ---- */
 
 static Request *
-request_at (uint64_t number)
+find_request (uint64_t number)
 {
   return &g_array_index (world.requests, Request, number - 1);
 }
@@ -64,7 +67,7 @@
 static void
 on_grant (Sim *sim, unsigned instance, uint64_t number, const char *server)
 {
-  Request *request = request_at (number);
+  Request *request = find_request (number);
 
   (void) sim;
   (void) instance;
@@ -76,7 +79,7 @@
 static void
 on_refuse (Sim *sim, unsigned instance, const FtRefusal *refusal)
 {
-  Request *request = request_at (refusal->request);
+  Request *request = find_request (refusal->request);
 
   (void) sim;
   (void) instance;
@@ -89,7 +92,7 @@
 {
   (void) sim;
   (void) instance;
-  request_at (number)->state = "paused";
+  find_request (number)->state = "paused";
 }
 
 static void
@@ -97,18 +100,18 @@
 {
   (void) sim;
   (void) instance;
-  request_at (number)->state = "granted";
+  find_request (number)->state = "granted";
 }
 
 static void
-end_ticket (Sim *sim, unsigned instance, uint64_t number, FtStatus status, uint64_t revision,
-            const char *text, size_t size)
+complete_ticket (Sim *sim, unsigned instance, uint64_t number, FtStatus status, uint64_t revision,
+                 const char *text, size_t size)
 {
   for (unsigned i = 0; i < world.tickets->len; i++)
     {
       Ticket *ticket = &g_array_index (world.tickets, Ticket, i);
       if (ticket->instance != instance || ticket->number != number
-          || ticket->life != sim_life (sim, instance))
+          || ticket->start_count != sim_life (sim, instance))
         continue;
       ticket->done = true;
       ticket->status = status;
@@ -121,14 +124,14 @@
 on_verdict (Sim *sim, unsigned instance, uint64_t number, FtStatus status, uint64_t revision,
             const char *text)
 {
-  end_ticket (sim, instance, number, status, revision, text, strlen (text));
+  complete_ticket (sim, instance, number, status, revision, text, strlen (text));
 }
 
 static void
 on_found (Sim *sim, unsigned instance, uint64_t number, FtStatus status, const char *body,
           size_t size)
 {
-  end_ticket (sim, instance, number, status, 0, body, size);
+  complete_ticket (sim, instance, number, status, 0, body, size);
 }
 
 static const SimOps ops = { .grant = on_grant,
@@ -138,7 +141,7 @@
                             .verdict = on_verdict,
                             .found = on_found };
 
-/* ---- The language ---- */
+/* ---- Functions for scenarios ---- */
 
 static lua_Integer
 field_integer (lua_State *lua, int table, const char *name, lua_Integer fallback)
@@ -172,7 +175,7 @@
 {
   FtNode *node = sim_node (world.sim, instance_arg (lua, at));
 
-  luaL_argcheck (lua, node != NULL, at, "the instance is dead");
+  luaL_argcheck (lua, node != NULL, at, "the instance is not running");
   return node;
 }
 
@@ -296,7 +299,8 @@
   return 1;
 }
 
-/* Organisations o1 to o4, classes t1 to t5 of tiers 1 to 5, pools p1 and on, service s. */
+/* Returns a catalogue with organisations o1 to o4, classes t1 to t5 of tiers 1 to 5, pools p1, p2
+ * and so on, and service s. */
 static int
 do_catalogue (lua_State *lua)
 {
@@ -436,7 +440,7 @@
   return 1;
 }
 
-/* The voter that most recently led, as a live one says; 0: none is known. */
+/* The live voter that considers itself the leader in the newest term; 0: there is none. */
 static int
 do_leader (lua_State *lua)
 {
@@ -466,7 +470,7 @@
   for (unsigned i = 1; i <= world.instances; i++)
     if (sim_node (world.sim, i) && !sim_frozen (world.sim, i)
         && ft_node_holds_lease (sim_node (world.sim, i), luaL_checkstring (lua, 1)))
-      holder = holder ? world.instances + 1 : i; /* two: a number that no instance has */
+      holder = holder ? world.instances + 1 : i; /* two holders: a number that no instance has */
   lua_pushinteger (lua, holder);
   return 1;
 }
@@ -516,7 +520,7 @@
   Request request = { "waiting", "", instance_arg (lua, 1), 0, 0 };
 
   luaL_checktype (lua, 2, LUA_TTABLE);
-  request.life = sim_life (world.sim, request.instance);
+  request.start_count = sim_life (world.sim, request.instance);
   g_array_append_val (world.requests, request);
   FtNodeRequest ask = { .request = world.requests->len,
                         .pool = field_string (lua, 2, "pool", "p1"),
@@ -539,8 +543,8 @@
   lua_Integer number = luaL_checkinteger (lua, 1);
 
   luaL_argcheck (lua, number >= 1 && number <= world.requests->len, 1, "no such request");
-  Request *request = request_at ((uint64_t) number);
-  *node = sim_life (world.sim, request->instance) == request->life
+  Request *request = find_request ((uint64_t) number);
+  *node = sim_life (world.sim, request->instance) == request->start_count
               ? sim_node (world.sim, request->instance)
               : NULL;
   return request;
--- a/test/text.c
+++ b/test/text.c
@@ -1,5 +1,5 @@
-/* text.c - settings, catalogues, requests' lives and whatever bytes come in: what is wrong is
- * named, and nothing that is malformed does harm. */
+/* text.c - parsing of settings, catalogues, chat bodies and network messages: errors are located,
+ * and malformed input does no harm. Also states and pieces of a request, and the call table. */
 #include "body.h"
 #include "call.h"
 #include "conf.h"
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-#define MALFORMED 2000
+#define INPUT_COUNT 2000
 
 static const char catalogue[]
     = "// comment\n{\n  \"organisations\": [\n    { \"name\": \"o\", \"owner\": \"w\", \"class\": "
@@ -19,7 +19,7 @@
       "\"model\", \"model\": \"m\", \"limits\": {} } ]\n}\n";
 
 static char *
-replaced (const char *text, const char *from, const char *to)
+replace_once (const char *text, const char *from, const char *to)
 {
   char **parts = g_strsplit (text, from, 2);
 
@@ -32,7 +32,7 @@
 static void
 expect_error (const char *from, const char *to, unsigned line, const char *field, const char *part)
 {
-  char *text = replaced (catalogue, from, to);
+  char *text = replace_once (catalogue, from, to);
   FtError error;
   FtCat *cat;
 
@@ -91,7 +91,7 @@
   conf_free (conf);
   for (unsigned i = 0; i < G_N_ELEMENTS (changes); i++)
     {
-      char *text = replaced (settings, changes[i][0], changes[i][1]);
+      char *text = replace_once (settings, changes[i][0], changes[i][1]);
       g_assert_cmpint (conf_parse (text, &conf, &error), ==, FT_INVALID);
       g_assert_cmpstr (error.field, ==, changes[i][2]);
       g_assert_nonnull (strstr (error.text, changes[i][3]));
@@ -99,10 +99,10 @@
     }
 }
 
-/* What the caller would see: "not run" of a request that was sent, or a second dispatch. Neither is
- * a step that exists. */
+/* The state machine must not let a dispatched request be reported as not run, or be dispatched a
+ * second time. */
 static void
-test_request_life (void)
+test_request_states (void)
 {
   FtReq *req = ft_req_new ("id", NULL, NULL);
 
@@ -120,8 +120,7 @@
   ft_req_unref (req);
 }
 
-/* Pieces come late, twice and out of order; the answer is whole only when all are there, in order.
- */
+/* Pieces come late, twice and out of order; the answer is complete once it has all of them. */
 static void
 test_pieces (void)
 {
@@ -143,39 +142,40 @@
   ft_req_unref (req);
 }
 
-/* Answers are kept within their bound: the oldest leave first, running ones never. */
+/* The table drops the oldest finished calls when it is over its size limit, and never running ones.
+ */
 static void
-test_book (void)
+test_call_table (void)
 {
-  CallTable *book = calls_new (600 * FT_SECOND, 2000);
+  CallTable *calls = calls_new (600 * FT_SECOND, 2000);
   Call *running = call_new ("running");
 
   running->req = ft_req_new ("running", NULL, NULL);
-  g_assert_cmpint (calls_add (book, running), ==, FT_OK);
-  g_assert_cmpint (calls_add (book, running), ==, FT_CONFLICT);
+  g_assert_cmpint (calls_add (calls, running), ==, FT_OK);
+  g_assert_cmpint (calls_add (calls, running), ==, FT_CONFLICT);
   for (unsigned i = 0; i < 50; i++)
     {
       char id[16];
       g_snprintf (id, sizeof id, "c%u", i);
       Call *call = call_new (id);
       call->req = ft_req_new (id, NULL, NULL);
-      g_assert_cmpint (calls_add (book, call), ==, FT_OK);
-      calls_finish (book, call, FT_SECOND);
+      g_assert_cmpint (calls_add (calls, call), ==, FT_OK);
+      calls_finish (calls, call, FT_SECOND);
       call_unref (call);
     }
-  g_assert_null (calls_find (book, "c0"));
-  Call *found = calls_find (book, "running");
+  g_assert_null (calls_find (calls, "c0"));
+  Call *found = calls_find (calls, "running");
   g_assert_true (found == running);
   call_unref (found);
-  g_assert_cmpuint (calls_running (book), ==, 1);
+  g_assert_cmpuint (calls_running (calls), ==, 1);
   call_unref (running);
-  calls_free (book);
+  calls_free (calls);
 }
 
 /* ---- Malformed input ---- */
 
 static char *
-spoil (GRand *random, const char *text, gsize size)
+corrupt (GRand *random, const char *text, gsize size)
 {
   char *copy = g_memdup2 (text, size + 1);
   unsigned changes = 1 + (unsigned) g_rand_int_range (random, 0, 8);
@@ -200,13 +200,13 @@
                              "]}]}";
   unsigned refused = 0;
 
-  for (unsigned i = 0; i < MALFORMED; i++)
+  for (unsigned i = 0; i < INPUT_COUNT; i++)
     {
       FtError error = { 0 };
       FtCat *cat = NULL;
       Conf *conf = NULL;
       BodyChat body;
-      char *text = spoil (random, catalogue, sizeof catalogue - 1);
+      char *text = corrupt (random, catalogue, sizeof catalogue - 1);
       FtStatus status = ft_cat_new (text, 1, &cat, &error);
       g_assert_true ((status == FT_OK) == (cat != NULL));
       g_assert_true (status == FT_OK || *error.text);
@@ -214,13 +214,13 @@
       ft_cat_unref (cat);
       g_assert_cmpint (conf_parse (text, &conf, &error), ==, FT_INVALID);
       g_free (text);
-      text = spoil (random, chat, sizeof chat - 1);
+      text = corrupt (random, chat, sizeof chat - 1);
       if (body_parse_chat (text, &body, &error) != FT_OK)
         g_assert_true (*error.field && *error.text);
       body_clear_chat (&body);
       g_free (text);
     }
-  g_assert_cmpuint (refused, >, MALFORMED / 2);
+  g_assert_cmpuint (refused, >, INPUT_COUNT / 2);
   g_rand_free (random);
 }
 
@@ -242,7 +242,7 @@
   Sim *sim = sim_new (&conf, &none, NULL);
 
   sim_run (sim, 5 * FT_SECOND);
-  for (unsigned i = 0; i < MALFORMED; i++)
+  for (unsigned i = 0; i < INPUT_COUNT; i++)
     {
       guint8 bytes[256];
       gsize size = (gsize) g_rand_int_range (random, 0, sizeof bytes);
@@ -269,9 +269,9 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/text/catalogue-errors", test_catalogue_errors);
   g_test_add_func ("/text/settings-errors", test_settings_errors);
-  g_test_add_func ("/text/request-life", test_request_life);
+  g_test_add_func ("/text/request-life", test_request_states);
   g_test_add_func ("/text/pieces", test_pieces);
-  g_test_add_func ("/text/book", test_book);
+  g_test_add_func ("/text/book", test_call_table);
   g_test_add_func ("/text/malformed-text", test_malformed_text);
   g_test_add_func ("/text/malformed-bytes", test_malformed_bytes);
   return g_test_run ();
--- a/test/wire.c
+++ b/test/wire.c
@@ -1,21 +1,21 @@
-/* wire.c - the HTTP server and client on loopback, against peers that misbehave. One loop runs both
- * sides; peers are raw sockets whose bytes the test writes. */
+/* wire.c - the HTTP server and client on loopback, against misbehaving peers. One event loop runs
+ * both sides; the peers are raw sockets, and the test writes their bytes. */
 #include "hcli.h"
 #include "hsrv.h"
 
 #include <string.h>
 
-#define GIVE_UP (20 * FT_SECOND) /* a test that hangs fails; none depends on how long it takes */
+#define TEST_TIMEOUT (20 * FT_SECOND) /* only ends a test that hangs */
 
 static Loop *loop;
-static LoopTimer guard;
-static GPtrArray *open_socks; /* of the raw peers, closed at the test's end */
+static LoopTimer watchdog;
+static GPtrArray *open_socks; /* of the raw peers; closed at the end of a test */
 
 static void
-on_guard (LoopTimer *timer)
+on_watchdog (LoopTimer *timer)
 {
   (void) timer;
-  g_error ("nothing happened for too long");
+  g_error ("the test timed out");
 }
 
 static void
@@ -24,8 +24,8 @@
   loop = loop_new ();
   g_assert_nonnull (loop);
   open_socks = g_ptr_array_new ();
-  guard.fire = on_guard;
-  loop_timer_set (loop, &guard, loop_now (loop) + GIVE_UP);
+  watchdog.fire = on_watchdog;
+  loop_timer_set (loop, &watchdog, loop_now (loop) + TEST_TIMEOUT);
 }
 
 static void
@@ -41,27 +41,27 @@
   while (open_socks->len > 0)
     close_raw (open_socks->pdata[0], false);
   g_ptr_array_unref (open_socks);
-  loop_timer_stop (loop, &guard);
+  loop_timer_stop (loop, &watchdog);
   loop_free (loop);
 }
 
-/* ---- A raw server: counts requests, answers what the test says ---- */
+/* ---- A raw server that counts requests and sends answers given by the test ---- */
 
 typedef struct
 {
   SockListener *listener;
   SockAddr addr;
-  const char *answer; /* to each request; NULL: none */
-  const char *first;  /* to the first one on each connection; NULL: answer */
-  bool reset_second;  /* read a second request on a connection and reset it */
+  const char *answer;        /* sent for each request; NULL: none */
+  const char *first_answer;  /* for the first request on each connection; NULL: answer */
+  bool reset_second_request; /* reads the second request on a connection and resets it */
   unsigned requests, connections;
-  unsigned on_this;
-} Raw;
+  unsigned requests_on_conn;
+} RawServer;
 
-static Raw *raw;
+static RawServer *raw_server;
 
 static void
-raw_data (Sock *sock)
+raw_on_data (Sock *sock)
 {
   size_t size;
   const uint8_t *data = sock_peek (sock, &size);
@@ -69,46 +69,48 @@
   if (g_strstr_len ((const char *) data, (gssize) size, "\r\n\r\n") == NULL)
     return;
   sock_consume (sock, size);
-  raw->requests++;
-  raw->on_this++;
-  if (raw->reset_second && raw->on_this == 2)
+  raw_server->requests++;
+  raw_server->requests_on_conn++;
+  if (raw_server->reset_second_request && raw_server->requests_on_conn == 2)
     {
       close_raw (sock, true);
       return;
     }
-  const char *answer = raw->on_this == 1 && raw->first ? raw->first : raw->answer;
+  const char *answer = raw_server->requests_on_conn == 1 && raw_server->first_answer
+                           ? raw_server->first_answer
+                           : raw_server->answer;
   if (answer)
     sock_write (sock, answer, strlen (answer));
 }
 
 static void
-raw_ended (Sock *sock, SockEnd how)
+raw_on_end (Sock *sock, SockEnd how)
 {
   (void) how;
   close_raw (sock, false);
 }
 
-static const SockOps raw_ops = { NULL, raw_data, NULL, raw_ended };
+static const SockOps raw_ops = { NULL, raw_on_data, NULL, raw_on_end };
 
 static void
-raw_accept (void *owner, int fd, SockAddr peer)
+raw_on_accept (void *owner, int fd, SockAddr peer)
 {
   (void) owner;
-  raw->connections++;
-  raw->on_this = 0;
+  raw_server->connections++;
+  raw_server->requests_on_conn = 0;
   g_ptr_array_add (open_socks, sock_accepted (loop, fd, peer, &raw_ops, NULL));
 }
 
 static void
-raw_listen (Raw *self)
+raw_listen (RawServer *self)
 {
-  raw = self;
-  for (uint16_t port = 21000; port < 21400 && raw->listener == NULL; port++)
+  raw_server = self;
+  for (uint16_t port = 21000; port < 21400 && raw_server->listener == NULL; port++)
     {
-      raw->addr = (SockAddr){ 0x7f000001, port };
-      raw->listener = sock_listen (loop, raw->addr, raw_accept, NULL);
+      raw_server->addr = (SockAddr){ 0x7f000001, port };
+      raw_server->listener = sock_listen (loop, raw_server->addr, raw_on_accept, NULL);
     }
-  g_assert_nonnull (raw->listener);
+  g_assert_nonnull (raw_server->listener);
 }
 
 /* ---- The client ---- */
@@ -116,14 +118,14 @@
 typedef struct
 {
   HCli *cli;
-  unsigned left; /* transfers still to start */
-  unsigned ends, failures, heads;
+  unsigned transfers_left; /* to be started */
+  unsigned completed, failed, head_count;
   HXferFault fault;
   GString *body;
-  const char *mine; /* value of X-Id that is ours; NULL: any */
+  const char *expected_id; /* accepted value of X-Id; NULL: any */
 } Caller;
 
-static void start_one (Caller *caller);
+static void start_transfer (Caller *caller);
 
 static bool
 on_head (void *user, const HMsg *msg)
@@ -131,9 +133,9 @@
   Caller *caller = user;
   const char *id = hmsg_field (msg, "X-Id");
 
-  if (caller->mine && (id == NULL || strcmp (id, caller->mine) != 0))
+  if (caller->expected_id && (id == NULL || strcmp (id, caller->expected_id) != 0))
     return false;
-  caller->heads++;
+  caller->head_count++;
   return true;
 }
 
@@ -144,10 +146,10 @@
 }
 
 static void
-next (Caller *caller)
+start_next (Caller *caller)
 {
-  if (caller->left > 0)
-    start_one (caller);
+  if (caller->transfers_left > 0)
+    start_transfer (caller);
   else
     loop_stop (loop);
 }
@@ -157,8 +159,8 @@
 {
   Caller *caller = user;
 
-  caller->ends++;
-  next (caller);
+  caller->completed++;
+  start_next (caller);
 }
 
 static void
@@ -166,123 +168,123 @@
 {
   Caller *caller = user;
 
-  caller->failures++;
+  caller->failed++;
   caller->fault = fault;
-  next (caller);
+  start_next (caller);
 }
 
 static const HXferOps xfer_ops = { on_head, on_body, on_end, on_failed };
 
 static void
-start_one (Caller *caller)
+start_transfer (Caller *caller)
 {
-  HCliTarget target = { raw->addr, "k", FT_SECOND, 10 * FT_SECOND, false };
+  HCliTarget target = { raw_server->addr, "k", FT_SECOND, 10 * FT_SECOND, false };
   GString *request = g_string_new ("POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
 
-  caller->left--;
+  caller->transfers_left--;
   g_assert_nonnull (hcli_send (caller->cli, &target, request, &xfer_ops, caller));
   g_string_free (request, TRUE);
 }
 
 static Caller
-call (unsigned times)
+run_transfers (unsigned times)
 {
-  Caller caller = { .cli = hcli_new (loop), .left = times, .body = g_string_new (NULL) };
+  Caller caller = { .cli = hcli_new (loop), .transfers_left = times, .body = g_string_new (NULL) };
 
-  start_one (&caller);
+  start_transfer (&caller);
   loop_run (loop);
   return caller;
 }
 
 static void
-call_end (Caller *caller)
+caller_free (Caller *caller)
 {
   hcli_free (caller->cli);
   g_string_free (caller->body, TRUE);
-  sock_listener_free (raw->listener);
+  sock_listener_free (raw_server->listener);
 }
 
 #define OK "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=9\r\n\r\nok"
 
-/* The caller's order is placed twice. The server reads the second request on a kept connection and
- * resets it; a client that sends again by itself reaches it three times. It must be told instead.
- */
+/* Guards against a request that runs twice: the server reads the second request on a reused
+ * connection and resets it. The client must report that and not send the request again. */
 static void
-reset_after_reading_is_not_sent_again (void)
+reset_request_is_not_resent (void)
 {
-  Raw server = { .answer = OK, .reset_second = true };
+  RawServer server = { .answer = OK, .reset_second_request = true };
 
   begin ();
   raw_listen (&server);
-  Caller caller = call (2);
+  Caller caller = run_transfers (2);
   g_assert_cmpuint (server.requests, ==, 2);
   g_assert_cmpuint (server.connections, ==, 1);
-  g_assert_cmpuint (caller.ends, ==, 1);
-  g_assert_cmpuint (caller.failures, ==, 1);
+  g_assert_cmpuint (caller.completed, ==, 1);
+  g_assert_cmpuint (caller.failed, ==, 1);
   g_assert_cmpint (caller.fault, ==, HXFER_BROKEN);
-  call_end (&caller);
+  caller_free (&caller);
   end ();
 }
 
-/* A second answer comes behind the first. The next request on that connection would get it. The
- * connection is not used again. */
+/* The server sends two answers to one request. The connection must not be reused, since the next
+ * request on it would get the second answer. */
 static void
-bytes_behind_an_answer_spoil_the_connection (void)
+surplus_bytes_close_connection (void)
 {
-  Raw server = { .answer = OK OK };
+  RawServer server = { .answer = OK OK };
 
   begin ();
   raw_listen (&server);
-  Caller caller = call (3);
-  g_assert_cmpuint (caller.ends, ==, 3);
+  Caller caller = run_transfers (3);
+  g_assert_cmpuint (caller.completed, ==, 3);
   g_assert_cmpuint (server.connections, ==, 3);
   g_assert_cmpstr (caller.body->str, ==, "okokok");
-  call_end (&caller);
+  caller_free (&caller);
   end ();
 }
 
-/* An answer to another request comes first. It is skipped by its id, ours is taken. */
+/* An answer to another request comes first: it is recognised by its id and skipped. */
 static void
 foreign_answer_is_skipped (void)
 {
-  Raw server = { .answer = "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 3\r\n\r\nbad"
-                           "HTTP/1.1 200 OK\r\nX-Id: mine\r\nContent-Length: 4\r\n\r\ngood" };
+  RawServer server = { .answer = "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 3\r\n\r\nbad"
+                                 "HTTP/1.1 200 OK\r\nX-Id: mine\r\nContent-Length: 4\r\n\r\ngood" };
 
   begin ();
   raw_listen (&server);
-  Caller caller
-      = { .cli = hcli_new (loop), .left = 1, .body = g_string_new (NULL), .mine = "mine" };
-  start_one (&caller);
+  Caller caller = {
+    .cli = hcli_new (loop), .transfers_left = 1, .body = g_string_new (NULL), .expected_id = "mine"
+  };
+  start_transfer (&caller);
   loop_run (loop);
   g_assert_cmpstr (caller.body->str, ==, "good");
-  g_assert_cmpuint (caller.ends, ==, 1);
-  call_end (&caller);
+  g_assert_cmpuint (caller.completed, ==, 1);
+  caller_free (&caller);
   end ();
 }
 
 static void
-garbage_is_a_failure (void)
+bad_response_is_reported (void)
 {
-  Raw server = { .answer = "ho ho ho\r\n\r\n" };
+  RawServer server = { .answer = "ho ho ho\r\n\r\n" };
 
   begin ();
   raw_listen (&server);
-  Caller caller = call (1);
+  Caller caller = run_transfers (1);
   g_assert_cmpint (caller.fault, ==, HXFER_BAD_RESPONSE);
-  call_end (&caller);
+  caller_free (&caller);
   end ();
 }
 
 static void
-nobody_listens (void)
+refused_connect_is_reported (void)
 {
-  Raw server = { .answer = OK };
+  RawServer server = { .answer = OK };
 
   begin ();
   raw_listen (&server);
   sock_listener_free (server.listener);
   server.listener = NULL;
-  Caller caller = call (1);
+  Caller caller = run_transfers (1);
   g_assert_cmpint (caller.fault, ==, HXFER_REFUSED);
   hcli_free (caller.cli);
   g_string_free (caller.body, TRUE);
@@ -290,17 +292,17 @@
 }
 
 static void
-kept_connections_are_used (void)
+idle_connection_is_reused (void)
 {
-  Raw server = { .answer = OK };
+  RawServer server = { .answer = OK };
 
   begin ();
   raw_listen (&server);
-  Caller caller = call (20);
+  Caller caller = run_transfers (20);
   g_assert_cmpuint (server.connections, ==, 1);
   g_assert_cmpuint (hcli_opened_count (caller.cli), ==, 1);
-  g_assert_cmpuint (caller.ends, ==, 20);
-  call_end (&caller);
+  g_assert_cmpuint (caller.completed, ==, 20);
+  caller_free (&caller);
   end ();
 }
 
@@ -311,18 +313,18 @@
   loop_stop (loop);
 }
 
-/* A scheduler that does not know to whom an entry is connected sends it to others, and a new
- * connection is opened for nearly each request. The client names the servers to which it has idle
- * connections, and no longer once the server has closed them. */
+/* A scheduler that does not know an entry's connections sends it to other servers, so that almost
+ * every request opens a new connection. Therefore the client lists the servers to which it has idle
+ * connections, and drops a server that has closed them. */
 static void
-idle_connections_are_named (void)
+idle_connections_are_listed (void)
 {
-  Raw server = { .answer = OK };
+  RawServer server = { .answer = OK };
   const char *keys[4];
 
   begin ();
   raw_listen (&server);
-  Caller caller = call (2);
+  Caller caller = run_transfers (2);
   g_assert_cmpuint (hcli_idle_keys (caller.cli, keys, G_N_ELEMENTS (keys)), ==, 1);
   g_assert_cmpstr (keys[0], ==, "k");
   g_assert_cmpuint (hcli_idle_keys (caller.cli, keys, 0), ==, 0);
@@ -332,7 +334,7 @@
   loop_timer_set (loop, &later, loop_now (loop) + 20 * FT_MS);
   loop_run (loop);
   g_assert_cmpuint (hcli_idle_keys (caller.cli, keys, G_N_ELEMENTS (keys)), ==, 0);
-  call_end (&caller);
+  caller_free (&caller);
   end ();
 }
 
@@ -343,19 +345,19 @@
   HSrv *srv;
   SockAddr addr;
   unsigned requests, gone;
-  bool hold;  /* answer nothing */
-  bool begin; /* begin an answer, and end it once the server has been closed */
-  HCall *begun;
-  GString *got; /* what the raw caller was sent */
+  bool withhold_answer; /* send no answer */
+  bool begin;           /* send a part of the answer, the rest after the server has stopped */
+  HCall *open_call;
+  GString *received; /* by the raw caller */
   GString *bodies;
-  const char *until; /* stop once the raw caller has got this */
+  const char *stop_text; /* the loop stops when the raw caller has received this */
   bool ended;
-} Front;
+} FrontServer;
 
 static void
-front_request (void *owner, HCall *call)
+front_on_request (void *owner, HCall *call)
 {
-  Front *front = owner;
+  FrontServer *front = owner;
 
   front->requests++;
   g_string_append_len (front->bodies, (const char *) hcall_body (call)->data,
@@ -363,41 +365,41 @@
   g_string_append_c (front->bodies, '|');
   if (front->begin)
     {
-      front->begun = call;
+      front->open_call = call;
       hcall_begin (call, 200, NULL);
       hcall_write (call, "part", 4);
     }
-  else if (!front->hold)
+  else if (!front->withhold_answer)
     hcall_reply (call, 200, NULL, "fine", 4);
 }
 
 static void
-front_gone (void *owner, HCall *call)
+front_on_gone (void *owner, HCall *call)
 {
   (void) call;
-  ((Front *) owner)->gone++;
+  ((FrontServer *) owner)->gone++;
   loop_stop (loop);
 }
 
-static const HSrvOps front_ops = { front_request, front_gone, NULL };
+static const HSrvOps front_ops = { front_on_request, front_on_gone, NULL };
 
 static void
-caller_data (Sock *sock)
+caller_on_data (Sock *sock)
 {
-  Front *front = sock->owner;
+  FrontServer *front = sock->owner;
   size_t size;
   const uint8_t *data = sock_peek (sock, &size);
 
-  g_string_append_len (front->got, (const char *) data, (gssize) size);
+  g_string_append_len (front->received, (const char *) data, (gssize) size);
   sock_consume (sock, size);
-  if (front->until && strstr (front->got->str, front->until))
+  if (front->stop_text && strstr (front->received->str, front->stop_text))
     loop_stop (loop);
 }
 
 static void
-caller_ended (Sock *sock, SockEnd how)
+caller_on_end (Sock *sock, SockEnd how)
 {
-  Front *front = sock->owner;
+  FrontServer *front = sock->owner;
 
   (void) how;
   front->ended = true;
@@ -405,10 +407,10 @@
   loop_stop (loop);
 }
 
-static const SockOps caller_ops = { NULL, caller_data, NULL, caller_ended };
+static const SockOps caller_ops = { NULL, caller_on_data, NULL, caller_on_end };
 
 static Sock *
-talk (Front *front, const char *bytes)
+connect_and_send (FrontServer *front, const char *bytes)
 {
   static const HSrvLimits limits = { 2048, 64, 20 * FT_SECOND, 20 * FT_SECOND };
 
@@ -420,7 +422,7 @@
     }
   g_assert_nonnull (front->srv);
   hsrv_set_limits (front->srv, &limits);
-  front->got = g_string_new (NULL);
+  front->received = g_string_new (NULL);
   front->bodies = g_string_new (NULL);
   Sock *sock = sock_connect (loop, front->addr, &caller_ops, front);
   g_ptr_array_add (open_socks, sock);
@@ -429,17 +431,17 @@
 }
 
 static void
-talk_end (Front *front)
+front_free (FrontServer *front)
 {
   hsrv_free (front->srv);
-  g_string_free (front->got, TRUE);
+  g_string_free (front->received, TRUE);
   g_string_free (front->bodies, TRUE);
   end ();
 }
 
-/* A caller hides a request in another's body, by two lengths or a length with chunks. Programs on
- * the path see different ends of the body, and the server runs a request that nobody sent. Each
- * such message is refused whole. */
+/* Request smuggling: with two lengths, or a length and chunks, programs on the path disagree about
+ * the end of the body, and the server could run a request hidden in it. Each such message is
+ * rejected as a whole. */
 static void
 smuggled_requests_are_refused (void)
 {
@@ -453,12 +455,12 @@
 
   for (unsigned i = 0; i < G_N_ELEMENTS (bad); i++)
     {
-      Front front = { .until = "HTTP/1.1 400" };
-      talk (&front, bad[i]);
+      FrontServer front = { .stop_text = "HTTP/1.1 400" };
+      connect_and_send (&front, bad[i]);
       loop_run (loop);
-      g_assert_nonnull (strstr (front.got->str, "HTTP/1.1 400"));
+      g_assert_nonnull (strstr (front.received->str, "HTTP/1.1 400"));
       g_assert_cmpuint (front.requests, ==, 0);
-      talk_end (&front);
+      front_free (&front);
     }
 }
 
@@ -466,110 +468,111 @@
 large_requests_are_refused (void)
 {
   GString *head = g_string_new ("GET / HTTP/1.1\r\nX: ");
-  Front front = { .until = "HTTP/1.1 431" };
-  Front body = { .until = "HTTP/1.1 413" };
+  FrontServer front = { .stop_text = "HTTP/1.1 431" };
+  FrontServer body = { .stop_text = "HTTP/1.1 413" };
 
   for (int i = 0; i < 3000; i++)
     g_string_append_c (head, 'a');
-  talk (&front, head->str);
+  connect_and_send (&front, head->str);
   loop_run (loop);
   g_assert_cmpuint (front.requests, ==, 0);
-  talk_end (&front);
-  talk (&body, "POST / HTTP/1.1\r\nContent-Length: 100\r\n\r\n");
+  front_free (&front);
+  connect_and_send (&body, "POST / HTTP/1.1\r\nContent-Length: 100\r\n\r\n");
   loop_run (loop);
   g_assert_cmpuint (body.requests, ==, 0);
-  talk_end (&body);
+  front_free (&body);
   g_string_free (head, TRUE);
 }
 
 static void
 requests_follow_on_one_connection (void)
 {
-  Front front = { .until = "fineHTTP/1.1 200 OK\r\nKeep-Alive: timeout=20\r\nContent-Length: "
-                           "4\r\n\r\nfine" };
+  FrontServer front
+      = { .stop_text = "fineHTTP/1.1 200 OK\r\nKeep-Alive: timeout=20\r\nContent-Length: "
+                       "4\r\n\r\nfine" };
 
-  talk (&front, "POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nabPOST / HTTP/1.1\r\n"
-                "Transfer-Encoding: chunked\r\n\r\n2\r\ncd\r\n0\r\n\r\n");
+  connect_and_send (&front, "POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nabPOST / HTTP/1.1\r\n"
+                            "Transfer-Encoding: chunked\r\n\r\n2\r\ncd\r\n0\r\n\r\n");
   loop_run (loop);
   g_assert_cmpuint (front.requests, ==, 2);
   g_assert_cmpstr (front.bodies->str, ==, "ab|cd|");
-  talk_end (&front);
+  front_free (&front);
 }
 
 static void
-close_when_held (void *data)
+close_while_waiting (void *data)
 {
-  Front *front = data;
+  FrontServer *front = data;
 
-  if (front->requests == 1 && front->hold)
+  if (front->requests == 1 && front->withhold_answer)
     {
-      front->hold = false;
-      close_raw ((Sock *) (uintptr_t) front->until, false);
+      front->withhold_answer = false;
+      close_raw ((Sock *) (uintptr_t) front->stop_text, false);
     }
 }
 
-/* The caller leaves while its request waits. Unnoticed, a server works for nobody. The close is
- * reported although nothing is read from the connection meanwhile. */
+/* The caller disconnects while its request waits. This must be reported although nothing is read
+ * from the connection meanwhile; otherwise a server would work for a caller that is gone. */
 static void
-caller_that_leaves_is_noticed (void)
+caller_disconnect_is_reported (void)
 {
-  Front front = { .hold = true };
-  Sock *sock = talk (&front, "GET / HTTP/1.1\r\n\r\n");
+  FrontServer front = { .withhold_answer = true };
+  Sock *sock = connect_and_send (&front, "GET / HTTP/1.1\r\n\r\n");
 
-  front.until = (const char *) (uintptr_t) sock;
-  loop_add_before_wait (loop, close_when_held, &front);
+  front.stop_text = (const char *) (uintptr_t) sock; /* close_while_waiting () closes it */
+  loop_add_before_wait (loop, close_while_waiting, &front);
   loop_run (loop);
   g_assert_cmpuint (front.gone, ==, 1);
-  front.until = NULL;
-  talk_end (&front);
+  front.stop_text = NULL;
+  front_free (&front);
 }
 
 static void
-close_when_begun (void *data)
+stop_after_first_part (void *data)
 {
-  Front *front = data;
-  HCall *call = front->begun;
+  FrontServer *front = data;
+  HCall *call = front->open_call;
 
-  if (call == NULL || strstr (front->got->str, "part") == NULL)
+  if (call == NULL || strstr (front->received->str, "part") == NULL)
     return;
-  front->begun = NULL;
+  front->open_call = NULL;
   hsrv_stop_accepting (front->srv);
   hcall_end (call);
 }
 
-/* A caller's request is cut when an entry ends. The entry was closed while an answer was under way
- * that had promised to keep the connection, and the caller sent another request on it. The
- * connection is closed behind that answer. */
+/* An entry stops accepting requests during an answer whose head has promised keep-alive. The
+ * connection must be closed after that answer: the caller's next request on it would be lost when
+ * the entry exits. */
 static void
-closed_server_keeps_no_connection (void)
+stopped_server_closes_connection (void)
 {
-  Front front = { .begin = true };
+  FrontServer front = { .begin = true };
 
-  talk (&front, "GET / HTTP/1.1\r\n\r\n");
-  loop_add_before_wait (loop, close_when_begun, &front);
+  connect_and_send (&front, "GET / HTTP/1.1\r\n\r\n");
+  loop_add_before_wait (loop, stop_after_first_part, &front);
   loop_run (loop);
   g_assert_true (front.ended);
-  g_assert_true (g_str_has_suffix (front.got->str, "part\r\n0\r\n\r\n"));
-  talk_end (&front);
+  g_assert_true (g_str_has_suffix (front.received->str, "part\r\n0\r\n\r\n"));
+  front_free (&front);
 }
 
 /* ---- The loop ---- */
 
-#define POSTED 1000
+#define POSTED_CALLS 1000
 
 typedef struct
 {
   LoopTimer timer;
-  unsigned run, when_fired;
-} Posted;
+  unsigned run, run_at_timer;
+} PostedState;
 
-static Posted posted;
+static PostedState posted;
 
 static void
 on_posted (void *data)
 {
   g_assert_cmpuint (GPOINTER_TO_UINT (data), ==, posted.run);
-  if (++posted.run == POSTED)
+  if (++posted.run == POSTED_CALLS)
     loop_stop (loop);
 }
 
@@ -577,22 +580,22 @@
 on_posted_timer (LoopTimer *timer)
 {
   (void) timer;
-  posted.when_fired = posted.run;
+  posted.run_at_timer = posted.run;
 }
 
-/* Another thread has posted a thousand calls at once, and a timer is due. The timer waited for all
- * of them; it fires after some tens, and the calls keep their order. */
+/* A thousand calls were posted at once, and a timer is due. Guards against a timer that waits for
+ * all of them: it must fire after some tens, and the calls must keep their order. */
 static void
-posted_calls_leave_room (void)
+posted_calls_do_not_delay_timers (void)
 {
   begin ();
-  posted = (Posted){ .timer.fire = on_posted_timer, .when_fired = POSTED };
-  for (unsigned i = 0; i < POSTED; i++)
+  posted = (PostedState){ .timer.fire = on_posted_timer, .run_at_timer = POSTED_CALLS };
+  for (unsigned i = 0; i < POSTED_CALLS; i++)
     loop_post (loop, on_posted, GUINT_TO_POINTER (i));
   loop_timer_set (loop, &posted.timer, loop_now (loop));
   loop_run (loop);
-  g_assert_cmpuint (posted.run, ==, POSTED);
-  g_assert_cmpuint (posted.when_fired, <=, 64);
+  g_assert_cmpuint (posted.run, ==, POSTED_CALLS);
+  g_assert_cmpuint (posted.run_at_timer, <=, 64);
   end ();
 }
 
@@ -600,18 +603,18 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/wire/client/once", reset_after_reading_is_not_sent_again);
-  g_test_add_func ("/wire/client/behind", bytes_behind_an_answer_spoil_the_connection);
+  g_test_add_func ("/wire/client/once", reset_request_is_not_resent);
+  g_test_add_func ("/wire/client/behind", surplus_bytes_close_connection);
   g_test_add_func ("/wire/client/foreign", foreign_answer_is_skipped);
-  g_test_add_func ("/wire/client/garbage", garbage_is_a_failure);
-  g_test_add_func ("/wire/client/nobody", nobody_listens);
-  g_test_add_func ("/wire/client/kept", kept_connections_are_used);
-  g_test_add_func ("/wire/client/idle_keys", idle_connections_are_named);
+  g_test_add_func ("/wire/client/garbage", bad_response_is_reported);
+  g_test_add_func ("/wire/client/nobody", refused_connect_is_reported);
+  g_test_add_func ("/wire/client/kept", idle_connection_is_reused);
+  g_test_add_func ("/wire/client/idle_keys", idle_connections_are_listed);
   g_test_add_func ("/wire/server/smuggled", smuggled_requests_are_refused);
   g_test_add_func ("/wire/server/large", large_requests_are_refused);
   g_test_add_func ("/wire/server/pipelined", requests_follow_on_one_connection);
-  g_test_add_func ("/wire/server/leaves", caller_that_leaves_is_noticed);
-  g_test_add_func ("/wire/server/closed", closed_server_keeps_no_connection);
-  g_test_add_func ("/wire/loop/posted", posted_calls_leave_room);
+  g_test_add_func ("/wire/server/leaves", caller_disconnect_is_reported);
+  g_test_add_func ("/wire/server/closed", stopped_server_closes_connection);
+  g_test_add_func ("/wire/loop/posted", posted_calls_do_not_delay_timers);
   return g_test_run ();
 }
