--- a/test/scenarios/all_restart_at_once.lua
+++ b/test/scenarios/all_restart_at_once.lua
@@ -1,5 +1,5 @@
--- Every process dies at once, with syncs under way, and starts again. What was accepted is in
--- force again within seconds, on every instance.
+-- All instances die at once while syncs are in progress, and restart. Every acknowledged change
+-- must be in force on every instance within seconds.
 cluster{seed = 7}
 for i = 1, 30 do
   change(1, "c" .. i, i - 1, catalogue{mark = i})
--- a/test/scenarios/claim_repeat.lua
+++ b/test/scenarios/claim_repeat.lua
@@ -1,5 +1,5 @@
--- A caller repeats a booking that was answered: it is told so, at any instance, after an election
--- and restarts. A claim released by the entry that did not dispatch can be taken again.
+-- A caller repeats a booking that was answered. It must be told so at any instance, also after an
+-- election and restarts. A claim that its entry released without a dispatch can be taken again.
 cluster{}
 change(1, "a", 0, catalogue{})
 run(2000)
@@ -15,9 +15,9 @@
 for i = 1, 3 do kill(i) end
 for i = 1, 3 do assert(restart(i)) end
 run(4000)
-local t = claim(6, "o1/k", "d", "req-b")
-local f = claim(6, "o1/free", "d", "req-y")
+local answered = claim(6, "o1/k", "d", "req-b")
+local released = claim(6, "o1/free", "d", "req-y")
 run(1000)
-local status, _, text = result(t)
+local status, _, text = result(answered)
 assert(status == "already done" and text == "req-a", tostring(status))
-assert(result(f) == "success")
+assert(result(released) == "success")
--- a/test/scenarios/damaged_log.lua
+++ b/test/scenarios/damaged_log.lua
@@ -1,5 +1,6 @@
--- A bit flips in the middle of a voter's log. It stops with an error instead of forgetting a vote
--- or an entry; a torn last record, which nobody relied on, is cut and the voter goes on.
+-- A bit flips in the middle of a voter's log. The voter must refuse to start rather than forget a
+-- vote or a log entry. A damaged last record may be a torn write that was never acknowledged: it
+-- is dropped, and the voter starts.
 cluster{}
 for i = 1, 10 do
   change(1, "c" .. i, i - 1, catalogue{mark = i})
@@ -13,6 +14,6 @@
 assert(damage(2, "log", file_size(2, "log") // 2))
 kill(3)
 assert(damage(3, "log", file_size(3, "log") - 1))
-assert(restart(3), "a torn tail stopped the voter")
+assert(restart(3), "a torn last record kept the voter from starting")
 run(4000)
 assert(member(3) and revision(3) == 10)
--- a/test/scenarios/equal_numbers_race.lua
+++ b/test/scenarios/equal_numbers_race.lua
@@ -1,5 +1,5 @@
--- Two operators make changes against the same revision at the same time at two instances. Exactly
--- one is accepted; the other is told which change took its place.
+-- Two operators submit changes of the same base revision at the same time at two instances.
+-- Exactly one is accepted; the other operator is told which change was accepted instead.
 cluster{}
 change(1, "first", 0, catalogue{mark = 1})
 run(2000)
@@ -11,5 +11,6 @@
 assert((sa == "success") ~= (sb == "success"), "not exactly one was accepted")
 local loser, winner = tb, "left"
 if sb == "success" then loser, winner = ta, "right" end
-assert(loser:find("change " .. winner, 1, true), "the loser is not told the winner: " .. loser)
+assert(loser:find("change " .. winner, 1, true),
+       "the refusal does not name the accepted change: " .. loser)
 for i = 1, 6 do assert(revision(i) == 2) end
--- a/test/scenarios/graceful_leave.lua
+++ b/test/scenarios/graceful_leave.lua
@@ -1,18 +1,18 @@
--- An instance that holds a lease shuts down gracefully: the lease moves within a second, requests
--- keep being granted, and the one under way at the leaving instance ends whole.
+-- An instance that holds a lease shuts down gracefully. The lease must move within about a second,
+-- requests are still granted, and the request that runs at the leaving instance completes.
 cluster{}
 change(1, "a", 0, catalogue{})
 run(3000)
 server("p1", "e1", "live")
-local h = holder("p1")
-local own = ask(h, {class = "t2"})
+local scheduler = holder("p1")
+local running = ask(scheduler, {class = "t2"})
 run(50)
-leave(h)
+leave(scheduler)
 run(1200)
-assert(leave(h), "the lease is still here")
-local r = ask(h % 6 + 1, {class = "t2"})
+assert(leave(scheduler), "the instance still holds the lease")
+local request = ask(scheduler % 6 + 1, {class = "t2"})
 run(100)
-assert(state(r) == "granted")
-local s, _, n = state(own)
+assert(state(request) == "granted")
+local s, _, n = state(running)
 assert(s == "granted" and n == 1)
-done(own, "whole")
+done(running, "whole")
--- a/test/scenarios/leaving_server.lua
+++ b/test/scenarios/leaving_server.lua
@@ -1,24 +1,25 @@
--- A backend server leaves. The platform's news reaches the entry before the scheduler: the grant
--- that still names the server is given back and goes elsewhere; no new work goes to it.
+-- A backend server leaves, and the entry learns this from the platform before the scheduler does.
+-- The entry must return a grant that still names the server, so that the request goes elsewhere.
+-- Once the scheduler knows as well, it grants nothing on that server.
 cluster{}
 change(1, "a", 0, catalogue{window = 50})
 run(3000)
 server("p1", "e1", "live")
 server("p1", "e2", "live")
-local h = holder("p1")
-local entry = h % 6 + 1
+local scheduler = holder("p1")
+local entry = scheduler % 6 + 1
 server_at(entry, "p1", "e1", "leaving")
 for i = 1, 12 do
-  local r = ask(entry, {class = "t2"})
+  local request = ask(entry, {class = "t2"})
   run(20)
-  local s, where = state(r)
-  assert(s ~= "granted" or where == "e2", "work went to the leaving server")
+  local s, where = state(request)
+  assert(s ~= "granted" or where == "e2", "a request went to the leaving server")
 end
 server("p1", "e1", "leaving")
 run(100)
 for i = 1, 12 do
-  local r = ask(h, {class = "t2"})
+  local request = ask(scheduler, {class = "t2"})
   run(20)
-  local s, where = state(r)
+  local s, where = state(request)
   assert(s ~= "granted" or where == "e2")
 end
--- a/test/scenarios/limit_lowered.lua
+++ b/test/scenarios/limit_lowered.lua
@@ -1,5 +1,5 @@
--- The catalogue lowers an organisation's limit while its requests wait. The limit acts on waiting
--- requests too: those beyond it are refused at once, with the limit as the reason.
+-- A new catalogue lowers an organisation's limit while its requests wait. Waiting requests beyond
+-- the new limit must be refused at once, with the limit as the reason.
 cluster{}
 change(1, "a", 0, catalogue{window = 1})
 run(3000)
@@ -10,8 +10,8 @@
 change(1, "b", 1, catalogue{window = 1, concurrent = 2, mark = 1})
 run(2500)
 local refused, kept = 0, 0
-for _, r in ipairs(all) do
-  local s, reason = state(r)
+for _, request in ipairs(all) do
+  local s, reason = state(request)
   if s == "refused" then refused = refused + 1; assert(reason == "limit-concurrent") else kept = kept + 1 end
 end
 assert(refused == 4 and kept == 2, refused .. " refused, " .. kept .. " kept")
--- a/test/scenarios/request_ends_servers.lua
+++ b/test/scenarios/request_ends_servers.lua
@@ -1,53 +1,55 @@
--- One request ends each server that begins to run it, and its caller sends it again, to another
--- instance each time. No instance sees more than one end. After the third it reaches no server more,
--- also when the leader dies and when everything starts again; other requests are served all along.
--- Once an operator lets it go it is sent again.
+-- One request crashes each server that runs it, and its caller sends it again to another instance
+-- each time, so that no instance sees more than one crash. After the third crash it must reach no
+-- server, also after the leader dies and after a restart of all instances, while other requests
+-- are served. After an operator releases it, it is sent again.
 cluster{}
 change(1, "a", 0, catalogue{})
 run(3000)
 for i = 1, 5 do server("p1", "e" .. i, "live") end
-local killer, innocent = 77, 5
+local harmful, harmless = 77, 5
 
-local function come(instance, content)
-  local r = ask(instance, {class = "t1", content = content})
+local function submit(instance, content)
+  local request = ask(instance, {class = "t1", content = content})
   run(500)
-  local s, what = state(r)
-  if s == "granted" and content == killer then
-    server_ended(r)
-    done(r, "failed")
-  elseif s == "granted" then
-    done(r, "whole")
+  local result_state, detail = state(request)
+  if result_state == "granted" and content == harmful then
+    server_ended(request)
+    done(request, "failed")
+  elseif result_state == "granted" then
+    done(request, "whole")
   end
   run(1500)
-  return s, what
+  return result_state, detail
 end
 
-for i = 1, 3 do assert(come(i, killer) == "granted") end
+for i = 1, 3 do assert(submit(i, harmful) == "granted") end
 for i = 4, 6 do
-  local s, why = come(i, killer)
-  assert(s == "refused" and why == "quarantined", i .. ": " .. s .. " " .. why)
+  local result_state, reason = submit(i, harmful)
+  assert(result_state == "refused" and reason == "quarantined",
+         i .. ": " .. result_state .. " " .. reason)
 end
-assert(come(4, innocent) == "granted")
+assert(submit(4, harmless) == "granted")
 
-local first = leader()
-kill(first)
+local old_leader = leader()
+kill(old_leader)
 run(5000)
-assert(restart(first))
+assert(restart(old_leader))
 run(5000)
 for i = 1, 6 do kill(i) end
 for i = 1, 6 do assert(restart(i)) end
 run(6000)
 for i = 1, 5 do server("p1", "e" .. i, "live") end
 for i = 1, 6 do
-  local s, why = come(i, killer)
-  assert(s == "refused" and why == "quarantined", "after a restart " .. i .. ": " .. s .. " " .. why)
+  local result_state, reason = submit(i, harmful)
+  assert(result_state == "refused" and reason == "quarantined",
+         "after a restart " .. i .. ": " .. result_state .. " " .. reason)
 end
-assert(come(4, innocent) == "granted")
+assert(submit(4, harmless) == "granted")
 
-local f = find(2, "suspects", "0")
+local query = find(2, "suspects", "0")
 run(1000)
-local status, _, text = result(f)
+local status, _, text = result(query)
 assert(status == "success" and text:find('"quarantined":true,"ends":3'), text)
-release(5, killer)
+release(5, harmful)
 run(1500)
-assert(come(6, killer) == "granted")
+assert(submit(6, harmful) == "granted")
--- a/test/scenarios/restart_after_800_changes.lua
+++ b/test/scenarios/restart_after_800_changes.lua
@@ -1,5 +1,6 @@
--- A voter and an entry are down while 800 changes pass. They come back and have the newest
--- catalogue within seconds, by one snapshot or one text, not by replaying 800.
+-- A voter and an entry are down during 800 changes. After a restart they must have the newest
+-- catalogue within seconds, from a snapshot or a single document and not by a replay of all
+-- changes.
 cluster{}
 change(5, "c0", 0, catalogue{mark = 1})
 run(2000)
