--- a/test/scenario.c
+++ b/test/scenario.c
@@ -111,7 +111,7 @@
     {
       Ticket *ticket = &g_array_index (world.tickets, Ticket, i);
       if (ticket->instance != instance || ticket->number != number
-          || ticket->start_count != sim_life (sim, instance))
+          || ticket->start_count != sim_start_count (sim, instance))
         continue;
       ticket->done = true;
       ticket->status = status;
@@ -229,7 +229,7 @@
 static int
 do_wipe (lua_State *lua)
 {
-  sim_wipe (world.sim, instance_arg (lua, 1));
+  sim_wipe_disk (world.sim, instance_arg (lua, 1));
   return 0;
 }
 
@@ -250,7 +250,7 @@
 static int
 do_cut (lua_State *lua)
 {
-  sim_cut (world.sim, instance_arg (lua, 1), instance_arg (lua, 2), true);
+  sim_set_link_cut (world.sim, instance_arg (lua, 1), instance_arg (lua, 2), true);
   return 0;
 }
 
@@ -262,8 +262,8 @@
   for (unsigned i = 1; i <= world.instances; i++)
     if (i != instance)
       {
-        sim_cut (world.sim, instance, i, true);
-        sim_cut (world.sim, i, instance, true);
+        sim_set_link_cut (world.sim, instance, i, true);
+        sim_set_link_cut (world.sim, i, instance, true);
       }
   return 0;
 }
@@ -272,22 +272,23 @@
 do_heal (lua_State *lua)
 {
   (void) lua;
-  sim_heal (world.sim);
+  sim_heal_links (world.sim);
   return 0;
 }
 
 static int
 do_disk_fails (lua_State *lua)
 {
-  sim_disk_fails (world.sim, instance_arg (lua, 1), lua_toboolean (lua, 2));
+  sim_set_disk_failing (world.sim, instance_arg (lua, 1), lua_toboolean (lua, 2));
   return 0;
 }
 
 static int
 do_damage (lua_State *lua)
 {
-  lua_pushboolean (lua, sim_damage (world.sim, instance_arg (lua, 1), luaL_checkstring (lua, 2),
-                                    (size_t) luaL_checkinteger (lua, 3)));
+  lua_pushboolean (lua,
+                   sim_corrupt_file (world.sim, instance_arg (lua, 1), luaL_checkstring (lua, 2),
+                                     (size_t) luaL_checkinteger (lua, 3)));
   return 1;
 }
 
@@ -336,7 +337,7 @@
 static int
 push_ticket (lua_State *lua, unsigned instance, uint64_t number)
 {
-  Ticket ticket = { instance, sim_life (world.sim, instance), number, false, 0, 0, NULL };
+  Ticket ticket = { instance, sim_start_count (world.sim, instance), number, false, 0, 0, NULL };
 
   g_array_append_val (world.tickets, ticket);
   sim_flush (world.sim, instance);
@@ -450,7 +451,7 @@
   for (unsigned i = 1; i <= world.voters; i++)
     {
       FtNodeStatus status;
-      if (sim_node (world.sim, i) == NULL || sim_frozen (world.sim, i))
+      if (sim_node (world.sim, i) == NULL || sim_is_frozen (world.sim, i))
         continue;
       ft_node_status (sim_node (world.sim, i), &status);
       if (status.leader != i || status.term <= term)
@@ -468,7 +469,7 @@
   unsigned holder = 0;
 
   for (unsigned i = 1; i <= world.instances; i++)
-    if (sim_node (world.sim, i) && !sim_frozen (world.sim, i)
+    if (sim_node (world.sim, i) && !sim_is_frozen (world.sim, i)
         && ft_node_holds_lease (sim_node (world.sim, i), luaL_checkstring (lua, 1)))
       holder = holder ? world.instances + 1 : i; /* two holders: a number that no instance has */
   lua_pushinteger (lua, holder);
@@ -504,7 +505,7 @@
 do_server (lua_State *lua)
 {
   for (unsigned i = 1; i <= world.instances; i++)
-    if (sim_node (world.sim, i) && !sim_frozen (world.sim, i))
+    if (sim_node (world.sim, i) && !sim_is_frozen (world.sim, i))
       {
         ft_node_update_server (sim_node (world.sim, i), luaL_checkstring (lua, 1),
                                luaL_checkstring (lua, 2), 1, state_arg (lua, 3));
@@ -520,7 +521,7 @@
   Request request = { "waiting", "", instance_arg (lua, 1), 0, 0 };
 
   luaL_checktype (lua, 2, LUA_TTABLE);
-  request.start_count = sim_life (world.sim, request.instance);
+  request.start_count = sim_start_count (world.sim, request.instance);
   g_array_append_val (world.requests, request);
   FtNodeRequest ask = { .request = world.requests->len,
                         .pool = field_string (lua, 2, "pool", "p1"),
@@ -544,7 +545,7 @@
 
   luaL_argcheck (lua, number >= 1 && number <= world.requests->len, 1, "no such request");
   Request *request = find_request ((uint64_t) number);
-  *node = sim_life (world.sim, request->instance) == request->start_count
+  *node = sim_start_count (world.sim, request->instance) == request->start_count
               ? sim_node (world.sim, request->instance)
               : NULL;
   return request;
--- a/test/torture.c
+++ b/test/torture.c
@@ -91,7 +91,7 @@
     {
       PendingCall *pending = &g_array_index (world->pending, PendingCall, i);
       if (pending->instance == instance && pending->number == number
-          && pending->start_count == sim_life (sim, instance))
+          && pending->start_count == sim_start_count (sim, instance))
         return pending;
     }
   return NULL;
@@ -150,9 +150,9 @@
   World *world = sim_user (sim);
   uint64_t revision = ft_cat_revision (cat);
 
-  if (world->seen_start_count[instance] != sim_life (sim, instance))
+  if (world->seen_start_count[instance] != sim_start_count (sim, instance))
     {
-      world->seen_start_count[instance] = sim_life (sim, instance);
+      world->seen_start_count[instance] = sim_start_count (sim, instance);
       world->newest_seen[instance] = 0;
     }
   if (revision <= world->newest_seen[instance])
@@ -178,8 +178,8 @@
   World *world = sim_user (sim);
   char key[64];
 
-  g_snprintf (key, sizeof key, "%u/%u/%" G_GUINT64_FORMAT, instance, sim_life (sim, instance),
-              number);
+  g_snprintf (key, sizeof key, "%u/%u/%" G_GUINT64_FORMAT, instance,
+              sim_start_count (sim, instance), number);
   uint64_t *revision = g_hash_table_lookup (world->in_force_queries, key);
   if (revision && status == FT_OK && g_strstr_len (body, (gssize) size, "\"in_force\":true"))
     world->in_force = MAX (world->in_force, *revision);
@@ -198,7 +198,7 @@
   for (unsigned i = 1; i <= INSTANCES; i++)
     {
       FtNode *node = sim_node (sim, i);
-      if (node == NULL || sim_frozen (sim, i))
+      if (node == NULL || sim_is_frozen (sim, i))
         continue;
       FtCat *cat = ft_node_catalogue (node);
       if (ft_node_is_fresh (node) && ft_cat_revision (cat) < world->in_force)
@@ -225,7 +225,7 @@
   for (unsigned tries = 0; tries < 50; tries++)
     {
       unsigned i = 1 + random_below (sim, INSTANCES);
-      if (sim_node (sim, i) && !sim_frozen (sim, i))
+      if (sim_node (sim, i) && !sim_is_frozen (sim, i))
         return i;
     }
   return 0;
@@ -235,7 +235,7 @@
 send_change (World *world, Sim *sim, unsigned at, unsigned index)
 {
   Change *change = &world->changes[index];
-  PendingCall pending = { at, sim_life (sim, at), 0, (int) index, -1, 0 };
+  PendingCall pending = { at, sim_start_count (sim, at), 0, (int) index, -1, 0 };
 
   pending.number = ft_node_propose_catalogue (sim_node (sim, at), change->id, "operator",
                                               change->base, change->text, 1);
@@ -276,7 +276,7 @@
 
   if (at == 0)
     return;
-  PendingCall pending = { at, sim_life (sim, at), 0, -1, (int) key, world->claim_count++ };
+  PendingCall pending = { at, sim_start_count (sim, at), 0, -1, (int) key, world->claim_count++ };
   g_snprintf (name, sizeof name, "key-%u", key);
   g_snprintf (request, sizeof request, "claim-%u", pending.claim_number);
   pending.number = ft_node_claim (sim_node (sim, at), name, "digest", request, 1);
@@ -298,7 +298,7 @@
   uint64_t number = ft_node_query (sim_node (sim, at), FT_QUERY_IN_FORCE, text);
   g_hash_table_replace (
       world->in_force_queries,
-      g_strdup_printf ("%u/%u/%" G_GUINT64_FORMAT, at, sim_life (sim, at), number),
+      g_strdup_printf ("%u/%u/%" G_GUINT64_FORMAT, at, sim_start_count (sim, at), number),
       g_memdup2 (&revision, sizeof revision));
   sim_flush (sim, at);
 }
@@ -333,8 +333,8 @@
   for (unsigned k = 1; k <= INSTANCES; k++)
     if (k != lagging)
       {
-        sim_cut (sim, lagging, k, true);
-        sim_cut (sim, k, lagging, true);
+        sim_set_link_cut (sim, lagging, k, true);
+        sim_set_link_cut (sim, k, lagging, true);
       }
   for (unsigned i = 0; i < 4; i++)
     {
@@ -344,9 +344,9 @@
   unsigned wiped = 1 + lagging % 3, dead = 1 + wiped % 3;
   sim_kill (sim, dead);
   sim_kill (sim, wiped);
-  sim_wipe (sim, wiped);
+  sim_wipe_disk (sim, wiped);
   sim_restart (sim, wiped);
-  sim_heal (sim);
+  sim_heal_links (sim);
   sim_run (sim, sim_now (sim) + 4 * FT_SECOND);
 }
 
@@ -366,7 +366,7 @@
         {
           i = 1 + random_below (sim, 3);
           sim_kill (sim, i);
-          sim_wipe (sim, i);
+          sim_wipe_disk (sim, i);
           sim_restart (sim, i);
         }
       break;
@@ -377,13 +377,13 @@
       for (unsigned k = 1; k <= INSTANCES; k++)
         if (k != i)
           {
-            sim_cut (sim, i, k, true);
-            sim_cut (sim, k, i, random_below (sim, 2));
+            sim_set_link_cut (sim, i, k, true);
+            sim_set_link_cut (sim, k, i, random_below (sim, 2));
           }
       break;
     case 5:
       if (i != j)
-        sim_cut (sim, i, j, true);
+        sim_set_link_cut (sim, i, j, true);
       break;
     case 7:
       lose_two_voters (world, sim);
@@ -405,11 +405,11 @@
     {
       if (sim_node (sim, i) == NULL)
         sim_restart (sim, i);
-      if (sim_frozen (sim, i))
+      if (sim_is_frozen (sim, i))
         sim_freeze (sim, i, false);
     }
   if (random_below (sim, 2))
-    sim_heal (sim);
+    sim_heal_links (sim);
 }
 
 static void
@@ -453,7 +453,7 @@
   uint64_t last = 0;
 
   repair (sim);
-  sim_heal (sim);
+  sim_heal_links (sim);
   sim_run (sim, sim_now (sim) + 20 * FT_SECOND);
   check_invariants (world, sim);
   for (unsigned r = 1; r <= CHANGES; r++)
@@ -481,7 +481,7 @@
                    .delay = 500,
                    .jitter = (seed % 3) * 20 * FT_MS,
                    .loss = (double) (seed % 4) * 0.05,
-                   .doubling = (double) (seed % 2) * 0.1,
+                   .duplication = (double) (seed % 2) * 0.1,
                    .clock_error = 0.005 };
 
   world.pending = g_array_new (FALSE, FALSE, sizeof (PendingCall));
