--- a/test/backend.c
+++ b/test/backend.c
@@ -1,12 +1,13 @@
-/* backend.c - answers as its mode says, and ends when it begins to run a marked body. */
+/* backend.c - simulated backend servers, which answer as their modes say and crash soon after they
+ * start to run a crash body. */
 #include "backend.h"
 
 #include <string.h>
 
-#define EVENTS    8             /* of a stream */
-#define ENDS_IN   (20 * FT_MS)  /* from the beginning of a marked run to the end of its server */
-#define TRY_AGAIN (20 * FT_MS)  /* its port is not free yet */
-#define SLOW_END  (600 * FT_MS) /* longer than entries wait for news of a content */
+#define STREAM_EVENTS    8             /* of a whole stream */
+#define CRASH_DELAY      (20 * FT_MS)  /* from the start of a crash body to the crash */
+#define BIND_RETRY       (20 * FT_MS)  /* until a restarted server tries again to bind its port */
+#define SLOW_CRASH_DELAY (600 * FT_MS) /* more than an entry waits for a quarantine verdict */
 
 typedef struct
 {
@@ -24,7 +25,7 @@
   return id ? id : "";
 }
 
-/* ---- Plain calls that take a while ---- */
+/* ---- Delayed answers to plain calls ---- */
 
 typedef struct
 {
@@ -33,50 +34,51 @@
   FleetServer *server;
   GString *fields;
   char id[64];
-} Later;
+} DelayedReply;
 
 static void
-later_free (void *data)
+delayed_free (void *data)
 {
-  Later *later = data;
+  DelayedReply *delayed = data;
 
-  loop_timer_stop (later->server->fleet->loop, &later->timer);
-  g_string_free (later->fields, TRUE);
-  g_free (later);
+  loop_timer_stop (delayed->server->fleet->loop, &delayed->timer);
+  g_string_free (delayed->fields, TRUE);
+  g_free (delayed);
 }
 
 static void
-on_later (LoopTimer *timer)
+on_delayed_timer (LoopTimer *timer)
 {
-  Later *later = (Later *) timer;
+  DelayedReply *delayed = (DelayedReply *) timer;
 
-  hcall_set_user (later->call, NULL);
-  hcall_reply (later->call, 200, later->fields, later->id, strlen (later->id));
-  g_ptr_array_remove_fast (later->server->later, later);
+  hcall_set_user (delayed->call, NULL);
+  hcall_reply (delayed->call, 200, delayed->fields, delayed->id, strlen (delayed->id));
+  g_ptr_array_remove_fast (delayed->server->delayed, delayed);
 }
 
 static void
-answer_later (FleetServer *server, HCall *call, const char *id, const GString *fields, unsigned ms)
+reply_after (FleetServer *server, HCall *call, const char *id, const GString *fields, unsigned ms)
 {
-  Later *later = g_new0 (Later, 1);
+  DelayedReply *delayed = g_new0 (DelayedReply, 1);
 
-  later->timer.fire = on_later;
-  later->call = call;
-  later->server = server;
-  later->fields = g_string_new (fields->str);
-  g_strlcpy (later->id, id, sizeof later->id);
+  delayed->timer.fire = on_delayed_timer;
+  delayed->call = call;
+  delayed->server = server;
+  delayed->fields = g_string_new (fields->str);
+  g_strlcpy (delayed->id, id, sizeof delayed->id);
   hcall_set_user (call, NULL);
-  g_ptr_array_add (server->later, later);
-  loop_timer_set (server->fleet->loop, &later->timer, loop_now (server->fleet->loop) + ms * FT_MS);
+  g_ptr_array_add (server->delayed, delayed);
+  loop_timer_set (server->fleet->loop, &delayed->timer,
+                  loop_now (server->fleet->loop) + ms * FT_MS);
 }
 
 static void
-forget_later (FleetServer *server, const HCall *call)
+cancel_delayed (FleetServer *server, const HCall *call)
 {
-  for (unsigned i = 0; i < server->later->len; i++)
-    if (((const Later *) server->later->pdata[i])->call == call)
+  for (unsigned i = 0; i < server->delayed->len; i++)
+    if (((const DelayedReply *) server->delayed->pdata[i])->call == call)
       {
-        g_ptr_array_remove_index_fast (server->later, i);
+        g_ptr_array_remove_index_fast (server->delayed, i);
         return;
       }
 }
@@ -84,7 +86,7 @@
 /* ---- Streams ---- */
 
 static void
-drop_stream (Stream *stream)
+remove_stream (Stream *stream)
 {
   loop_timer_stop (stream->server->fleet->loop, &stream->timer);
   g_ptr_array_remove_fast (stream->server->streams, stream);
@@ -97,18 +99,18 @@
   Fleet *fleet = stream->server->fleet;
   char event[96];
 
-  if (stream->next > EVENTS)
+  if (stream->next > STREAM_EVENTS)
     {
       hcall_end (stream->call);
-      drop_stream (stream);
+      remove_stream (stream);
       return;
     }
   g_snprintf (event, sizeof event, "id: %u\ndata: event %u\n\n", stream->next, stream->next);
-  if (stream->server->mode == SERVER_CUT && stream->next == 3)
+  if (stream->server->mode == SERVER_CUT_STREAM && stream->next == 3)
     {
       hcall_write (stream->call, event, 9);
       hcall_abort (stream->call);
-      drop_stream (stream);
+      remove_stream (stream);
       return;
     }
   hcall_write (stream->call, event, strlen (event));
@@ -134,7 +136,7 @@
 }
 
 static void
-count_in (GHashTable *table, const char *key)
+increment (GHashTable *table, const char *key)
 {
   int before = GPOINTER_TO_INT (g_hash_table_lookup (table, key));
 
@@ -142,67 +144,68 @@
 }
 
 static void
-note_mark (const FleetServer *server, const char *body, const char *request, bool ended)
+add_crash_event (const FleetServer *server, const char *body, const char *request, bool crashed)
 {
-  FleetMarked mark = { .server = server, .ended = ended, .at = loop_now (server->fleet->loop) };
+  FleetCrashEvent event
+      = { .server = server, .crashed = crashed, .at = loop_now (server->fleet->loop) };
 
-  g_strlcpy (mark.body, body, sizeof mark.body);
-  g_strlcpy (mark.request, request, sizeof mark.request);
-  g_array_append_val (server->fleet->marks, mark);
+  g_strlcpy (event.body, body, sizeof event.body);
+  g_strlcpy (event.request, request, sizeof event.request);
+  g_array_append_val (server->fleet->crash_events, event);
 }
 
-/* The server ends: each marked body that it has run in this lifetime has ended it. */
+/* The server crashes: records one crash for each crash body that it ran in this incarnation. */
 static void
-note_end (const FleetServer *server)
+record_crash (const FleetServer *server)
 {
-  const GArray *marks = server->fleet->marks;
+  const GArray *events = server->fleet->crash_events;
   GHashTable *bodies = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   GHashTableIter iter;
   gpointer body;
 
-  for (unsigned i = marks->len; i-- > 0;)
+  for (unsigned i = events->len; i-- > 0;)
     {
-      const FleetMarked *mark = &g_array_index (marks, FleetMarked, i);
-      if (mark->server == server && mark->ended)
-        break; /* of the lifetime before */
-      if (mark->server == server)
-        g_hash_table_add (bodies, g_strdup (mark->body));
+      const FleetCrashEvent *event = &g_array_index (events, FleetCrashEvent, i);
+      if (event->server == server && event->crashed)
+        break; /* of an earlier incarnation */
+      if (event->server == server)
+        g_hash_table_add (bodies, g_strdup (event->body));
     }
   g_hash_table_iter_init (&iter, bodies);
   while (g_hash_table_iter_next (&iter, &body, NULL))
-    note_mark (server, body, "", true);
+    add_crash_event (server, body, "", true);
   g_hash_table_unref (bodies);
 }
 
-/* True: the body is marked; the server ends soon, and this is never answered. */
+/* True: the request has a crash body; the server crashes soon and never answers it. */
 static bool
-runs_marked (FleetServer *server, HCall *call)
+start_crash_run (FleetServer *server, HCall *call)
 {
   const GByteArray *bytes = hcall_body (call);
   char *body = g_strndup ((const char *) bytes->data, bytes->len);
-  bool marked = g_str_has_prefix (body, FLEET_MARK);
+  bool is_crash_body = g_str_has_prefix (body, FLEET_CRASH_PREFIX);
   Loop *loop = server->fleet->loop;
 
-  if (marked)
+  if (is_crash_body)
     {
-      count_in (server->fleet->marked, body);
-      note_mark (server, body, request_id (call), false);
-      if (!server->ending.armed)
-        loop_timer_set (loop, &server->ending, loop_now (loop) + ENDS_IN);
+      increment (server->fleet->crash_run_counts, body);
+      add_crash_event (server, body, request_id (call), false);
+      if (!server->crash_timer.armed)
+        loop_timer_set (loop, &server->crash_timer, loop_now (loop) + CRASH_DELAY);
     }
   g_free (body);
-  return marked;
+  return is_crash_body;
 }
 
-/* Four in ten, in an order that meets each kind of call. */
+/* Four in ten, spread so that each kind of call is hit. */
 static bool
-fails_this (const FleetServer *server)
+should_fail (const FleetServer *server)
 {
-  return server->mode == SERVER_POOR && server->arrived * 7 % 10 < 4;
+  return server->mode == SERVER_FAILING && server->arrived * 7 % 10 < 4;
 }
 
 static void
-answer_long (const FleetServer *server, HCall *call, const GString *fields)
+reply_filler (const FleetServer *server, HCall *call, const GString *fields)
 {
   unsigned size = server->fleet->plain_bytes;
   char *body = g_malloc (size);
@@ -213,52 +216,53 @@
 }
 
 static void
-run (FleetServer *server, HCall *call, const char *id, GString *fields)
+run_request (FleetServer *server, HCall *call, const char *id, GString *fields)
 {
-  count_in (server->fleet->runs, id);
+  increment (server->fleet->run_counts, id);
   hwrite_field (fields, "X-Foxtailgrade-Server-Signature", server->id);
-  if (runs_marked (server, call))
+  if (start_crash_run (server, call))
     {
       hcall_set_user (call, NULL);
-      server->marked = call;
+      server->crash_call = call;
     }
   else if (server->mode == SERVER_RESET)
     hcall_abort (call);
-  else if (server->mode == SERVER_MUTE)
+  else if (server->mode == SERVER_NO_ANSWER)
     hcall_set_user (call, NULL);
-  else if (fails_this (server))
+  else if (should_fail (server))
     hcall_reply (call, 500, fields, "poor", 4);
   else if (g_str_has_prefix (hmsg_target (hcall_msg (call)), "/stream/"))
     start_stream (server, call, fields);
   else if (server->mode == SERVER_SLOW)
-    answer_later (server, call, id, fields, server->fleet->slow_ms);
+    reply_after (server, call, id, fields, server->fleet->slow_ms);
   else if (server->fleet->plain_ms)
-    answer_later (server, call, id, fields, server->fleet->plain_ms);
+    reply_after (server, call, id, fields, server->fleet->plain_ms);
   else if (server->fleet->plain_bytes)
-    answer_long (server, call, fields);
+    reply_filler (server, call, fields);
   else
     hcall_reply (call, 200, fields, id, strlen (id));
 }
 
-/* Writes what the server says of itself, and records what it said to whom. */
+/* Adds the server's notices (rate limit, leaving, back-off) to an answer, and records them with the
+ * entry that they are sent to. */
 static void
-put_notices (FleetServer *server, const char *id, bool turned_away, GString *fields)
+add_notices (FleetServer *server, const char *id, bool turned_away, GString *fields)
 {
   Fleet *fleet = server->fleet;
   int64_t now = loop_now (fleet->loop);
   unsigned sender = GPOINTER_TO_UINT (g_hash_table_lookup (fleet->senders, id));
   double backoff_s = turned_away ? server->backoff_s : 0;
-  Arrival arrival = { .server = server->number * 1000 + server->lives,
+  Arrival arrival = { .server = server->number * 1000 + server->restarts,
                       .instance = sender,
                       .at = now,
                       .answered_at = now,
                       .rate = server->rate,
-                      .leaving = server->says_leaving,
+                      .leaving = server->announces_leaving,
                       .backoff_us = (int64_t) (backoff_s * 1e6) };
 
   if (server->rate > 0)
     g_string_append_printf (fields, "Server-Limit: %g\r\n", server->rate);
-  if (server->says_leaving)
+  if (server->announces_leaving)
     hwrite_field (fields, "Server-Leaving", "1");
   if (backoff_s > 0)
     g_string_append_printf (fields, "Retry-After: %g\r\n", backoff_s);
@@ -275,14 +279,14 @@
 
   server->arrived++;
   hwrite_field (fields, "X-Foxtailgrade-Request-Id", id);
-  bool meant = wanted && strcmp (wanted, server->id) == 0 && server->mode != SERVER_GONE;
-  bool full = server->mode == SERVER_FULL || server->sheds;
-  if (meant)
-    put_notices (server, id, full, fields);
-  else if (server->says_leaving)
+  bool addressed = wanted && strcmp (wanted, server->id) == 0 && server->mode != SERVER_REPLACED;
+  bool full = server->mode == SERVER_FULL || server->refuses_all;
+  if (addressed)
+    add_notices (server, id, full, fields);
+  else if (server->announces_leaving)
     hwrite_field (fields, "Server-Leaving",
-                  "1"); /* whoever it is, it is not the one that was meant */
-  if (!meant)
+                  "1"); /* the notice of a server other than the one addressed */
+  if (!addressed)
     hcall_reply (call, 421, fields, "", 0);
   else if (full)
     {
@@ -290,87 +294,88 @@
       hcall_reply (call, 503, fields, "", 0);
     }
   else
-    run (server, call, id, fields);
+    run_request (server, call, id, fields);
   g_string_free (fields, TRUE);
   g_free (id);
 }
 
 static void
-on_server_gone (void *owner, HCall *call)
+on_call_gone (void *owner, HCall *call)
 {
   FleetServer *server = owner;
   Stream *stream = hcall_user (call);
 
-  if (server->marked == call)
-    server->marked = NULL;
-  forget_later (server, call);
+  if (server->crash_call == call)
+    server->crash_call = NULL;
+  cancel_delayed (server, call);
   if (stream)
-    drop_stream (stream);
+    remove_stream (stream);
 }
 
-static const HSrvOps server_ops = { on_server_request, on_server_gone, NULL };
+static const HSrvOps server_ops = { on_server_request, on_call_gone, NULL };
 
-/* ---- Lifetimes ---- */
+/* ---- Crashes and restarts ---- */
 
 static void
-close_all (FleetServer *server)
+stop_server (FleetServer *server)
 {
   for (unsigned i = 0; i < server->streams->len; i++)
     loop_timer_stop (server->fleet->loop, &((Stream *) server->streams->pdata[i])->timer);
   g_ptr_array_set_size (server->streams, 0);
-  g_ptr_array_set_size (server->later, 0);
+  g_ptr_array_set_size (server->delayed, 0);
   hsrv_free (server->srv);
   server->srv = NULL;
-  server->marked = NULL;
+  server->crash_call = NULL;
   if (server->proxy)
     proxy_free (server->proxy);
   server->proxy = NULL;
 }
 
 static void
-on_coming (LoopTimer *timer)
+on_restart_timer (LoopTimer *timer)
 {
-  FleetServer *server = (FleetServer *) ((char *) timer - offsetof (FleetServer, coming));
+  FleetServer *server = (FleetServer *) ((char *) timer - offsetof (FleetServer, restart_timer));
   Loop *loop = server->fleet->loop;
 
-  server->srv = hsrv_new (loop, server->listens, &server_ops, server);
+  server->srv = hsrv_new (loop, server->listen_addr, &server_ops, server);
   if (server->srv == NULL)
     {
-      loop_timer_set (loop, timer, loop_now (loop) + TRY_AGAIN);
+      loop_timer_set (loop, timer, loop_now (loop) + BIND_RETRY);
       return;
     }
-  if (server->addr.port != server->listens.port)
-    server->proxy = proxy_new (loop, server->addr, server->listens);
-  server->lives++;
-  g_snprintf (server->id, sizeof server->id, "i-%u.%u", server->number + 1, server->lives);
+  if (server->addr.port != server->listen_addr.port)
+    server->proxy = proxy_new (loop, server->addr, server->listen_addr);
+  server->restarts++;
+  g_snprintf (server->id, sizeof server->id, "i-%u.%u", server->number + 1, server->restarts);
 }
 
 static void
-on_ending (LoopTimer *timer)
+on_crash_timer (LoopTimer *timer)
 {
-  FleetServer *server = (FleetServer *) ((char *) timer - offsetof (FleetServer, ending));
+  FleetServer *server = (FleetServer *) ((char *) timer - offsetof (FleetServer, crash_timer));
   Fleet *fleet = server->fleet;
 
-  if (server->mode == SERVER_SLOW_END && server->marked)
+  if (server->mode == SERVER_SLOW_CRASH && server->crash_call)
     {
       hsrv_stop_accepting (server->srv);
-      hcall_abort (server->marked);
-      server->marked = NULL;
-      loop_timer_set (fleet->loop, timer, loop_now (fleet->loop) + SLOW_END);
+      hcall_abort (server->crash_call);
+      server->crash_call = NULL;
+      loop_timer_set (fleet->loop, timer, loop_now (fleet->loop) + SLOW_CRASH_DELAY);
       return;
     }
-  fleet->ends++;
-  note_end (server);
-  close_all (server);
-  loop_timer_set (fleet->loop, &server->coming, loop_now (fleet->loop) + fleet->back_ms * FT_MS);
+  fleet->crash_count++;
+  record_crash (server);
+  stop_server (server);
+  loop_timer_set (fleet->loop, &server->restart_timer,
+                  loop_now (fleet->loop) + fleet->restart_ms * FT_MS);
 }
 
 void
-fleet_end_server (FleetServer *server)
+fleet_crash_server (FleetServer *server)
 {
-  loop_timer_stop (server->fleet->loop, &server->ending);
+  loop_timer_stop (server->fleet->loop, &server->crash_timer);
   if (server->srv)
-    on_ending (&server->ending);
+    on_crash_timer (&server->crash_timer);
 }
 
 void
@@ -381,13 +386,13 @@
   server->fleet = fleet;
   server->number = number;
   g_snprintf (server->id, sizeof server->id, "i-%u", number + 1);
-  server->addr = server->listens = addr;
+  server->addr = server->listen_addr = addr;
   server->listed = true;
   server->streams = g_ptr_array_new_with_free_func (g_free);
-  server->later = g_ptr_array_new_with_free_func (later_free);
+  server->delayed = g_ptr_array_new_with_free_func (delayed_free);
   g_strlcpy (server->version, "v1", sizeof server->version);
-  server->ending.fire = on_ending;
-  server->coming.fire = on_coming;
+  server->crash_timer.fire = on_crash_timer;
+  server->restart_timer.fire = on_restart_timer;
   server->srv = hsrv_new (fleet->loop, addr, &server_ops, server);
   g_assert_nonnull (server->srv);
 }
@@ -395,9 +400,9 @@
 void
 backend_destroy (FleetServer *server)
 {
-  loop_timer_stop (server->fleet->loop, &server->ending);
-  loop_timer_stop (server->fleet->loop, &server->coming);
-  close_all (server);
+  loop_timer_stop (server->fleet->loop, &server->crash_timer);
+  loop_timer_stop (server->fleet->loop, &server->restart_timer);
+  stop_server (server);
   g_ptr_array_unref (server->streams);
-  g_ptr_array_unref (server->later);
+  g_ptr_array_unref (server->delayed);
 }
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -1,4 +1,4 @@
-/* fleet.c - starts real processes, by fork and exec, and plays the platform around them. */
+/* fleet.c - runs real foxtailnode processes by fork and exec, and simulates the platform. */
 #include "backend.h"
 
 #include <fcntl.h>
@@ -8,18 +8,19 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define READY    18081
-#define CONTROL  18082
-#define LINKS    18083
-#define SERVERS  18090
-#define LIST     18099
-#define METRICS  18084
-#define LISTENS  18073            /* for other instances, behind a proxy */
-#define BEHIND   18095            /* proxies before servers */
-#define OPERATOR (1500 * FT_MS)   /* operators move on to another voter then */
-#define GUARD    (60 * FT_SECOND) /* a test that hangs fails; none depends on how long it takes */
+#define READY_PORT        18081
+#define CONTROL_PORT      18082
+#define LINK_PORT         18083
+#define SERVER_PORT       18090
+#define LIST_PORT         18099
+#define METRICS_PORT      18084
+#define LINK_LISTEN_PORT  18073          /* where a node behind a proxy accepts links */
+#define SERVER_PROXY_PORT 18095          /* of the proxies before servers */
+#define OPERATOR_TIMEOUT  (1500 * FT_MS) /* then operators try another voter */
+#define WAIT_TIMEOUT                                                                               \
+  (60 * FT_SECOND) /* a test that hangs fails; no test checks durations otherwise */
 
-/* ---- Stand-in of the list ---- */
+/* ---- The platform's server list ---- */
 
 static void
 on_list (void *owner, HCall *call)
@@ -48,13 +49,13 @@
 }
 
 static void
-nobody_minds (void *owner, HCall *call)
+on_list_call_gone (void *owner, HCall *call)
 {
   (void) owner;
   (void) call;
 }
 
-static const HSrvOps list_ops = { on_list, nobody_minds, NULL };
+static const HSrvOps list_ops = { on_list, on_list_call_gone, NULL };
 
 /* ---- Processes ---- */
 
@@ -73,25 +74,26 @@
   GString *out = g_string_new ("// written by a test\n{");
 
   ip_text (node->ip, ip);
-  sock_addr_format ((SockAddr){ fleet->voters[0].ip - 1, LIST }, list);
+  sock_addr_format ((SockAddr){ fleet->voters[0].ip - 1, LIST_PORT }, list);
   g_string_append_printf (
       out,
       "\"name\":\"%s\",\"role\":\"%s\",\"ip\":\"%s\",\"domain\":\"z\","
       "\"link_port\":%d,\"link_listen_port\":%d,\"list\":\"%s\",\"log_level\":\"debug\","
       "\"first_start\":%s,\"grace_s\":8,\"metrics_port\":%d,"
       "\"budget_slack\":%u,",
-      node->name, node->voter ? "voter" : "entry", ip, LINKS, node->proxy ? LISTENS : 0, list,
-      first_start ? "true" : "false", METRICS, fleet->budget_slack);
+      node->name, node->voter ? "voter" : "entry", ip, LINK_PORT,
+      node->proxy ? LINK_LISTEN_PORT : 0, list, first_start ? "true" : "false", METRICS_PORT,
+      fleet->budget_slack);
   if (node->voter)
-    g_string_append_printf (out, "\"control\":\"%s:%d\",\"data_folder\":\"%s\",", ip, CONTROL,
+    g_string_append_printf (out, "\"control\":\"%s:%d\",\"data_folder\":\"%s\",", ip, CONTROL_PORT,
                             node->folder);
   else
-    g_string_append_printf (out, "\"callers\":\"%s:%d\",\"ready\":\"%s:%d\",", ip, FLEET_CALLERS,
-                            ip, READY);
+    g_string_append_printf (out, "\"callers\":\"%s:%d\",\"ready\":\"%s:%d\",", ip,
+                            FLEET_CALLER_PORT, ip, READY_PORT);
   g_string_append (out, "\"seeds\":[");
   for (unsigned i = 0; i < (node->voter ? 3 : fleet->entry_seeds); i++)
     g_string_append_printf (out, "%s\"%s:%d\"", i ? "," : "", ip_text (fleet->voters[i].ip, seed),
-                            CONTROL);
+                            CONTROL_PORT);
   g_string_append (out, "]}\n");
   g_assert_true (g_file_set_contents (node->settings, out->str, (gssize) out->len, NULL));
   g_string_free (out, TRUE);
@@ -108,7 +110,7 @@
   g_assert_cmpint (node->pid, >=, 0);
   if (node->pid > 0)
     return;
-  prctl (PR_SET_PDEATHSIG, SIGKILL); /* a test that fails leaves no process behind */
+  prctl (PR_SET_PDEATHSIG, SIGKILL); /* a failed test leaves no process behind */
   int out = open (node->log, O_WRONLY | O_CREAT | O_APPEND, 0600);
   dup2 (out, STDOUT_FILENO);
   dup2 (out, STDERR_FILENO);
@@ -139,7 +141,7 @@
 }
 
 bool
-fleet_ended (FleetNode *node)
+fleet_has_exited (FleetNode *node)
 {
   if (node->pid == 0)
     return true;
@@ -150,7 +152,7 @@
 }
 
 void
-fleet_wipe (FleetNode *node)
+fleet_wipe_data (FleetNode *node)
 {
   GDir *dir = g_dir_open (node->folder, 0, NULL);
   const char *name;
@@ -166,7 +168,7 @@
 }
 
 char *
-fleet_log (const FleetNode *node)
+fleet_read_log (const FleetNode *node)
 {
   char *text = NULL;
 
@@ -175,7 +177,7 @@
 }
 
 static void
-name_node (Fleet *fleet, FleetNode *node, const char *name, uint32_t ip, bool voter)
+init_node (Fleet *fleet, FleetNode *node, const char *name, uint32_t ip, bool voter)
 {
   g_strlcpy (node->name, name, sizeof node->name);
   node->ip = ip;
@@ -199,21 +201,21 @@
   fleet->slots = 4;
   fleet->plain_ms = 0;
   fleet->slow_ms = 300;
-  fleet->runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  fleet->run_counts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   fleet->senders = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   fleet->arrivals = g_array_new (FALSE, FALSE, sizeof (Arrival));
-  fleet->marks = g_array_new (FALSE, FALSE, sizeof (FleetMarked));
-  fleet->marked = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  fleet->back_ms = 300;
+  fleet->crash_events = g_array_new (FALSE, FALSE, sizeof (FleetCrashEvent));
+  fleet->crash_run_counts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  fleet->restart_ms = 300;
   fleet->budget_slack = 20;
   fleet->entry_seeds = 3;
-  /* Numbers of the loopback range that no other test of this machine uses at the same time: whoever
-   * has the list's address has the range. */
+  /* Picks a loopback /24 that no other test of this machine uses at the same time: the test that
+   * binds the list's address owns the range. */
   for (unsigned i = 0; fleet->list == NULL && i < 1000; i++)
     {
       unsigned number = (unsigned) getpid () * 7 + made++ + i * 131;
       net = 0x7f000000u | (number / 250 % 250 + 2) << 16 | (number % 250) << 8;
-      fleet->list = hsrv_new (fleet->loop, (SockAddr){ net + 10, LIST }, &list_ops, fleet);
+      fleet->list = hsrv_new (fleet->loop, (SockAddr){ net + 10, LIST_PORT }, &list_ops, fleet);
     }
   g_assert_nonnull (fleet->list);
   g_snprintf (fleet->base, sizeof fleet->base, "%s/fleet-XXXXXX", g_get_tmp_dir ());
@@ -221,16 +223,16 @@
   for (unsigned i = 0; i < FLEET_VOTERS; i++)
     {
       g_snprintf (name, sizeof name, "voter%u", i + 1);
-      name_node (fleet, &fleet->voters[i], name, net + 11 + i, true);
+      init_node (fleet, &fleet->voters[i], name, net + 11 + i, true);
     }
   for (unsigned i = 0; i < FLEET_ENTRIES; i++)
     {
       g_snprintf (name, sizeof name, "entry%u", i + 1);
-      name_node (fleet, &fleet->entries[i], name, net + 31 + i, false);
+      init_node (fleet, &fleet->entries[i], name, net + 31 + i, false);
     }
-  name_node (fleet, &fleet->spare, "spare", net + 31 + FLEET_ENTRIES, false);
+  init_node (fleet, &fleet->spare, "spare", net + 31 + FLEET_ENTRIES, false);
   for (unsigned i = 0; i < FLEET_SERVERS; i++)
-    backend_create (fleet, i, (SockAddr){ net + 51 + i, SERVERS });
+    backend_create (fleet, i, (SockAddr){ net + 51 + i, SERVER_PORT });
   return fleet;
 }
 
@@ -244,40 +246,40 @@
   for (unsigned i = 0; i < FLEET_ENTRIES; i++)
     fleet_kill (&fleet->entries[i]);
   fleet_kill (&fleet->spare);
-  fleet_run_for (fleet, 100 * FT_MS); /* the ends of their connections are noticed */
+  fleet_run_for (fleet, 100 * FT_MS); /* so that the closed connections are noticed */
   free_proxies (fleet);
   for (unsigned i = 0; i < FLEET_SERVERS; i++)
     backend_destroy (&fleet->servers[i]);
   hsrv_free (fleet->list);
   hcli_free (fleet->cli);
   loop_free (fleet->loop);
-  g_hash_table_unref (fleet->runs);
-  g_hash_table_unref (fleet->marked);
-  g_array_unref (fleet->marks);
+  g_hash_table_unref (fleet->run_counts);
+  g_hash_table_unref (fleet->crash_run_counts);
+  g_array_unref (fleet->crash_events);
   g_hash_table_unref (fleet->senders);
   g_array_unref (fleet->arrivals);
   g_free (fleet);
 }
 
 static void
-proxy_node (Fleet *fleet, FleetNode *node)
+add_node_proxy (Fleet *fleet, FleetNode *node)
 {
-  node->proxy
-      = proxy_new (fleet->loop, (SockAddr){ node->ip, LINKS }, (SockAddr){ node->ip, LISTENS });
+  node->proxy = proxy_new (fleet->loop, (SockAddr){ node->ip, LINK_PORT },
+                           (SockAddr){ node->ip, LINK_LISTEN_PORT });
 }
 
 void
-fleet_proxies (Fleet *fleet)
+fleet_add_proxies (Fleet *fleet)
 {
   for (unsigned i = 0; i < FLEET_VOTERS; i++)
-    proxy_node (fleet, &fleet->voters[i]);
+    add_node_proxy (fleet, &fleet->voters[i]);
   for (unsigned i = 0; i < FLEET_ENTRIES; i++)
-    proxy_node (fleet, &fleet->entries[i]);
+    add_node_proxy (fleet, &fleet->entries[i]);
   for (unsigned i = 0; i < FLEET_SERVERS; i++)
     {
       FleetServer *server = &fleet->servers[i];
-      server->addr.port = BEHIND;
-      server->proxy = proxy_new (fleet->loop, server->addr, server->listens);
+      server->addr.port = SERVER_PROXY_PORT;
+      server->proxy = proxy_new (fleet->loop, server->addr, server->listen_addr);
     }
 }
 
@@ -313,15 +315,16 @@
   if (wait->done (wait->data))
     loop_stop (loop);
   else if (loop_now (loop) > wait->until)
-    g_error ("never: %s (logs in %s)", wait->what, wait->fleet->base);
+    g_error ("timed out waiting: %s (logs in %s)", wait->what, wait->fleet->base);
   else
     loop_timer_set (loop, timer, loop_now (loop) + 10 * FT_MS);
 }
 
 void
-fleet_until (Fleet *fleet, bool (*done) (void *data), void *data, const char *what)
+fleet_run_until (Fleet *fleet, bool (*done) (void *data), void *data, const char *what)
 {
-  Wait wait = { { .fire = on_wait }, fleet, done, data, what, loop_now (fleet->loop) + GUARD };
+  Wait wait
+      = { { .fire = on_wait }, fleet, done, data, what, loop_now (fleet->loop) + WAIT_TIMEOUT };
 
   loop_timer_set (fleet->loop, &wait.timer, loop_now (fleet->loop));
   loop_run (fleet->loop);
@@ -340,7 +343,7 @@
 {
   Wait wait = { .fleet = fleet, .until = loop_now (fleet->loop) + us };
 
-  fleet_until (fleet, is_past, &wait, "time passes");
+  fleet_run_until (fleet, is_past, &wait, "time passes");
 }
 
 /* ---- Callers and operators ---- */
@@ -353,8 +356,8 @@
   const char *connection = hmsg_field (msg, "Connection");
 
   answer->status = hmsg_status (msg);
-  answer->signature = hmsg_field (msg, "X-Foxtailgrade-Server-Signature") != NULL;
-  answer->advice = hmsg_field (msg, "Retry-After") != NULL;
+  answer->has_signature = hmsg_field (msg, "X-Foxtailgrade-Server-Signature") != NULL;
+  answer->retry_after = hmsg_field (msg, "Retry-After") != NULL;
   g_strlcpy (answer->location, location ? location : "", sizeof answer->location);
   g_strlcpy (answer->connection, connection ? connection : "", sizeof answer->connection);
   return true;
@@ -417,7 +420,7 @@
                           path, id, strlen (body), body);
   g_hash_table_replace (fleet->senders, g_strdup (id),
                         GUINT_TO_POINTER (entry->ip - fleet->entries[0].ip + 1));
-  send_to (fleet, (SockAddr){ entry->ip, FLEET_CALLERS }, request, answer);
+  send_to (fleet, (SockAddr){ entry->ip, FLEET_CALLER_PORT }, request, answer);
   g_string_free (request, TRUE);
 }
 
@@ -444,7 +447,7 @@
                  const char *body, Answer *answer)
 {
   fleet_send_body (fleet, entry, path, id, body, answer);
-  fleet_until (fleet, is_done, answer, path);
+  fleet_run_until (fleet, is_done, answer, path);
 }
 
 typedef struct
@@ -452,29 +455,29 @@
   Fleet *fleet;
   Answer *answer;
   int64_t until;
-} Patience;
+} AnswerWait;
 
 static bool
 is_done_or_late (void *data)
 {
-  const Patience *patience = data;
+  const AnswerWait *wait = data;
 
-  return patience->answer->done || loop_now (patience->fleet->loop) > patience->until;
+  return wait->answer->done || loop_now (wait->fleet->loop) > wait->until;
 }
 
-/* Like operators, gives a voter that does not answer up; status 0 then. */
+/* Asks one voter and gives up after OPERATOR_TIMEOUT, as operators do; the status is 0 then. */
 static void
 ask_voter (Fleet *fleet, const FleetNode *voter, const char *method, const char *path,
            const char *body, Answer *answer)
 {
   GString *request = g_string_new (NULL);
-  Patience patience = { fleet, answer, loop_now (fleet->loop) + OPERATOR };
+  AnswerWait wait = { fleet, answer, loop_now (fleet->loop) + OPERATOR_TIMEOUT };
 
   g_string_append_printf (request, "%s %s HTTP/1.1\r\nHost: v\r\nContent-Length: %zu\r\n\r\n%s",
                           method, path, strlen (body), body);
-  send_to (fleet, (SockAddr){ voter->ip, CONTROL }, request, answer);
+  send_to (fleet, (SockAddr){ voter->ip, CONTROL_PORT }, request, answer);
   g_string_free (request, TRUE);
-  fleet_until (fleet, is_done_or_late, &patience, path);
+  fleet_run_until (fleet, is_done_or_late, &wait, path);
   if (answer->done)
     return;
   hxfer_cancel (answer->xfer);
@@ -487,8 +490,9 @@
 {
   char limits[64] = "";
 
-  if (fleet->head_ms)
-    g_snprintf (limits, sizeof limits, ",\"Limits\":{\"HeaderTimeoutMs\":%u}", fleet->head_ms);
+  if (fleet->header_timeout_ms)
+    g_snprintf (limits, sizeof limits, ",\"Limits\":{\"HeaderTimeoutMs\":%u}",
+                fleet->header_timeout_ms);
   return g_strdup_printf (
       "{\"Version\":%" G_GUINT64_FORMAT
       "%s,\"Routes\":[{\"Name\":\"plain\",\"Host\":\"h.example\",\"PathPrefix\":\"/plain/\","
@@ -504,7 +508,7 @@
 }
 
 bool
-fleet_try_put (Fleet *fleet, const FleetNode *voter)
+fleet_try_put_catalogue (Fleet *fleet, const FleetNode *voter)
 {
   char *text = catalogue_text (fleet, fleet->version + 1);
   Answer answer;
@@ -512,7 +516,7 @@
   ask_voter (fleet, voter, "POST", "/api/Config.Put", text, &answer);
   bool accepted = answer.status == 200;
   if (answer.status / 100 == 4)
-    g_error ("a proper change was refused with %u (logs in %s)", answer.status, fleet->base);
+    g_error ("a valid catalogue was refused with %u (logs in %s)", answer.status, fleet->base);
   fleet_answer_clear (&answer);
   g_free (text);
   if (accepted)
@@ -521,7 +525,7 @@
 }
 
 unsigned
-fleet_resend (Fleet *fleet, const FleetNode *voter)
+fleet_resend_catalogue (Fleet *fleet, const FleetNode *voter)
 {
   char *text = catalogue_text (fleet, fleet->version);
   Answer answer;
@@ -533,22 +537,22 @@
 }
 
 void
-fleet_put (Fleet *fleet)
+fleet_put_catalogue (Fleet *fleet)
 {
   for (unsigned i = 0; i < 1000; i++)
     {
       const FleetNode *voter = &fleet->voters[i % FLEET_VOTERS];
       if (voter->pid == 0)
         continue;
-      if (fleet_try_put (fleet, voter))
+      if (fleet_try_put_catalogue (fleet, voter))
         return;
       fleet_run_for (fleet, 50 * FT_MS);
     }
-  g_error ("no voter accepts a change (logs in %s)", fleet->base);
+  g_error ("no voter accepts a catalogue (logs in %s)", fleet->base);
 }
 
 uint64_t
-fleet_try_get (Fleet *fleet, const FleetNode *voter)
+fleet_try_get_version (Fleet *fleet, const FleetNode *voter)
 {
   Answer answer;
   uint64_t version = 0;
@@ -580,36 +584,36 @@
 }
 
 uint64_t
-fleet_get (Fleet *fleet)
+fleet_get_version (Fleet *fleet)
 {
   for (unsigned i = 0; i < 1000; i++)
     {
       const FleetNode *voter = &fleet->voters[i % FLEET_VOTERS];
-      uint64_t version = voter->pid ? fleet_try_get (fleet, voter) : 0;
+      uint64_t version = voter->pid ? fleet_try_get_version (fleet, voter) : 0;
       if (version)
         return version;
       if (voter->pid)
         fleet_run_for (fleet, 50 * FT_MS);
     }
-  g_error ("no voter shows the catalogue (logs in %s)", fleet->base);
+  g_error ("no voter reports a catalogue version (logs in %s)", fleet->base);
 }
 
 void
-fleet_try_operate (Fleet *fleet, const FleetNode *voter, const char *method, const char *path,
-                   const char *body, Answer *answer)
+fleet_try_operator_call (Fleet *fleet, const FleetNode *voter, const char *method, const char *path,
+                         const char *body, Answer *answer)
 {
   ask_voter (fleet, voter, method, path, body, answer);
 }
 
 void
-fleet_operate (Fleet *fleet, const char *method, const char *path, Answer *answer)
+fleet_operator_call (Fleet *fleet, const char *method, const char *path, Answer *answer)
 {
-  fleet_operate_with (fleet, method, path, "", answer);
+  fleet_operator_call_body (fleet, method, path, "", answer);
 }
 
 void
-fleet_operate_with (Fleet *fleet, const char *method, const char *path, const char *body,
-                    Answer *answer)
+fleet_operator_call_body (Fleet *fleet, const char *method, const char *path, const char *body,
+                          Answer *answer)
 {
   for (unsigned i = 0; i < 1000; i++)
     {
@@ -626,23 +630,23 @@
 }
 
 void
-fleet_metrics (Fleet *fleet, const FleetNode *node, Answer *answer)
+fleet_get_metrics (Fleet *fleet, const FleetNode *node, Answer *answer)
 {
   GString *request = g_string_new ("GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n");
 
-  send_to (fleet, (SockAddr){ node->ip, METRICS }, request, answer);
-  fleet_until (fleet, is_done, answer, "metrics");
+  send_to (fleet, (SockAddr){ node->ip, METRICS_PORT }, request, answer);
+  fleet_run_until (fleet, is_done, answer, "metrics");
   g_string_free (request, TRUE);
 }
 
 bool
-fleet_ready (Fleet *fleet, const FleetNode *entry)
+fleet_is_ready (Fleet *fleet, const FleetNode *entry)
 {
   GString *request = g_string_new ("GET /api/readyz HTTP/1.1\r\nHost: e\r\n\r\n");
   Answer answer;
 
-  send_to (fleet, (SockAddr){ entry->ip, READY }, request, &answer);
-  fleet_until (fleet, is_done, &answer, "an answer on readiness");
+  send_to (fleet, (SockAddr){ entry->ip, READY_PORT }, request, &answer);
+  fleet_run_until (fleet, is_done, &answer, "an answer on readiness");
   bool ready = !answer.broken && answer.status == 200;
   fleet_answer_clear (&answer);
   g_string_free (request, TRUE);
@@ -650,26 +654,26 @@
 }
 
 unsigned
-fleet_marked (const Fleet *fleet, const char *body)
+fleet_crash_run_count (const Fleet *fleet, const char *body)
 {
-  return (unsigned) GPOINTER_TO_INT (g_hash_table_lookup (fleet->marked, body));
+  return (unsigned) GPOINTER_TO_INT (g_hash_table_lookup (fleet->crash_run_counts, body));
 }
 
 unsigned
-fleet_runs (const Fleet *fleet, const char *id)
+fleet_run_count (const Fleet *fleet, const char *id)
 {
-  return (unsigned) GPOINTER_TO_INT (g_hash_table_lookup (fleet->runs, id));
+  return (unsigned) GPOINTER_TO_INT (g_hash_table_lookup (fleet->run_counts, id));
 }
 
 void
-fleet_begin (Fleet *fleet)
+fleet_start_all (Fleet *fleet)
 {
   for (unsigned i = 0; i < 3; i++)
     fleet_start (fleet, &fleet->voters[i], true);
   for (unsigned i = 0; i < FLEET_ENTRIES; i++)
     fleet_start (fleet, &fleet->entries[i], false);
-  fleet_put (fleet);
+  fleet_put_catalogue (fleet);
   for (unsigned i = 0; i < FLEET_ENTRIES; i++)
-    while (!fleet_ready (fleet, &fleet->entries[i]))
+    while (!fleet_is_ready (fleet, &fleet->entries[i]))
       fleet_run_for (fleet, 20 * FT_MS);
 }
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -1,5 +1,5 @@
-/* fleet.h - real processes of a small deployment on loopback, with stand-ins of the platform: its
- * list, backend servers, operators and callers, all on one loop of the test's. */
+/* fleet.h - a small deployment of real foxtailnode processes on loopback. The test itself plays the
+ * platform's server list, the backend servers, the operators and the callers, all on one loop. */
 #ifndef FLEET_H
 #define FLEET_H
 
@@ -10,68 +10,69 @@
 
 #include <sys/types.h>
 
-#define FLEET_VOTERS  4     /* the first three form; the fourth may come in another's place */
-#define FLEET_CALLERS 18080 /* port of an entry */
-#define FLEET_ENTRIES 3
-#define FLEET_SERVERS 4
-#define FLEET_MARK    "ends-servers" /* a body that begins so ends the server that runs it */
+#define FLEET_VOTERS       4     /* three found the cluster; the fourth can replace one */
+#define FLEET_CALLER_PORT  18080 /* on which an entry serves callers */
+#define FLEET_ENTRIES      3
+#define FLEET_SERVERS      4
+#define FLEET_CRASH_PREFIX "ends-servers" /* a body with it crashes its server */
 
 typedef enum
 {
-  SERVER_SOUND,
-  SERVER_RESET,    /* reads the request and resets the connection */
-  SERVER_CUT,      /* ends a stream in the middle of its third event */
-  SERVER_FULL,     /* says that it did not run the request */
-  SERVER_GONE,     /* another one answers at its address */
-  SERVER_MUTE,     /* answers nothing */
-  SERVER_SLOW_END, /* as SOUND, but its listener and one call end before its other connections */
-  SERVER_POOR,     /* fails four in ten of what it runs */
-  SERVER_SLOW      /* answers plain calls late: after Fleet.slow_ms */
+  SERVER_HEALTHY,
+  SERVER_RESET,      /* reads the request, then resets the connection */
+  SERVER_CUT_STREAM, /* aborts a stream in the middle of its third event */
+  SERVER_FULL,       /* answers 503 and states that it did not run the request */
+  SERVER_REPLACED,   /* another server answers at its address */
+  SERVER_NO_ANSWER,  /* never answers */
+  SERVER_SLOW_CRASH, /* crashes in two steps: listener and one call first, the rest later */
+  SERVER_FAILING,    /* fails four in ten of the requests that it runs */
+  SERVER_SLOW        /* answers plain calls after Fleet.slow_ms */
 } ServerMode;
 
 typedef struct Fleet Fleet;
 
-/* A stand-in of a backend server (backend.c). It ends when it begins to run a marked body, cutting
- * whatever else it runs, and is back after Fleet.back_ms, as another lifetime at its address. */
+/* A simulated backend server (backend.c). It crashes soon after it starts to run a crash body,
+ * which breaks off all else that it runs. After Fleet.restart_ms it listens again at the same
+ * address under a new id. */
 typedef struct
 {
   Fleet *fleet;
-  unsigned number, lives;
-  char id[32];            /* of its lifetime */
-  char version[8];        /* of its software */
-  SockAddr addr, listens; /* where the list says that it is, and where it is */
-  HSrv *srv;              /* NULL: it has ended and is not back yet */
-  Proxy *proxy;           /* before it; NULL: none */
+  unsigned number, restarts;
+  char id[32];                /* of its incarnation */
+  char version[8];            /* of its software */
+  SockAddr addr, listen_addr; /* the address in the list, and the one that it listens at */
+  HSrv *srv;                  /* NULL: it crashed and has not restarted yet */
+  Proxy *proxy;               /* forwards from addr to listen_addr; NULL: both are the same */
   ServerMode mode;
   bool leaving, listed;
-  double rate;       /* its answers name it as the requests a second that it takes; 0: none */
-  bool says_leaving; /* its answers say that it leaves, whatever the list says */
-  bool sheds;        /* turns all away, as SERVER_FULL does, whatever its mode */
-  double backoff_s;  /* when it does: it wants nothing from whom it turned away for so long */
-  unsigned arrived;
-  GPtrArray *streams; /* that it runs */
-  GPtrArray *later;   /* plain calls that it runs */
-  HCall *marked;      /* a marked call that it runs; NULL: none */
-  LoopTimer ending, coming;
+  double rate;            /* requests per second that its answers announce as its limit; 0: none */
+  bool announces_leaving; /* its answers say that it leaves, whatever the list says */
+  bool refuses_all;       /* answers 503 to everything, as SERVER_FULL does, whatever its mode */
+  double backoff_s;       /* the Retry-After of such an answer; 0: none */
+  unsigned arrived;       /* requests received, of all incarnations */
+  GPtrArray *streams;     /* running streams */
+  GPtrArray *delayed;     /* plain calls to be answered later */
+  HCall *crash_call;      /* a running call with a crash body; NULL: none */
+  LoopTimer crash_timer, restart_timer;
 } FleetServer;
 
-/* A server began to run a marked body, or ended under it. */
+/* A server started to run a crash body, or crashed after it had run it. */
 typedef struct
 {
   char body[32], request[32];
   const FleetServer *server;
-  bool ended;
+  bool crashed; /* false: the run started */
   int64_t at;
-} FleetMarked;
+} FleetCrashEvent;
 
 typedef struct
 {
   char name[16], folder[256], settings[256];
   uint32_t ip;
   bool voter;
-  pid_t pid;    /* 0: does not run */
-  int status;   /* of its last end by itself or when asked to, as waitpid gives it */
-  Proxy *proxy; /* before its port for other instances; NULL: none */
+  pid_t pid;    /* 0: not running */
+  int status;   /* wait status of its last exit that was no fleet_kill */
+  Proxy *proxy; /* before its port for links to other instances; NULL: none */
   char log[256];
 } FleetNode;
 
@@ -81,25 +82,25 @@
   HCli *cli;
   char base[128];
   FleetNode voters[FLEET_VOTERS], entries[FLEET_ENTRIES];
-  FleetNode spare; /* an entry that no deputy's place is left for; fleet_begin does not start it */
+  FleetNode spare; /* no deputy; not started by fleet_start_all */
   FleetServer servers[FLEET_SERVERS];
-  HSrv *list;
-  uint64_t version;      /* of the newest catalogue that was acknowledged */
-  GHashTable *runs;      /* request id: GINT of times that a server began to run it */
-  GHashTable *marked;    /* body that ends servers: GINT of times that one began to run it */
-  GArray *marks;         /* FleetMarked, in order */
-  GHashTable *senders;   /* request id: number of the entry it was sent to, 1 for the first */
-  GArray *arrivals;      /* Arrival at servers; server is number x 1000 + lifetime */
-  unsigned ends;         /* of servers so far */
-  unsigned event_ms;     /* time between a stream's events */
-  unsigned plain_ms;     /* time of a plain call */
-  unsigned slots;        /* of each server */
-  unsigned plain_bytes;  /* length of a plain answer; 0: the request's id alone */
-  unsigned slow_ms;      /* the same at a slow server */
-  unsigned budget_slack; /* the entries' setting */
-  unsigned entry_seeds;  /* how many of the first voters entries know */
-  unsigned head_ms;      /* a request must come within; 0: the catalogue does not say */
-  unsigned back_ms;      /* from a server's end to its next lifetime */
+  HSrv *list;                   /* serves the platform's server list */
+  uint64_t version;             /* of the newest acknowledged catalogue */
+  GHashTable *run_counts;       /* request id: how often a server started to run it */
+  GHashTable *crash_run_counts; /* crash body: how often a server started to run it */
+  GArray *crash_events;         /* FleetCrashEvent, in order */
+  GHashTable *senders;        /* request id: number of the entry it was sent to, 1 for the first */
+  GArray *arrivals;           /* Arrival at servers; its server is number x 1000 + restarts */
+  unsigned crash_count;       /* of all servers so far */
+  unsigned event_ms;          /* time between a stream's events */
+  unsigned plain_ms;          /* time that a plain call takes */
+  unsigned slots;             /* of each server, as listed */
+  unsigned plain_bytes;       /* length of a plain answer; 0: its body is the request's id */
+  unsigned slow_ms;           /* time that a plain call takes at a SERVER_SLOW */
+  unsigned budget_slack;      /* the entries' setting of that name */
+  unsigned entry_seeds;       /* how many of the first voters the entries have as seeds */
+  unsigned header_timeout_ms; /* the catalogue's HeaderTimeoutMs; 0: not set */
+  unsigned restart_ms;        /* from a server's crash to its restart */
   uint64_t next_id;
 };
 
@@ -110,69 +111,74 @@
   unsigned status;
   GString *body;
   char location[128], connection[32];
-  bool signature, advice; /* advice: it says when to come back */
+  bool has_signature; /* it names the server that answered */
+  bool retry_after;   /* it has a Retry-After field */
   HXfer *xfer;
 } Answer;
 
-/* seeds: how many of the first voters form the set. Nothing is started. */
+/* Starts the server list and the backend servers, but no process. */
 Fleet *fleet_new (void);
-void fleet_free (Fleet *fleet); /* ends what it started, by process id */
+void fleet_free (Fleet *fleet); /* kills the processes that it started */
 void fleet_start (Fleet *fleet, FleetNode *node, bool first_start);
 void fleet_signal (FleetNode *node, int number);
-/* Ends the process at once and waits for it. */
+/* Sends SIGKILL and waits for the process. */
 void fleet_kill (FleetNode *node);
-void fleet_wipe (FleetNode *node);
-/* The process of a backend server ends now, as if it had run a marked body. */
-void fleet_end_server (FleetServer *server);
-/* A call of the product's own at whatever voter is in charge; waits for one that answers. */
-void fleet_operate (Fleet *fleet, const char *method, const char *path, Answer *answer);
-/* The same with a body. */
-void fleet_operate_with (Fleet *fleet, const char *method, const char *path, const char *body,
-                         Answer *answer);
-/* One try of a call at one voter; status 0: it did not answer. */
-void fleet_try_operate (Fleet *fleet, const FleetNode *voter, const char *method, const char *path,
-                        const char *body, Answer *answer);
-/* Has the process ended by itself? */
-bool fleet_ended (FleetNode *node);
-/* From now on links and servers are reached through proxies. Before any node is started. */
-void fleet_proxies (Fleet *fleet);
-/* Three voters and the entries, a first catalogue, and entries that are ready. */
-void fleet_begin (Fleet *fleet);
+/* Deletes all files of the node's data folder. */
+void fleet_wipe_data (FleetNode *node);
+/* Crashes a backend server now, as a crash body does. */
+void fleet_crash_server (FleetServer *server);
+/* An operator's call to the voter in charge; retries until one answers. */
+void fleet_operator_call (Fleet *fleet, const char *method, const char *path, Answer *answer);
+/* Like fleet_operator_call, with a body. */
+void fleet_operator_call_body (Fleet *fleet, const char *method, const char *path, const char *body,
+                               Answer *answer);
+/* One try of an operator's call at one voter; status 0: it did not answer. */
+void fleet_try_operator_call (Fleet *fleet, const FleetNode *voter, const char *method,
+                              const char *path, const char *body, Answer *answer);
+/* Whether the process has exited; if so, reaps it and sets node->status. */
+bool fleet_has_exited (FleetNode *node);
+/* Puts a proxy before every link port and every server. Call it before any node is started. */
+void fleet_add_proxies (Fleet *fleet);
+/* Starts three voters and all entries, puts a first catalogue and waits until entries are ready. */
+void fleet_start_all (Fleet *fleet);
 
-/* Runs the loop until done (data) is true; fails the test after a minute. what: for the message. */
-void fleet_until (Fleet *fleet, bool (*done) (void *data), void *data, const char *what);
+/* Runs the loop until done (data) is true. Fails the test after a minute, with what in the message.
+ */
+void fleet_run_until (Fleet *fleet, bool (*done) (void *data), void *data, const char *what);
 void fleet_run_for (Fleet *fleet, int64_t us);
 
-/* Sends without waiting. path: "/plain/..", "/once/.." or "/stream/..". id: as the caller's. */
+/* Sends a request and returns at once. path: "/plain/..", "/once/.." or "/stream/..". id: the
+ * request id that the caller names. */
 void fleet_send (Fleet *fleet, const FleetNode *entry, const char *path, const char *id,
                  Answer *answer);
-/* The same and waits for the end. */
+/* Sends a request and waits for the end of the answer. */
 void fleet_call (Fleet *fleet, const FleetNode *entry, const char *path, const char *id,
                  Answer *answer);
-/* The same with a body of the caller's own. */
+/* Like fleet_send and fleet_call, with a given body. */
 void fleet_send_body (Fleet *fleet, const FleetNode *entry, const char *path, const char *id,
                       const char *body, Answer *answer);
 void fleet_call_body (Fleet *fleet, const FleetNode *entry, const char *path, const char *id,
                       const char *body, Answer *answer);
 void fleet_answer_clear (Answer *answer);
-/* Hands a catalogue of the next version to any voter, as operators do, until it is accepted. */
-void fleet_put (Fleet *fleet);
-/* One try to hand in the next version, at one voter. True: it was acknowledged. */
-bool fleet_try_put (Fleet *fleet, const FleetNode *voter);
-/* Sends the newest acknowledged catalogue again to one voter. Returns its status; 0: no answer. */
-unsigned fleet_resend (Fleet *fleet, const FleetNode *voter);
-/* The version that one voter shows; 0: it shows none. */
-uint64_t fleet_try_get (Fleet *fleet, const FleetNode *voter);
-/* The version that operators read, from any voter that answers. */
-uint64_t fleet_get (Fleet *fleet);
-/* The voter that answers operators itself; NULL: none does at the moment. */
+/* Puts a catalogue of the next version, at one voter after another, until one accepts it. */
+void fleet_put_catalogue (Fleet *fleet);
+/* One try to put the next version, at one voter. True: it was acknowledged. */
+bool fleet_try_put_catalogue (Fleet *fleet, const FleetNode *voter);
+/* Sends the newest acknowledged catalogue again to one voter. Returns the status; 0: no answer. */
+unsigned fleet_resend_catalogue (Fleet *fleet, const FleetNode *voter);
+/* The catalogue version that one voter reports; 0: none. */
+uint64_t fleet_try_get_version (Fleet *fleet, const FleetNode *voter);
+/* The catalogue version from any voter that answers; retries until one does. */
+uint64_t fleet_get_version (Fleet *fleet);
+/* The voter in charge: the one that answers operators without redirecting; NULL: none does. */
 FleetNode *fleet_leader (Fleet *fleet);
-void fleet_metrics (Fleet *fleet, const FleetNode *node, Answer *answer);
-bool fleet_ready (Fleet *fleet, const FleetNode *entry);
-unsigned fleet_runs (const Fleet *fleet, const char *id);
-/* How often a server began to run the marked body, and ended. */
-unsigned fleet_marked (const Fleet *fleet, const char *body);
-/* All that a node has logged so far; g_free. */
-char *fleet_log (const FleetNode *node);
+void fleet_get_metrics (Fleet *fleet, const FleetNode *node, Answer *answer);
+bool fleet_is_ready (Fleet *fleet, const FleetNode *entry);
+/* How often a server started to run the request. */
+unsigned fleet_run_count (const Fleet *fleet, const char *id);
+/* How often a server started to run the crash body. */
+unsigned fleet_crash_run_count (const Fleet *fleet, const char *body);
+/* Everything that a node has logged so far; free with g_free. */
+char *fleet_read_log (const FleetNode *node);
 
 #endif
--- a/test/notices.c
+++ b/test/notices.c
@@ -1,23 +1,23 @@
-/* notices.c - what servers say of themselves in their answers, before real processes on loopback:
- * a rate that they take, a time in which they want nothing, that they leave. */
+/* notices.c - tests, with real processes on loopback, of the notices in servers' answers: a rate
+ * limit, a back-off, and that the server leaves. */
 #include "fleet.h"
 
 #include <stdio.h>
 #include <string.h>
 
-#define CALLERS 12
-#define SETTLE  (3 * FT_SECOND) /* a rate binds so long after it was first named */
-#define DRAIN   (3 * FT_SECOND) /* and that a server leaves, so long after it said so */
+#define CALLER_COUNT 12
+#define RATE_GRACE   (3 * FT_SECOND) /* after its first notice a rate need not be kept yet */
+#define DRAIN_GRACE  (3 * FT_SECOND) /* after its notice a leaving server may get requests */
 
-/* Callers that send on and on, each one request at a time, to the entries in turn. */
+/* Callers that each send one request after another, to the entries in turn. */
 typedef struct
 {
   Fleet *fleet;
   const char *path;
-  Answer answers[CALLERS];
-  char ids[CALLERS][24];
-  bool open[CALLERS];
-  unsigned entries; /* how many of them get requests */
+  Answer answers[CALLER_COUNT];
+  char ids[CALLER_COUNT][24];
+  bool open[CALLER_COUNT];
+  unsigned entries; /* how many of the first entries get requests */
   unsigned sent, served, refused;
   int64_t until;
 } Load;
@@ -26,15 +26,15 @@
 take_answer (Load *load, unsigned i)
 {
   Answer *answer = &load->answers[i];
-  unsigned ran = fleet_runs (load->fleet, load->ids[i]);
+  unsigned ran = fleet_run_count (load->fleet, load->ids[i]);
 
   if (!answer->broken && answer->status == 200)
     load->served++;
-  else if (!answer->broken && answer->status == 503 && answer->advice && ran == 0)
+  else if (!answer->broken && answer->status == 503 && answer->retry_after && ran == 0)
     load->refused++;
   else
     g_error ("%s: status %u, broken %d, advice %d, ran %u (logs in %s)", load->ids[i],
-             answer->status, answer->broken, answer->advice, ran, load->fleet->base);
+             answer->status, answer->broken, answer->retry_after, ran, load->fleet->base);
   fleet_answer_clear (answer);
   load->open[i] = false;
 }
@@ -57,7 +57,7 @@
   bool more = loop_now (load->fleet->loop) < load->until;
   unsigned open = 0;
 
-  for (unsigned i = 0; i < CALLERS; i++)
+  for (unsigned i = 0; i < CALLER_COUNT; i++)
     {
       if (load->open[i] && load->answers[i].done)
         take_answer (load, i);
@@ -68,14 +68,14 @@
   return !more && open == 0;
 }
 
-/* Sends for so long, and waits for the answers. */
+/* Sends requests for the given time, then waits for all answers. */
 static Load
-load_for (Fleet *fleet, const char *path, unsigned entries, int64_t us)
+run_load (Fleet *fleet, const char *path, unsigned entries, int64_t us)
 {
   Load load
       = { .fleet = fleet, .path = path, .entries = entries, .until = loop_now (fleet->loop) + us };
 
-  fleet_until (fleet, is_over, &load, "all requests are answered");
+  fleet_run_until (fleet, is_over, &load, "all requests are answered");
   g_test_message ("%u sent, %u served, %u refused", load.sent, load.served, load.refused);
   return load;
 }
@@ -83,84 +83,84 @@
 static void
 check_rate (Fleet *fleet)
 {
-  Rules rules = { .arrivals = fleet->arrivals, .settle_us = SETTLE };
+  Rules rules = { .arrivals = fleet->arrivals, .settle_us = RATE_GRACE };
   unsigned over = rules_over_rate (&rules);
 
   if (over > 0)
-    g_error ("%u requests over a named rate (logs in %s)", over, fleet->base);
+    g_error ("%u requests over an announced rate (logs in %s)", over, fleet->base);
 }
 
-/* A server that takes one request a second from all instances together gets no more from three. */
+/* A server that announces one request per second gets no more from three entries together. */
 static void
 rate_of_one (void)
 {
   Fleet *fleet = fleet_new ();
 
-  fleet_begin (fleet);
+  fleet_start_all (fleet);
   fleet->plain_ms = 20;
   fleet->servers[0].rate = 1;
-  Load load = load_for (fleet, "/plain/a", FLEET_ENTRIES, 9 * FT_SECOND);
+  Load load = run_load (fleet, "/plain/a", FLEET_ENTRIES, 9 * FT_SECOND);
   check_rate (fleet);
   g_assert_cmpuint (load.refused, ==, 0);
   g_assert_cmpuint (fleet->servers[0].arrived, >, 0);
   fleet_free (fleet);
 }
 
-/* The rate is held while the voter in charge is lost, and when no voter is left. */
+/* The rates are kept when the voter in charge is killed, and when no voter is left. */
 static void
 rate_without_voters (void)
 {
   Fleet *fleet = fleet_new ();
 
-  fleet_begin (fleet);
+  fleet_start_all (fleet);
   fleet->plain_ms = 20;
   fleet->servers[0].rate = 2;
   fleet->servers[1].rate = 0.5;
-  load_for (fleet, "/plain/a", FLEET_ENTRIES, 4 * FT_SECOND);
+  run_load (fleet, "/plain/a", FLEET_ENTRIES, 4 * FT_SECOND);
   fleet_kill (fleet_leader (fleet));
-  load_for (fleet, "/plain/a", FLEET_ENTRIES, 4 * FT_SECOND);
+  run_load (fleet, "/plain/a", FLEET_ENTRIES, 4 * FT_SECOND);
   for (unsigned i = 0; i < FLEET_VOTERS; i++)
     fleet_kill (&fleet->voters[i]);
-  load_for (fleet, "/stream/a", FLEET_ENTRIES, 5 * FT_SECOND);
+  run_load (fleet, "/stream/a", FLEET_ENTRIES, 5 * FT_SECOND);
   check_rate (fleet);
   fleet_free (fleet);
 }
 
-/* Requests that may run once, to servers that all take less than is asked for: no refusal of one
- * that ran, and each says when to come back. */
+/* All servers announce less than callers send, requests that may run once. No request that ran is
+ * refused, and each refusal has a Retry-After. */
 static void
 all_servers_limited (void)
 {
   Fleet *fleet = fleet_new ();
 
-  fleet_begin (fleet);
+  fleet_start_all (fleet);
   fleet->plain_ms = 20;
   for (unsigned i = 0; i < FLEET_SERVERS; i++)
     fleet->servers[i].rate = 2;
-  Load load = load_for (fleet, "/once/a", FLEET_ENTRIES, 8 * FT_SECOND);
+  Load load = run_load (fleet, "/once/a", FLEET_ENTRIES, 8 * FT_SECOND);
   check_rate (fleet);
   g_assert_cmpuint (load.served, >=, 30);
   fleet_free (fleet);
 }
 
-/* A server that comes back as another lifetime owes nothing of the rate that the one before named.
- */
+/* The rate that a server announced does not bind its next incarnation after a restart. */
 static void
-next_lifetime (void)
+restarted_server (void)
 {
   Fleet *fleet = fleet_new ();
   FleetServer *server = &fleet->servers[0];
 
-  fleet_begin (fleet);
+  fleet_start_all (fleet);
   fleet->plain_ms = 20;
   server->rate = 0.1;
-  fleet->servers[2].listed = fleet->servers[3].listed = false; /* so that both others are needed */
-  load_for (fleet, "/plain/a", FLEET_ENTRIES, 2 * FT_SECOND);
+  fleet->servers[2].listed = fleet->servers[3].listed
+      = false; /* so that servers 0 and 1 are both needed */
+  run_load (fleet, "/plain/a", FLEET_ENTRIES, 2 * FT_SECOND);
   server->rate = 0;
-  fleet_end_server (server);
-  load_for (fleet, "/plain/a", FLEET_ENTRIES, 2 * FT_SECOND);
+  fleet_crash_server (server);
+  run_load (fleet, "/plain/a", FLEET_ENTRIES, 2 * FT_SECOND);
   unsigned before = server->arrived;
-  load_for (fleet, "/plain/a", FLEET_ENTRIES, 2 * FT_SECOND);
+  run_load (fleet, "/plain/a", FLEET_ENTRIES, 2 * FT_SECOND);
   g_assert_cmpuint (server->arrived, >, before + 20);
   fleet_free (fleet);
 }
@@ -172,58 +172,59 @@
   unsigned over = rules_in_backoff (&rules);
 
   if (over > 0)
-    g_error ("%u requests over two in a server's backoff (logs in %s)", over, fleet->base);
+    g_error ("%u requests more than two in a server's back-off (logs in %s)", over, fleet->base);
 }
 
 static void
 check_leaving (Fleet *fleet)
 {
-  Rules rules = { .arrivals = fleet->arrivals, .drain_us = DRAIN };
+  Rules rules = { .arrivals = fleet->arrivals, .drain_us = DRAIN_GRACE };
   unsigned late = rules_after_leaving (&rules);
 
   if (late > 0)
-    g_error ("%u requests after a server said that it leaves (logs in %s)", late, fleet->base);
+    g_error ("%u requests too late after a server's notice that it leaves (logs in %s)", late,
+             fleet->base);
 }
 
-/* A server turns entries away and wants nothing of them for a while; the others serve meanwhile. */
+/* A server refuses requests with a Retry-After. It gets none in that time; the others serve. */
 static void
-backoff (void)
+backoff_respected (void)
 {
   Fleet *fleet = fleet_new ();
 
-  fleet_begin (fleet);
+  fleet_start_all (fleet);
   fleet->plain_ms = 20;
   fleet->servers[0].mode = SERVER_FULL;
   fleet->servers[0].backoff_s = 30;
-  fleet->servers[3].listed = false; /* so that places are short */
-  Load load = load_for (fleet, "/plain/a", FLEET_ENTRIES, 3 * FT_SECOND);
+  fleet->servers[3].listed = false; /* so that places are scarce */
+  Load load = run_load (fleet, "/plain/a", FLEET_ENTRIES, 3 * FT_SECOND);
   check_backoff (fleet);
   g_assert_cmpuint (load.refused, ==, 0);
   fleet_free (fleet);
 }
 
-/* A server says in its answers that it leaves, and the list still calls it ready. */
+/* A server's answers say that it leaves, although the list still shows it as ready. */
 static void
-leaving (void)
+leaving_respected (void)
 {
   Fleet *fleet = fleet_new ();
 
-  fleet_begin (fleet);
+  fleet_start_all (fleet);
   fleet->plain_ms = 20;
-  load_for (fleet, "/plain/a", FLEET_ENTRIES, 1 * FT_SECOND);
-  fleet->servers[0].says_leaving = true;
-  load_for (fleet, "/plain/a", FLEET_ENTRIES, 5 * FT_SECOND);
+  run_load (fleet, "/plain/a", FLEET_ENTRIES, 1 * FT_SECOND);
+  fleet->servers[0].announces_leaving = true;
+  run_load (fleet, "/plain/a", FLEET_ENTRIES, 5 * FT_SECOND);
   check_leaving (fleet);
   fleet_free (fleet);
 }
 
 static unsigned
-notices_of (Fleet *fleet, const FleetNode *entry)
+notice_count (Fleet *fleet, const FleetNode *entry)
 {
   Answer answer;
   unsigned count = G_MAXUINT;
 
-  fleet_metrics (fleet, entry, &answer);
+  fleet_get_metrics (fleet, entry, &answer);
   const char *at = strstr (answer.body->str, "\nfoxtail_server_notices_total ");
   if (at)
     sscanf (at, "\nfoxtail_server_notices_total %u", &count);
@@ -231,20 +232,21 @@
   return count;
 }
 
-/* Another server has the address and says that it leaves: nothing is held against the one meant. */
+/* Another server answers at the address and says that it leaves. The notice must not count for the
+ * server that the request was addressed to. */
 static void
-word_of_another_server (void)
+notice_of_another_server (void)
 {
   Fleet *fleet = fleet_new ();
 
-  fleet_begin (fleet);
+  fleet_start_all (fleet);
   fleet->plain_ms = 20;
-  fleet->servers[0].mode = SERVER_GONE;
-  fleet->servers[0].says_leaving = true;
-  load_for (fleet, "/plain/a", FLEET_ENTRIES, FT_SECOND);
+  fleet->servers[0].mode = SERVER_REPLACED;
+  fleet->servers[0].announces_leaving = true;
+  run_load (fleet, "/plain/a", FLEET_ENTRIES, FT_SECOND);
   g_assert_cmpuint (fleet->servers[0].arrived, >, 0);
   for (unsigned i = 0; i < FLEET_ENTRIES; i++)
-    g_assert_cmpuint (notices_of (fleet, &fleet->entries[i]), ==, 0);
+    g_assert_cmpuint (notice_count (fleet, &fleet->entries[i]), ==, 0);
   fleet_free (fleet);
 }
 
@@ -255,9 +257,9 @@
   g_test_add_func ("/notices/rate_of_one", rate_of_one);
   g_test_add_func ("/notices/rate_without_voters", rate_without_voters);
   g_test_add_func ("/notices/all_servers_limited", all_servers_limited);
-  g_test_add_func ("/notices/next_lifetime", next_lifetime);
-  g_test_add_func ("/notices/backoff", backoff);
-  g_test_add_func ("/notices/leaving", leaving);
-  g_test_add_func ("/notices/other_server", word_of_another_server);
+  g_test_add_func ("/notices/next_lifetime", restarted_server);
+  g_test_add_func ("/notices/backoff", backoff_respected);
+  g_test_add_func ("/notices/leaving", leaving_respected);
+  g_test_add_func ("/notices/other_server", notice_of_another_server);
   return g_test_run ();
 }
--- a/test/proxy.c
+++ b/test/proxy.c
@@ -1,4 +1,5 @@
-/* proxy.c - pairs of connections; what comes from one goes to the other, as the mode says. */
+/* proxy.c - pairs each accepted connection with one to the target, and forwards as the mode says.
+ */
 #include "proxy.h"
 
 #include <urcu/list.h>
@@ -11,16 +12,16 @@
 {
   Pair *pair;
   Sock *sock;
-  bool towards_caller; /* what comes in here goes to the caller */
+  bool to_client; /* bytes read here are forwarded to the client */
 } Side;
 
 struct Pair
 {
   struct cds_list_head link;
   Proxy *proxy;
-  Side caller, server;
+  Side client, server;
   LoopTimer timer;
-  bool dead; /* silent for good */
+  bool blackholed; /* carries nothing any more, whatever the mode */
 };
 
 struct Proxy
@@ -37,8 +38,8 @@
 {
   loop_timer_stop (pair->proxy->loop, &pair->timer);
   cds_list_del (&pair->link);
-  if (pair->caller.sock)
-    sock_close (pair->caller.sock, reset);
+  if (pair->client.sock)
+    sock_close (pair->client.sock, reset);
   if (pair->server.sock)
     sock_close (pair->server.sock, reset);
   loop_free_later (pair->proxy->loop, pair);
@@ -59,9 +60,9 @@
 static void
 forward_both (Pair *pair)
 {
-  forward (&pair->caller, &pair->server);
+  forward (&pair->client, &pair->server);
   if (pair->proxy->mode != PROXY_ONE_WAY)
-    forward (&pair->server, &pair->caller);
+    forward (&pair->server, &pair->client);
 }
 
 static void
@@ -69,7 +70,7 @@
 {
   Pair *pair = (Pair *) ((char *) timer - offsetof (Pair, timer));
 
-  if (!pair->dead)
+  if (!pair->blackholed)
     forward_both (pair);
 }
 
@@ -80,7 +81,7 @@
   Pair *pair = side->pair;
   ProxyMode mode = pair->proxy->mode;
 
-  if (pair->dead || (mode == PROXY_ONE_WAY && side->towards_caller))
+  if (pair->blackholed || (mode == PROXY_ONE_WAY && side->to_client))
     return;
   if (mode != PROXY_DELAY)
     forward_both (pair);
@@ -89,25 +90,25 @@
 }
 
 static void
-on_ended (Sock *sock, SockEnd how)
+on_end (Sock *sock, SockEnd how)
 {
   Side *side = sock->owner;
   Pair *pair = side->pair;
 
-  if (!pair->dead)
+  if (!pair->blackholed)
     forward_both (pair);
-  /* A silent path says nothing of the end either. */
-  if (pair->dead)
+  /* The end of one side is not passed on either. */
+  if (pair->blackholed)
     {
       side->sock = NULL;
       sock_close (sock, false);
-      if (pair->caller.sock == NULL && pair->server.sock == NULL)
+      if (pair->client.sock == NULL && pair->server.sock == NULL)
         close_pair (pair, false);
       return;
     }
   side->sock = NULL;
   sock_close (sock, false);
-  Side *other = side == &pair->caller ? &pair->server : &pair->caller;
+  Side *other = side == &pair->client ? &pair->server : &pair->client;
   if (other->sock && how == SOCK_END_EOF)
     {
       sock_close_when_sent (other->sock);
@@ -116,7 +117,7 @@
   close_pair (pair, true);
 }
 
-static const SockOps ops = { NULL, on_data, NULL, on_ended };
+static const SockOps ops = { NULL, on_data, NULL, on_end };
 
 static void
 on_accept (void *owner, int fd, SockAddr peer)
@@ -126,12 +127,12 @@
 
   pair->proxy = proxy;
   pair->timer.fire = on_timer;
-  pair->caller.pair = pair->server.pair = pair;
-  pair->server.towards_caller = true;
+  pair->client.pair = pair->server.pair = pair;
+  pair->server.to_client = true;
   cds_list_add_tail (&pair->link, &proxy->pairs);
-  pair->caller.sock = sock_accepted (proxy->loop, fd, peer, &ops, &pair->caller);
+  pair->client.sock = sock_accepted (proxy->loop, fd, peer, &ops, &pair->client);
   pair->server.sock = sock_connect (proxy->loop, proxy->back, &ops, &pair->server);
-  if (pair->caller.sock == NULL || pair->server.sock == NULL || proxy->mode == PROXY_REFUSE)
+  if (pair->client.sock == NULL || pair->server.sock == NULL || proxy->mode == PROXY_REFUSE)
     close_pair (pair, true);
 }
 
@@ -157,7 +158,7 @@
 }
 
 void
-proxy_mode (Proxy *proxy, ProxyMode mode)
+proxy_set_mode (Proxy *proxy, ProxyMode mode)
 {
   Pair *pair, *next;
 
@@ -166,13 +167,13 @@
     proxy_reset (proxy);
   cds_list_for_each_entry_safe (pair, next, &proxy->pairs, link)
   {
-    if (mode == PROXY_SILENT)
-      pair->dead = true;
-    if (!pair->dead && pair->caller.sock && pair->server.sock)
+    if (mode == PROXY_BLACKHOLE)
+      pair->blackholed = true;
+    if (!pair->blackholed && pair->client.sock && pair->server.sock)
       forward_both (pair);
   }
-  if (mode == PROXY_SILENT)
-    proxy->mode = PROXY_PASS; /* new connections work */
+  if (mode == PROXY_BLACKHOLE)
+    proxy->mode = PROXY_PASS; /* for new connections */
 }
 
 void
--- a/test/proxy.h
+++ b/test/proxy.h
@@ -1,4 +1,4 @@
-/* proxy.h - a forwarder on loopback whose connections a test can spoil. */
+/* proxy.h - a TCP forwarder on loopback with which a test injects network faults. */
 #ifndef PROXY_H
 #define PROXY_H
 
@@ -6,21 +6,21 @@
 
 typedef enum
 {
-  PROXY_PASS,
-  PROXY_DELAY,   /* bytes wait for some 10 ms, both ways */
-  PROXY_ONE_WAY, /* bytes towards the caller are held */
-  PROXY_SILENT,  /* open connections are silent for good, both ways; new ones work */
-  PROXY_REFUSE,  /* open connections are reset, new ones too */
-  PROXY_MODES
+  PROXY_PASS,      /* forwards at once */
+  PROXY_DELAY,     /* forwards after 15 ms, both ways */
+  PROXY_ONE_WAY,   /* holds back bytes to the client */
+  PROXY_BLACKHOLE, /* open connections carry nothing any more, both ways; new ones work */
+  PROXY_REFUSE,    /* resets open connections and new ones */
+  PROXY_MODE_COUNT
 } ProxyMode;
 
 typedef struct Proxy Proxy;
 
-/* Listens at front and forwards to back. NULL: front cannot be bound. */
+/* Listens at front and forwards to back. front must be free. */
 Proxy *proxy_new (Loop *loop, SockAddr front, SockAddr back);
 void proxy_free (Proxy *proxy);
-void proxy_mode (Proxy *proxy, ProxyMode mode);
-/* Resets all open connections once. */
+void proxy_set_mode (Proxy *proxy, ProxyMode mode);
+/* Resets all open connections; the mode stays. */
 void proxy_reset (Proxy *proxy);
 
 #endif
--- a/test/soak.c
+++ b/test/soak.c
@@ -1,15 +1,15 @@
-/* soak.c - a randomized soak of real processes: faults from outside, several at once, and the
- * promises checked from what callers, operators and backend servers see.
+/* soak.c - a randomized soak test of real processes: injects several faults at once, and checks the
+ * guarantees by what callers, operators and backend servers see.
  *
  *     test-soak SECONDS SEED...
  *
- * The seed draws the faults and the load; what happens when depends on the machine too, so a seed
- * that failed once is run again many times, and its logs are kept (their folder is printed). Seeds
- * that ever failed stand in test/soak-seeds.txt with a line on the cause.
+ * The seed determines the faults and the load, but their timing depends on the machine, too. Run a
+ * seed that failed many times; its logs are kept, and their folder is printed. Seeds that ever
+ * failed are in test/soak-seeds.txt, each with its cause.
  *
- * Some requests are marked: a server that begins to run one ends. By what servers saw, a marked
- * body reaches servers no more than FURTHER_MOST times later than IN_TOUCH after the third end
- * under it, as far as the entry that sent it and all voters were undisturbed for that long.
+ * Some requests have a crash body, which crashes each server that runs it. Once REPORT_TIME has
+ * passed since the third crash that such a body caused, it may run at most LATE_RUNS_MAX times
+ * more. A run counts only if no fault touched its entry or a voter for REPORT_TIME before it.
  */
 #include "soaknote.h"
 #include "soakroll.h"
@@ -18,22 +18,22 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CALLERS       6
-#define FAULTS_MOST   3
-#define MARKED_ONE_IN 12 /* requests */
-#define KILLERS       2  /* marked bodies */
-#define ENDS_KNOWN    3  /* servers that a marked body may end until it is known */
-#define FURTHER_MOST  3  /* and how often it may reach one in its life after that */
-#define IN_TOUCH      (3 * FT_SECOND)
-#define CALM          (25 * FT_SECOND) /* all promises that need calm hold by then */
-#define NOTICES       (9 * FT_SECOND)  /* a rate binds after 3 s, and is judged over 4 s */
-#define STREAM_END    "id: 8\ndata: event 8\n\n"
+#define CALLER_COUNT       6
+#define FAULTS_MAX         3
+#define CRASH_ONE_IN       12 /* one request in so many has a crash body */
+#define CRASH_BODIES       2  /* different ones */
+#define CRASHES_QUARANTINE 3  /* crashes until a body is quarantined */
+#define LATE_RUNS_MAX      3  /* runs of a quarantined body, at most */
+#define REPORT_TIME        (3 * FT_SECOND)
+#define CALM_TIMEOUT       (25 * FT_SECOND) /* by then all that is open must have ended */
+#define NOTICES_TIME       (9 * FT_SECOND) /* a rate must be kept after 3 s, and is checked over 4 s */
+#define STREAM_END         "id: 8\ndata: event 8\n\n"
 
 typedef struct
 {
   Answer answer;
   char id[24];
-  unsigned kind; /* 0 plain, 1 once, 2 stream, 3 once and marked */
+  unsigned kind; /* 0 plain, 1 once, 2 stream, 3 once with a crash body */
   bool open;
 } Caller;
 
@@ -42,7 +42,7 @@
   char id[24];
   unsigned status;
   bool broken;
-} Once; /* the outcome of a request that may run once */
+} OnceOutcome; /* the outcome of a request that may run only once */
 
 typedef enum
 {
@@ -53,7 +53,7 @@
   FAULT_SERVER_PATH,
   FAULT_SERVER_MODE,
   FAULT_LEAVING,
-  FAULT_SERVER_END,
+  FAULT_SERVER_CRASH,
   FAULT_KINDS
 } FaultKind;
 
@@ -67,21 +67,21 @@
 } Fault;
 
 static Fleet *fleet;
-static Caller callers[CALLERS];
-static GArray *once; /* Once */
-static Fault faults[FAULTS_MOST];
+static Caller callers[CALLER_COUNT];
+static GArray *once; /* OnceOutcome */
+static Fault faults[FAULTS_MAX];
 static int64_t
-    disturbed[3 + FLEET_ENTRIES]; /* voters, then entries: when a fault last touched it */
-static unsigned further[KILLERS];
-static unsigned checked;    /* marks looked at */
-static GHashTable *sent_by; /* request id: number of its entry */
-static GRand *rand_source;
+    disturbed[3 + FLEET_ENTRIES]; /* when a fault last touched each voter, then each entry */
+static unsigned late_runs[CRASH_BODIES];
+static unsigned events_checked;      /* of fleet->crash_events */
+static GHashTable *entry_of_request; /* request id: index of the entry it was sent to */
+static GRand *generator;
 static unsigned sent, answered, refused, unknown, broken;
 
 static unsigned
-draw (unsigned most)
+draw (unsigned limit)
 {
-  return (unsigned) g_rand_int_range (rand_source, 0, (gint32) most);
+  return (unsigned) g_rand_int_range (generator, 0, (gint32) limit);
 }
 
 static void
@@ -100,12 +100,12 @@
   if (answer->status == 200 && !answer->broken)
     {
       answered++;
-      if (!answer->signature)
-        fail ("a success that no server signed", caller->id);
+      if (!answer->has_signature)
+        fail ("a success without a server's signature", caller->id);
       if (caller->kind < 2 && strcmp (answer->body->str, caller->id) != 0)
         fail ("another request's answer", caller->id);
       if (caller->kind == 2 && !g_str_has_suffix (answer->body->str, STREAM_END))
-        fail ("a stream that looks complete and is not", caller->id);
+        fail ("an incomplete stream that looks complete", caller->id);
     }
   else if (answer->broken)
     broken++;
@@ -114,10 +114,10 @@
   else
     unknown++;
   if (answer->status == 404 || answer->status == 401)
-    fail ("refused though its route and key are there", caller->id);
+    fail ("refused although its route and key exist", caller->id);
 }
 
-/* Whatever part of a stream came: its events are whole, in order and none twice. */
+/* The events of a stream, also of one that broke off, are complete, in order and none twice. */
 static void
 check_stream (const Caller *caller)
 {
@@ -129,7 +129,7 @@
   while (sscanf (at, "id: %u", &number) == 1)
     {
       if (number != wanted++)
-        fail ("events missing, doubled or out of order", caller->id);
+        fail ("events missing, repeated or out of order", caller->id);
       at = strstr (at, "\n\n");
       if (at == NULL)
         return;
@@ -138,13 +138,13 @@
 }
 
 static void
-finish (Caller *caller)
+take_answer (Caller *caller)
 {
   check_answer (caller);
   check_stream (caller);
   if (caller->kind == 1 || caller->kind == 3)
     {
-      Once outcome = { .status = caller->answer.status, .broken = caller->answer.broken };
+      OnceOutcome outcome = { .status = caller->answer.status, .broken = caller->answer.broken };
       g_strlcpy (outcome.id, caller->id, sizeof outcome.id);
       g_array_append_val (once, outcome);
     }
@@ -153,7 +153,7 @@
 }
 
 static void
-start (Caller *caller)
+send_request (Caller *caller)
 {
   static const char *const paths[] = { "/plain/a", "/once/a", "/stream/a", "/once/a" };
   unsigned number = draw (FLEET_ENTRIES);
@@ -162,82 +162,86 @@
 
   if (entry->pid == 0)
     return;
-  caller->kind = draw (MARKED_ONE_IN) == 0 ? 3 : draw (3);
+  caller->kind = draw (CRASH_ONE_IN) == 0 ? 3 : draw (3);
   g_snprintf (caller->id, sizeof caller->id, "r%u", ++sent);
-  g_snprintf (body, sizeof body, caller->kind == 3 ? FLEET_MARK " %u" : "body", draw (KILLERS));
-  g_hash_table_insert (sent_by, g_strdup (caller->id), GUINT_TO_POINTER (number));
+  g_snprintf (body, sizeof body, caller->kind == 3 ? FLEET_CRASH_PREFIX " %u" : "body",
+              draw (CRASH_BODIES));
+  g_hash_table_insert (entry_of_request, g_strdup (caller->id), GUINT_TO_POINTER (number));
   fleet_send_body (fleet, entry, paths[caller->kind], caller->id, body, &caller->answer);
   caller->open = true;
 }
 
 static void
-turn_callers (bool more)
+step_callers (bool more)
 {
-  for (unsigned i = 0; i < CALLERS; i++)
+  for (unsigned i = 0; i < CALLER_COUNT; i++)
     {
       Caller *caller = &callers[i];
       if (caller->open && caller->answer.done)
-        finish (caller);
+        take_answer (caller);
       if (!caller->open && more)
-        start (caller);
+        send_request (caller);
     }
 }
 
-/* "Not run" is true also for what ran later; nothing that may run once ran twice. */
+/* A request that was answered as not run must not have run at any time, and one that may run once
+ * must not have run twice. */
 static void
 check_once (void)
 {
   for (unsigned i = 0; i < once->len; i++)
     {
-      const Once *outcome = &g_array_index (once, Once, i);
-      unsigned runs = fleet_runs (fleet, outcome->id);
-      bool said_not = !outcome->broken && (outcome->status == 503 || outcome->status == 429);
+      const OnceOutcome *outcome = &g_array_index (once, OnceOutcome, i);
+      unsigned runs = fleet_run_count (fleet, outcome->id);
+      bool said_not_run = !outcome->broken && (outcome->status == 503 || outcome->status == 429);
       if (runs > 1)
         fail ("ran twice", outcome->id);
-      if (said_not && runs > 0)
-        fail ("said not to have run, and ran", outcome->id);
+      if (said_not_run && runs > 0)
+        fail ("answered as not run, but ran", outcome->id);
     }
 }
 
-/* ---- What ends servers ---- */
+/* ---- Crash bodies ---- */
 
 static bool
-in_touch (unsigned entry, int64_t at)
+was_undisturbed (unsigned entry, int64_t at)
 {
   for (unsigned i = 0; i < 3; i++)
-    if (at - disturbed[i] < IN_TOUCH)
+    if (at - disturbed[i] < REPORT_TIME)
       return false;
-  return at - disturbed[3 + entry] >= IN_TOUCH;
+  return at - disturbed[3 + entry] >= REPORT_TIME;
 }
 
-/* When the third server ended under the body; 0: not yet. */
+/* When the body caused its third crash; 0: not yet. */
 static int64_t
-third_end (const char *body)
+third_crash (const char *body)
 {
   unsigned count = 0;
 
-  for (unsigned i = 0; i < fleet->marks->len; i++)
+  for (unsigned i = 0; i < fleet->crash_events->len; i++)
     {
-      const FleetMarked *mark = &g_array_index (fleet->marks, FleetMarked, i);
-      if (mark->ended && strcmp (mark->body, body) == 0 && ++count == ENDS_KNOWN)
-        return mark->at;
+      const FleetCrashEvent *event = &g_array_index (fleet->crash_events, FleetCrashEvent, i);
+      if (event->crashed && strcmp (event->body, body) == 0 && ++count == CRASHES_QUARANTINE)
+        return event->at;
     }
   return 0;
 }
 
 static void
-check_marks (void)
+check_crash_events (void)
 {
-  for (; checked < fleet->marks->len; checked++)
+  for (; events_checked < fleet->crash_events->len; events_checked++)
     {
-      const FleetMarked *mark = &g_array_index (fleet->marks, FleetMarked, checked);
-      unsigned killer = (unsigned) atoi (mark->body + strlen (FLEET_MARK));
-      unsigned entry = GPOINTER_TO_UINT (g_hash_table_lookup (sent_by, mark->request));
-      int64_t third = third_end (mark->body);
-      if (mark->ended || third == 0 || mark->at - third < IN_TOUCH || !in_touch (entry, mark->at))
+      const FleetCrashEvent *event
+          = &g_array_index (fleet->crash_events, FleetCrashEvent, events_checked);
+      unsigned crash_body = (unsigned) atoi (event->body + strlen (FLEET_CRASH_PREFIX));
+      unsigned entry = GPOINTER_TO_UINT (g_hash_table_lookup (entry_of_request, event->request));
+      int64_t third_at = third_crash (event->body);
+      if (event->crashed || third_at == 0 || event->at - third_at < REPORT_TIME
+          || !was_undisturbed (entry, event->at))
         continue;
-      if (++further[killer] > FURTHER_MOST)
-        fail ("sent on although servers ended under it", mark->request);
+      if (++late_runs[crash_body] > LATE_RUNS_MAX)
+        fail ("runs although its body crashed servers before", event->request);
     }
 }
 
@@ -252,7 +256,7 @@
 }
 
 static void
-turn_operators (void)
+step_operators (void)
 {
   FleetNode *voter = any_voter ();
   uint64_t acknowledged = fleet->version;
@@ -261,12 +265,12 @@
     return;
   if (draw (2))
     {
-      fleet_try_put (fleet, voter);
+      fleet_try_put_catalogue (fleet, voter);
       return;
     }
-  uint64_t shown = fleet_try_get (fleet, voter);
+  uint64_t shown = fleet_try_get_version (fleet, voter);
   if (shown && shown < acknowledged)
-    fail ("an older catalogue was shown than the one acknowledged", voter->name);
+    fail ("reports an older catalogue than the acknowledged one", voter->name);
 }
 
 /* ---- Faults ---- */
@@ -290,9 +294,9 @@
 }
 
 static bool
-is_hit (const FleetNode *node)
+has_fault (const FleetNode *node)
 {
-  for (unsigned i = 0; i < FAULTS_MOST; i++)
+  for (unsigned i = 0; i < FAULTS_MAX; i++)
     if (faults[i].active && faults[i].node == node)
       return true;
   return false;
@@ -305,7 +309,7 @@
   fault->node = NULL;
   fault->server = &fleet->servers[draw (FLEET_SERVERS)];
   FleetNode *node = any_node ();
-  if (fault->kind <= FAULT_LINK && (is_hit (node) || node->pid == 0))
+  if (fault->kind <= FAULT_LINK && (has_fault (node) || node->pid == 0))
     return;
   fault->active = true;
   fault->until = loop_now (fleet->loop) + (300 + draw (2500)) * FT_MS;
@@ -318,25 +322,25 @@
   else if (fault->kind == FAULT_TERM)
     fleet_signal (node, SIGTERM);
   else if (fault->kind == FAULT_LINK)
-    proxy_mode (node->proxy, 1 + draw (PROXY_MODES - 1));
+    proxy_set_mode (node->proxy, 1 + draw (PROXY_MODE_COUNT - 1));
   else if (fault->kind == FAULT_SERVER_PATH && fault->server->proxy)
-    proxy_mode (fault->server->proxy, 1 + draw (PROXY_MODES - 1));
-  else if (fault->kind == FAULT_SERVER_END)
-    fleet_end_server (fault->server);
+    proxy_set_mode (fault->server->proxy, 1 + draw (PROXY_MODE_COUNT - 1));
+  else if (fault->kind == FAULT_SERVER_CRASH)
+    fleet_crash_server (fault->server);
   else if (fault->kind == FAULT_SERVER_MODE)
-    fault->server->mode = 1 + draw (SERVER_MUTE);
+    fault->server->mode = 1 + draw (SERVER_NO_ANSWER);
   else if (fault->kind == FAULT_LEAVING)
     fault->server->leaving = true;
 }
 
-/* A process that was asked to end is waited for and started again; false: it still runs. */
+/* Restarts a node after SIGTERM once its process has exited; false: it still runs. */
 static bool
-back_after_term (FleetNode *node)
+restart_after_term (FleetNode *node)
 {
-  if (!fleet_ended (node))
+  if (!fleet_has_exited (node))
     return false;
   if (node->status != 0)
-    fail ("it was asked to end, and crashed", node->name);
+    fail ("failed on SIGTERM", node->name);
   fleet_start (fleet, node, false);
   return true;
 }
@@ -344,7 +348,7 @@
 static void
 end_fault (Fault *fault)
 {
-  if (fault->kind == FAULT_TERM && !back_after_term (fault->node))
+  if (fault->kind == FAULT_TERM && !restart_after_term (fault->node))
     return;
   fault->active = false;
   if (fault->kind == FAULT_KILL)
@@ -352,9 +356,9 @@
   else if (fault->kind == FAULT_PAUSE)
     fleet_signal (fault->node, SIGCONT);
   else if (fault->kind == FAULT_LINK)
-    proxy_mode (fault->node->proxy, PROXY_PASS);
+    proxy_set_mode (fault->node->proxy, PROXY_PASS);
   else if (fault->kind == FAULT_SERVER_PATH && fault->server->proxy)
-    proxy_mode (fault->server->proxy, PROXY_PASS);
+    proxy_set_mode (fault->server->proxy, PROXY_PASS);
   else if (fault->kind == FAULT_SERVER_MODE)
     fault->server->mode = soakroll_usual (fault->server);
   else if (fault->kind == FAULT_LEAVING)
@@ -362,9 +366,9 @@
 }
 
 static void
-turn_faults (bool more)
+step_faults (bool more)
 {
-  for (unsigned i = 0; i < FAULTS_MOST; i++)
+  for (unsigned i = 0; i < FAULTS_MAX; i++)
     {
       if (faults[i].active && faults[i].node)
         note_disturbed (faults[i].node);
@@ -378,18 +382,18 @@
   for (unsigned i = 0; i < 3 + FLEET_ENTRIES; i++)
     {
       FleetNode *node = i < 3 ? &fleet->voters[i] : &fleet->entries[i - 3];
-      if (!is_hit (node) && node->pid && fleet_ended (node))
-        fail ("a process ended by itself", node->name);
+      if (!has_fault (node) && node->pid && fleet_has_exited (node))
+        fail ("a process exited unasked", node->name);
     }
 }
 
 static bool
-any_left (void)
+any_open (void)
 {
-  for (unsigned i = 0; i < FAULTS_MOST; i++)
+  for (unsigned i = 0; i < FAULTS_MAX; i++)
     if (faults[i].active)
       return true;
-  for (unsigned i = 0; i < CALLERS; i++)
+  for (unsigned i = 0; i < CALLER_COUNT; i++)
     if (callers[i].open)
       return true;
   return false;
@@ -400,61 +404,61 @@
 static void
 calm_down (void)
 {
-  int64_t until = loop_now (fleet->loop) + CALM;
+  int64_t until = loop_now (fleet->loop) + CALM_TIMEOUT;
 
-  while (any_left ())
+  while (any_open ())
     {
-      turn_faults (false);
-      turn_callers (false);
+      step_faults (false);
+      step_callers (false);
       fleet_run_for (fleet, 20 * FT_MS);
       if (loop_now (fleet->loop) > until)
-        fail ("no end to what was open", "faults or requests");
+        fail ("still open after the faults", "faults or requests");
     }
 }
 
-/* What servers say holds to the full where nothing else happens. */
+/* Servers' notices must be respected while there are no faults. */
 static void
-last_notices (void)
+check_notices (void)
 {
-  int64_t until = loop_now (fleet->loop) + NOTICES;
+  int64_t until = loop_now (fleet->loop) + NOTICES_TIME;
 
   soaknote_last ();
   while (loop_now (fleet->loop) < until)
     {
-      turn_callers (true);
+      step_callers (true);
       fleet_run_for (fleet, 15 * FT_MS);
     }
   calm_down ();
   soaknote_end ();
 }
 
-/* The marked bodies come on while nothing else happens. */
+/* Sends the crash bodies again while there are no faults. */
 static void
-come_after_calm (void)
+send_crash_bodies (void)
 {
-  fleet_run_for (fleet, IN_TOUCH);
-  for (unsigned i = 0; i < 8 * KILLERS; i++)
+  fleet_run_for (fleet, REPORT_TIME);
+  for (unsigned i = 0; i < 8 * CRASH_BODIES; i++)
     {
       char id[24], body[32];
       Answer answer;
       g_snprintf (id, sizeof id, "m%u", i);
-      g_snprintf (body, sizeof body, FLEET_MARK " %u", i % KILLERS);
-      g_hash_table_insert (sent_by, g_strdup (id), GUINT_TO_POINTER (i % FLEET_ENTRIES));
+      g_snprintf (body, sizeof body, FLEET_CRASH_PREFIX " %u", i % CRASH_BODIES);
+      g_hash_table_insert (entry_of_request, g_strdup (id), GUINT_TO_POINTER (i % FLEET_ENTRIES));
       fleet_call_body (fleet, &fleet->entries[i % FLEET_ENTRIES], "/once/a", id, body, &answer);
       fleet_answer_clear (&answer);
       fleet_run_for (fleet, 100 * FT_MS);
-      check_marks ();
+      check_crash_events ();
     }
 }
 
-/* After the faults everything serves again and shows what was acknowledged. */
+/* After the faults every entry serves again, and the acknowledged catalogue is still there. */
 static void
 check_recovery (void)
 {
-  if (fleet_get (fleet) < fleet->version)
-    fail ("what was acknowledged is gone", "catalogue");
-  fleet_put (fleet);
-  come_after_calm ();
+  if (fleet_get_version (fleet) < fleet->version)
+    fail ("what was acknowledged is lost", "catalogue");
+  fleet_put_catalogue (fleet);
+  send_crash_bodies ();
   for (unsigned i = 0; i < FLEET_ENTRIES; i++)
     {
       unsigned served = 0;
@@ -469,53 +473,53 @@
           fleet_run_for (fleet, 20 * FT_MS);
         }
       if (served < 10)
-        fail ("does not serve again", fleet->entries[i].name);
+        fail ("does not serve after the faults", fleet->entries[i].name);
     }
 }
 
 static void
-soak (unsigned seconds, unsigned seed)
+run_seed (unsigned seconds, unsigned seed)
 {
-  rand_source = g_rand_new_with_seed (seed);
-  once = g_array_new (FALSE, FALSE, sizeof (Once));
+  generator = g_rand_new_with_seed (seed);
+  once = g_array_new (FALSE, FALSE, sizeof (OnceOutcome));
   memset (callers, 0, sizeof callers);
   memset (faults, 0, sizeof faults);
   memset (disturbed, 0, sizeof disturbed);
-  memset (further, 0, sizeof further);
-  checked = 0;
-  sent_by = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  memset (late_runs, 0, sizeof late_runs);
+  events_checked = 0;
+  entry_of_request = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   sent = answered = refused = unknown = broken = 0;
   fleet = fleet_new ();
-  fleet_proxies (fleet);
+  fleet_add_proxies (fleet);
   soakroll_begin (fleet, seed);
   soaknote_begin (fleet, seed);
-  fleet_begin (fleet);
+  fleet_start_all (fleet);
   int64_t until = loop_now (fleet->loop) + seconds * FT_SECOND;
-  unsigned turn = 0;
+  unsigned round = 0;
   while (loop_now (fleet->loop) < until)
     {
-      turn_faults (true);
-      turn_callers (true);
-      check_marks ();
+      step_faults (true);
+      step_callers (true);
+      check_crash_events ();
       if (draw (10) == 0)
-        turn_operators ();
+        step_operators ();
       soaknote_turn ();
-      soakroll_turn (&fleet->voters[turn++ % 3]);
+      soakroll_turn (&fleet->voters[round++ % 3]);
       fleet_run_for (fleet, 15 * FT_MS);
     }
   calm_down ();
-  last_notices ();
+  check_notices ();
   check_once ();
   soakroll_end ();
   check_recovery ();
   printf ("# seed %u: %u sent, %u answered, %u refused, %u unknown, %u broken, catalogue %u, "
-          "%u servers ended, marked bodies sent on %u and %u times\n",
-          seed, sent, answered, refused, unknown, broken, (unsigned) fleet->version, fleet->ends,
-          further[0], further[1]);
+          "%u server crashes, late runs of crash bodies: %u and %u\n",
+          seed, sent, answered, refused, unknown, broken, (unsigned) fleet->version,
+          fleet->crash_count, late_runs[0], late_runs[1]);
   fleet_free (fleet);
-  g_hash_table_unref (sent_by);
+  g_hash_table_unref (entry_of_request);
   g_array_unref (once);
-  g_rand_free (rand_source);
+  g_rand_free (generator);
 }
 
 int
@@ -528,7 +532,7 @@
   for (int i = 2; i < MAX (argc, 3); i++)
     {
       unsigned seed = i < argc ? (unsigned) strtoul (argv[i], NULL, 10) : 1;
-      soak (seconds, seed);
+      run_seed (seconds, seed);
       printf ("ok %d - seed %u keeps the promises\n", i - 1, seed);
     }
   return 0;
--- a/test/soaknote.c
+++ b/test/soaknote.c
@@ -1,78 +1,79 @@
-/* soaknote.c - each server takes turns of saying nothing, naming a rate, and asking for rest when
- * it is full; now and then one says that it leaves, and ends some seconds later. */
+/* soaknote.c - each server changes its notices at random: none, a rate, a back-off while it refuses
+ * everything, or that it leaves, after which it crashes some seconds later. */
 #include "soaknote.h"
 
 #include <string.h>
 
-#define SETTLE     (3 * FT_SECOND)
-#define DRAIN      (3 * FT_SECOND)
-#define TURN_MOST  1500 /* ms that a server says the same */
-#define RATE_MS    9000 /* and that it names one rate */
-#define LEAVES_IN  8    /* one in so many changes is that it leaves */
-#define ENDS_IN_MS 5000 /* after it has said so */
-#define RATE_MOST  6
-#define BACKOFF_S  2.0
+#define RATE_GRACE    (3 * FT_SECOND)
+#define DRAIN_GRACE   (3 * FT_SECOND)
+#define NOTICE_MS_MAX 1500 /* longest time with the same notices, in ms */
+#define RATE_MS       9000 /* time with the same rate */
+#define LEAVE_ONE_IN  8    /* one change in so many is that it leaves */
+#define LEAVE_MS      5000 /* from the notice that it leaves to its crash */
+#define RATE_MAX      6
+#define BACKOFF_S     2.0
 
 typedef struct
 {
   unsigned entry;
   int64_t at;
-} Disturbed;
+} Disturbance;
 
 static Fleet *fleet;
 static GRand *source;
-static GArray *disturbed; /* Disturbed */
+static GArray *disturbances; /* Disturbance */
 static int64_t changes_at[FLEET_SERVERS];
-static unsigned leaving_life[FLEET_SERVERS]; /* lifetime that says so */
+static unsigned
+    leaving_restarts[FLEET_SERVERS]; /* FleetServer.restarts when it announced that it leaves */
 
 void
-soaknote_begin (Fleet *of, unsigned seed)
+soaknote_begin (Fleet *new_fleet, unsigned seed)
 {
-  fleet = of;
+  fleet = new_fleet;
   source = g_rand_new_with_seed (seed ^ 0x6e6f7465);
-  disturbed = g_array_new (FALSE, FALSE, sizeof (Disturbed));
+  disturbances = g_array_new (FALSE, FALSE, sizeof (Disturbance));
   memset (changes_at, 0, sizeof changes_at);
 }
 
 static unsigned
-draw (unsigned most)
+draw (unsigned limit)
 {
-  return (unsigned) g_rand_int_range (source, 0, (gint32) most);
+  return (unsigned) g_rand_int_range (source, 0, (gint32) limit);
 }
 
 void
 soaknote_disturbed (unsigned entry)
 {
-  Disturbed one = { entry, loop_now (fleet->loop) };
+  Disturbance disturbance = { entry, loop_now (fleet->loop) };
 
-  g_array_append_val (disturbed, one);
+  g_array_append_val (disturbances, disturbance);
 }
 
 static void
-say_nothing (FleetServer *server)
+clear_notices (FleetServer *server)
 {
   server->rate = 0;
   server->backoff_s = 0;
-  server->says_leaving = server->sheds = false;
+  server->announces_leaving = server->refuses_all = false;
 }
 
 static int64_t
-change (unsigned number)
+draw_notices (unsigned number)
 {
   FleetServer *server = &fleet->servers[number];
 
-  say_nothing (server);
-  if (draw (LEAVES_IN) == 0)
+  clear_notices (server);
+  if (draw (LEAVE_ONE_IN) == 0)
     {
-      server->says_leaving = true;
-      leaving_life[number] = server->lives;
-      return ENDS_IN_MS * FT_MS;
+      server->announces_leaving = true;
+      leaving_restarts[number] = server->restarts;
+      return LEAVE_MS * FT_MS;
     }
   server->backoff_s = draw (2) ? BACKOFF_S : 0;
-  server->sheds = draw (4) == 0;
+  server->refuses_all = draw (4) == 0;
   if (draw (2))
-    return draw (TURN_MOST) * FT_MS;
-  server->rate = 0.5 + draw (RATE_MOST * 2) / 2.0;
+    return draw (NOTICE_MS_MAX) * FT_MS;
+  server->rate = 0.5 + draw (RATE_MAX * 2) / 2.0;
   return RATE_MS * FT_MS;
 }
 
@@ -84,46 +85,47 @@
   for (unsigned i = 0; i < FLEET_SERVERS; i++)
     {
       FleetServer *server = &fleet->servers[i];
-      if (server->says_leaving && server->lives != leaving_life[i])
-        changes_at[i] = 0; /* another lifetime, which does not leave */
+      if (server->announces_leaving && server->restarts != leaving_restarts[i])
+        changes_at[i] = 0; /* it has restarted, and does not leave any more */
       if (now < changes_at[i])
         continue;
-      if (server->says_leaving && server->lives == leaving_life[i])
-        fleet_end_server (server);
-      changes_at[i] = now + change (i);
+      if (server->announces_leaving && server->restarts == leaving_restarts[i])
+        fleet_crash_server (server);
+      changes_at[i] = now + draw_notices (i);
     }
 }
 
-/* Servers that leave end; the others say nothing more. */
+/* Crashes the servers that leave, and ends the notices of the others. */
 static void
-end_words (void)
+clear_all_notices (void)
 {
   for (unsigned i = 0; i < FLEET_SERVERS; i++)
     {
-      if (fleet->servers[i].says_leaving)
-        fleet_end_server (&fleet->servers[i]);
-      say_nothing (&fleet->servers[i]);
+      if (fleet->servers[i].announces_leaving)
+        fleet_crash_server (&fleet->servers[i]);
+      clear_notices (&fleet->servers[i]);
     }
 }
 
 void
 soaknote_last (void)
 {
-  end_words ();
+  clear_all_notices ();
   fleet->servers[0].rate = 1;
-  fleet->servers[1].sheds = true;
+  fleet->servers[1].refuses_all = true;
   fleet->servers[1].backoff_s = 4 * BACKOFF_S;
-  fleet->servers[2].says_leaving = true;
+  fleet->servers[2].announces_leaving = true;
 }
 
 static bool
-excused (void *data, unsigned instance, int64_t from, int64_t to)
+was_disturbed (void *data, unsigned instance, int64_t from, int64_t to)
 {
   (void) data;
-  for (unsigned i = 0; i < disturbed->len; i++)
+  for (unsigned i = 0; i < disturbances->len; i++)
     {
-      const Disturbed *one = &g_array_index (disturbed, Disturbed, i);
-      if ((one->entry == 0 || one->entry == instance) && one->at >= from && one->at <= to)
+      const Disturbance *disturbance = &g_array_index (disturbances, Disturbance, i);
+      if ((disturbance->entry == 0 || disturbance->entry == instance) && disturbance->at >= from
+          && disturbance->at <= to)
         return true;
     }
   return false;
@@ -139,12 +141,12 @@
 void
 soaknote_end (void)
 {
-  Rules rules = { fleet->arrivals, SETTLE, DRAIN, excused, NULL };
+  Rules rules = { fleet->arrivals, RATE_GRACE, DRAIN_GRACE, was_disturbed, NULL };
 
-  check ("over a named rate", rules_over_rate (&rules));
-  check ("over two in a server's backoff", rules_in_backoff (&rules));
-  check ("after a server said that it leaves", rules_after_leaving (&rules));
-  end_words ();
-  g_array_unref (disturbed);
+  check ("over an announced rate", rules_over_rate (&rules));
+  check ("more than two in a server's back-off", rules_in_backoff (&rules));
+  check ("too late after a server's notice that it leaves", rules_after_leaving (&rules));
+  clear_all_notices ();
+  g_array_unref (disturbances);
   g_rand_free (source);
 }
--- a/test/soaknote.h
+++ b/test/soaknote.h
@@ -1,19 +1,20 @@
-/* soaknote.h - the soak's servers that name rates, ask for rest and say that they leave while
- * faults go on, and the checks of what reached them. */
+/* soaknote.h - makes the soak test's servers announce rates, back-offs and that they leave while
+ * faults go on, and checks which requests reached them. */
 #ifndef SOAKNOTE_H
 #define SOAKNOTE_H
 
 #include "fleet.h"
 
-/* Draws from a source of its own, so that the faults of a seed stay what they are. */
+/* Has a random generator of its own, so that a seed keeps its sequence of faults. */
 void soaknote_begin (Fleet *fleet, unsigned seed);
-/* Changes what servers say now and then. */
+/* Changes servers' notices when they are due; call it in each round. */
 void soaknote_turn (void);
-/* After the faults: a rate, a rest and a leaving that last, each at a server of its own. */
+/* After the faults: sets a rate, a back-off and a notice of leaving, each at another server. */
 void soaknote_last (void);
-/* A fault touches the entry, 1 for the first, or 0: the path to servers, which concerns all. */
+/* Records that a fault affects an entry, 1 for the first, or the path to servers: 0, all entries.
+ */
 void soaknote_disturbed (unsigned entry);
-/* Checks all that was seen; servers say nothing of themselves from now on. */
+/* Checks all recorded requests, then ends all notices. */
 void soaknote_end (void);
 
 #endif
--- a/test/soakroll.h
+++ b/test/soakroll.h
@@ -1,17 +1,20 @@
-/* soakroll.h - the soak's operator of versions: orders a sound or a bad one while faults go on. */
+/* soakroll.h - the soak test's operator, who orders a roll-out of a good or a bad version while
+ * faults go on. */
 #ifndef SOAKROLL_H
 #define SOAKROLL_H
 
 #include "fleet.h"
 
-/* Half of the seeds have a roll-out; the others change nothing. Draws from a source of its own, so
- * that the faults of a seed stay what they are. Before the fleet begins. */
+/* Half of the seeds have a roll-out; in the others this part does nothing. It has a random
+ * generator of its own, so that a seed keeps its sequence of faults. Call it before
+ * fleet_start_all. */
 void soakroll_begin (Fleet *fleet, unsigned seed);
-/* What a server does when no fault changes it. */
+/* The mode of a server that no fault affects. */
 ServerMode soakroll_usual (const FleetServer *server);
-/* Orders, and reads, at one of the voters. */
+/* Orders the roll-out at the voter or, once it is acknowledged, reads its state there. */
 void soakroll_turn (FleetNode *voter);
-/* After the faults: the roll-out ends, and the version that lost gets nothing any more. */
+/* After the faults: waits until the roll-out ends, and checks that the losing version gets no more
+ * requests. */
 void soakroll_end (void);
 
 #endif
