--- a/test/backoff.sh
+++ b/test/backoff.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# backoff.sh - the product's own daemon before an engine that turns requests away and names a time
-# in which it wants none (503 with Retry-After). TAP.
+# backoff.sh - foxtailgraded with an engine that refuses requests for a given time (503 with
+# Retry-After): instances must not send it more in that time. TAP.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
@@ -15,7 +15,7 @@
   if [ "$1" = 0 ]; then echo "ok $count - $2"; else echo "not ok $count - $2"; failed=1; fi
 }
 
-turned_away () {
+refused_count () {
   curl -s "http://127.0.0.1:$((BASE + 51))/stats" | grep -o '"turned_away":[0-9]*' | cut -d: -f2
 }
 
@@ -35,9 +35,9 @@
 cluster_ready 30
 curl -s -X POST "http://127.0.0.1:$((BASE + 51))/control?backoff=600" >/dev/null
 for i in $(seq 1 60); do ask $((i % 3 + 1)); done >"$dir/answers"
-away=$(turned_away)
-echo "# the engine turned $away requests away; answers: $(sort "$dir/answers" | uniq -c | tr '\n' ' ')"
-[ "$away" -ge 1 ] && [ "$away" -le 3 ]
+refused=$(refused_count)
+echo "# the engine refused $refused requests; answers: $(sort "$dir/answers" | uniq -c | tr '\n' ' ')"
+[ "$refused" -ge 1 ] && [ "$refused" -le 3 ]
 ok $? "each instance sends it one request"
 [ "$(grep -c 200 "$dir/answers")" -ge 57 ]
 ok $? "the other engine serves meanwhile"
--- a/test/ends.sh
+++ b/test/ends.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
-# ends.sh - the product's own daemon before engines that end at a marked prompt. TAP.
+# ends.sh - foxtailgraded with engines that crash on a certain prompt. TAP.
 #
-# One caller's request ends each engine that begins to run it, taking other streams with it. The
-# caller is told that its outcome is unknown, and sends it again, to another instance, under another
-# id. Each instance saw one end and took it for the engine's own fault.
+# A request crashes each engine that runs it, which breaks off other streams. Its caller is answered
+# that the outcome is unknown and sends it again to another instance, under another id. Guards
+# against instances that each see one crash and take it for the engine's own fault.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
 dir=$(mktemp -d)
 trap 'touch "$dir/over"; cluster_stop; rm -rf "$dir"' EXIT
 trap 'exit 1' TERM INT
-COMINGS=12
-ENDS_MOST=6 # three until it is known, three more in its whole life
+ATTEMPTS=12
+CRASHES_MAX=6 # three until the prompt is quarantined, three more ever
 count=0
 failed=0
 
@@ -20,7 +20,7 @@
   if [ "$1" = 0 ]; then echo "ok $count - $2"; else echo "not ok $count - $2"; failed=1; fi
 }
 
-engine () { # NAME PORT: runs it again whenever it ends, and writes a line for each start
+engine () { # NAME PORT: restarts the engine whenever it exits, and writes a line for each start
   while [ ! -e "$dir/over" ]; do
     echo started >>"$dir/$1.starts"
     "$BUILD/foxtailstandin" engine --port "$2" --name "$1" --ends-on marked >/dev/null 2>&1 &
@@ -56,16 +56,16 @@
 cluster_wait_http "http://127.0.0.1:$((BASE + 51))/stats" 10
 cluster_wait_http "http://127.0.0.1:$((BASE + 52))/stats" 10
 before=$(starts)
-held=0
-for i in $(seq 1 $COMINGS); do
+quarantined=0
+for i in $(seq 1 $ATTEMPTS); do
   ask $(((i - 1) % 3 + 1)) "marked one" >"$dir/answer"
-  if grep -q '"quarantined"' "$dir/answer"; then held=$((held + 1)); fi
+  if grep -q '"quarantined"' "$dir/answer"; then quarantined=$((quarantined + 1)); fi
   sleep 1.2
 done
-ends=$(($(starts) - before))
-echo "# $ends engines ended, $held of $COMINGS comings were refused"
-[ "$ends" -ge 3 ] && [ "$ends" -le $ENDS_MOST ]
-ok $? "a request ends no more than $ENDS_MOST engines"
+crashes=$(($(starts) - before))
+echo "# $crashes engine crashes, $quarantined of $ATTEMPTS requests were refused"
+[ "$crashes" -ge 3 ] && [ "$crashes" -le $CRASHES_MAX ]
+ok $? "a request ends no more than $CRASHES_MAX engines"
 grep -q ' 503$' "$dir/answer" && grep -q '"ran": *"no"' "$dir/answer"
 ok $? "then it is refused, as not run"
 cluster_cli 2 suspects >"$dir/suspects" 2>&1
--- a/test/losses.sh
+++ b/test/losses.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# losses.sh - scripts/losses.pl adds up what the log says, and no more. TAP.
+# losses.sh - checks the counts that scripts/losses.pl makes from a log, and its errors. TAP.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 failed=0
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# mutants.sh [PART OF A NAME] - shows that the random test can fail: takes safeguards out one at a time, in a copy of
-# the tree, and runs it. Each must be found. Takes some minutes; not part of make check.
+# mutants.sh [PART OF A NAME] - checks that the randomized tests detect faults: removes one safeguard at a time from a
+# copy of the tree and runs a test program, which must fail. Takes some minutes; not part of make check.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 copy=$(mktemp -d)
@@ -15,7 +15,7 @@
   cp -r CMakeLists.txt src net node platform daemon cli standin bench test "$mine"
   for file in $2; do
     sed -i -E "$3" "$mine/$file"
-    if cmp -s "$file" "$mine/$file"; then echo "$1: the safeguard was not found in $file"; return 1; fi
+    if cmp -s "$file" "$mine/$file"; then echo "$1: no line of $file matches"; return 1; fi
   done
   cmake -S "$mine" -B "$mine/build" >/dev/null && make -C "$mine/build" "$program" >/dev/null 2>&1 \
     || { echo "$1: does not build"; return 1; }
@@ -23,7 +23,7 @@
     echo "$1: NOT FOUND in ${SCHEDULES:-3000} schedules"
     return 1
   else
-    echo "$1: found: $(echo "$result" | grep -E '^# seed|^Bail out' | tail -1 | grep . || echo 'it does not come to an end')"
+    echo "$1: found: $(echo "$result" | grep -E '^# seed|^Bail out' | tail -1 | grep . || echo 'failed without a message, for example by its time limit')"
   fi
 }
 
@@ -35,13 +35,13 @@
 try "freshness counts from the answer" src/node.c 's/node->fresh_at = MAX \(node->fresh_at, node->hello_sent_at\[reply->number % kept\]\);/node->fresh_at = node->answered_at;/' &
 try "a resent change is judged again" src/state.c 's/^  if \(known\)$/  if (known \&\& known->revision == 0)/' &
 try "the first claim does not win" src/state.c 's/same_owner \(&known->claim, claim\) \? FT_OK : FT_CONFLICT/FT_OK/' &
-# The same log where voters are found while it runs. Not here: a learner is named only when it has
-# caught up, which keeps the log going after a second loss, not what it holds.
+# The same log when voters find each other at run time. There is no mutant for the rule that a learner becomes a voter
+# only when it has caught up: without it the log may stop after a second loss, but keeps its content.
 try "found: votes are not written down" src/raft.c 's/check_disk \(raft, wal_vote \(raft->wal, term, voted_for\)\);//' test-found &
 try "found: messages leave before the sync" src/raft.c 's/check_disk \(raft, wal_sync \(raft->wal\)\);//' test-found &
 try "found: a voter counts under any incarnation" "src/raft.c src/raftvote.c" 's/peer->granted && peer->incarnation == config->voters\[i\].incarnation/peer->granted/; s/peer && peer->incarnation == voter->incarnation/peer != NULL/' test-found &
 try "found: an old log may lead" src/raftvote.c 's/^  return vote->last_term > last_term/  return true || vote->last_term > last_term/' test-found &
-# What servers say of themselves.
+# Notices in servers' answers: rate limit, back-off, leaving.
 try "a grant takes no token" src/pace.c 's/pace.tokens -= 1/pace.tokens -= 0/' test-pace &
 try "a bucket opens full" src/pace.c 's/open_bucket \(sched, pace, rate, 0, now\)/open_bucket (sched, pace, rate, 10, now)/' test-pace &
 try "an overtaken word counts" src/pace.c 's/ \&\& !is_newer \(server, job\)//' test-pace &
--- a/test/ports.sh
+++ b/test/ports.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# ports.sh - 2,000 spoilt inputs at each port of a running instance. TAP.
+# ports.sh - sends 2,000 malformed inputs to each port of a running instance. TAP.
 #
-# A caller, an operator's tool or a stranger sends bytes that are almost right. The instance answers
-# HTTP with a 4xx or closes, drops what is not a link's, and goes on serving everyone else.
+# The inputs are almost valid. The instance must answer malformed HTTP with a 4xx or close the
+# connection, drop malformed link messages, and keep serving others.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
--- a/test/system.sh
+++ b/test/system.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# system.sh - the real programs under kills, a stop, shutdowns and a silent connection. TAP.
+# system.sh - the real programs under SIGKILL, SIGSTOP, SIGTERM and stalled connections. TAP.
 #
-# What a caller sees decides: foxtailload checks every answer's text, the stand-ins count what was
-# dispatched twice. No verdict depends on how long anything takes.
+# foxtailload checks the text of every answer that callers get, and the stand-ins count requests that
+# ran twice. No result depends on how long anything takes.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
@@ -49,22 +49,22 @@
 ok $? "a catalogue is applied and in force everywhere"
 cluster_ready 30
 
-# A caller's answer goes on although its backend connection goes silent for good: something between
-# the two ends forgot it. New connections work, so the stream is resumed at the next piece.
+# Backend connections stop carrying data without being closed, as when a device on the path drops
+# their state. New connections work, so each stream resumes there with its next piece.
 load silent 8 15 &
-loader=$!
+load_pid=$!
 sleep 2
 curl -s -X POST -o /dev/null "http://127.0.0.1:$((BASE + 51))/control?mute=1"
 curl -s -X POST -o /dev/null "http://127.0.0.1:$((BASE + 52))/control?mute=1"
-wait $loader
+wait $load_pid
 verdict silent "silent backend connections are replaced, answers whole" "[0-9] unknown,"
 curl -s -X POST -o /dev/null "http://127.0.0.1:$((BASE + 51))/control?mute=0"
 curl -s -X POST -o /dev/null "http://127.0.0.1:$((BASE + 52))/control?mute=0"
 
-# Each instance dies in turn with requests in it and comes back; one of them holds the scheduler's
-# lease, one leads. Callers get an answer, a true refusal, or "unknown".
+# Each instance is killed in turn with requests in it, and restarted; one of them holds the pool's
+# lease, one is the leader. Callers get an answer, a refusal of what did not run, or "unknown".
 load kill 24 15 &
-loader=$!
+load_pid=$!
 for i in 1 2 3; do
   sleep 3
   kill -KILL "${INSTANCE_PID[$i]}"
@@ -72,44 +72,44 @@
   cluster_instance "$i"
   sleep 1
 done
-wait $loader
+wait $load_pid
 verdict kill "SIGKILL of each instance in turn: nothing lost, doubled or cut"
 [ "$(answered kill)" -gt 50 ]
 ok $? "requests were answered meanwhile"
 cluster_ready 30
 
-# An instance stops for 20 s, while it may believe that it is in charge, and goes on.
+# An instance is stopped for 20 s and continued; it may still believe that it is in charge.
 load stop 26 10 &
-loader=$!
+load_pid=$!
 sleep 2
 kill -STOP "${INSTANCE_PID[2]}"
 sleep 20
 kill -CONT "${INSTANCE_PID[2]}"
-wait $loader
+wait $load_pid
 verdict stop "SIGSTOP for 20 s: nothing lost, doubled or cut"
 cluster_ready 30
 
-# A graceful restart of each instance in turn: readiness drops, what is in flight ends whole.
+# Each instance is shut down and restarted in turn: requests in flight are answered completely.
 load term 20 12 &
-loader=$!
-exits=0
+load_pid=$!
+exit_failed=0
 for i in 1 2 3; do
   sleep 2
   kill -TERM "${INSTANCE_PID[$i]}"
   sleep 0.2
-  kill -TERM "${INSTANCE_PID[$i]}" 2>/dev/null # a second one does not cut either
+  kill -TERM "${INSTANCE_PID[$i]}" 2>/dev/null # a second SIGTERM must not abort requests either
   for _ in $(seq 1 200); do cluster_alive "${INSTANCE_PID[$i]}" || break; sleep 0.1; done
-  cluster_alive "${INSTANCE_PID[$i]}" && exits=1
-  grep -q '"event":"stop","text":"all requests ended"' "$dir/instance$i.log" || exits=1
+  cluster_alive "${INSTANCE_PID[$i]}" && exit_failed=1
+  grep -q '"event":"stop","text":"all requests ended"' "$dir/instance$i.log" || exit_failed=1
   cluster_instance "$i"
   cluster_wait_http "http://127.0.0.1:$((BASE + i))/readyz" 20
 done
-wait $loader
+wait $load_pid
 verdict term "SIGTERM to each instance in turn cuts nothing" "[0-9] unknown,"
-ok $exits "each instance ended by itself"
+ok $exit_failed "each instance ended by itself"
 
-# A caller waits longer between two pieces, and for a whole answer, than idle connections live
-# (idle_s is 2 here): neither connection is closed while the answer is under way.
+# The time between two pieces, and for a whole answer, is longer than idle_s (2 here), after which
+# idle connections are closed: no connection with a request in progress may be closed.
 for engine in 1 2; do curl -s -X POST -o /dev/null "http://127.0.0.1:$((BASE + 50 + engine))/control?slow=300"; done
 ask () { # STREAM
   curl -sN -H 'Authorization: Bearer kalkhaus-key' -H 'X-Class: report' \
@@ -122,13 +122,13 @@
 ok $? "an answer that takes long comes whole"
 for engine in 1 2; do curl -s -X POST -o /dev/null "http://127.0.0.1:$((BASE + 50 + engine))/control?slow=1"; done
 
-# The same booking twice, at two instances: one call, the same answer.
-one=$(curl -s -X POST -H 'Authorization: Bearer kalkhaus-key' -H 'Idempotency-Key: van-1' -d visit "http://127.0.0.1:$((BASE + 1))/booking/x")
-two=$(curl -s -X POST -H 'Authorization: Bearer kalkhaus-key' -H 'Idempotency-Key: van-1' -d visit "http://127.0.0.1:$((BASE + 2))/booking/x")
-[ -n "$one" ] && [ "$one" = "$two" ]
+# The same booking is sent to two instances: it runs once, and both give the same answer.
+first=$(curl -s -X POST -H 'Authorization: Bearer kalkhaus-key' -H 'Idempotency-Key: van-1' -d visit "http://127.0.0.1:$((BASE + 1))/booking/x")
+second=$(curl -s -X POST -H 'Authorization: Bearer kalkhaus-key' -H 'Idempotency-Key: van-1' -d visit "http://127.0.0.1:$((BASE + 2))/booking/x")
+[ -n "$first" ] && [ "$first" = "$second" ]
 ok $? "a repeated booking gets the same answer and runs once"
 
-# An auditor asks another instance about a refusal.
+# A refusal is looked up at another instance.
 id=$(curl -s -X POST -H 'Authorization: Bearer kalkhaus-key' -H 'X-Class: nothing' -d x "http://127.0.0.1:$((BASE + 1))/booking/x" | sed -n 's/.*"id":"\([^"]*\)".*/\1/p')
 for _ in $(seq 1 50); do
   cluster_cli 3 explain "$id" >"$dir/explain.out" 2>&1 && break
--- a/test/tls.sh
+++ b/test/tls.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# tls.sh - both HTTP ports with a certificate of the test's own. TAP.
+# tls.sh - the callers' and the operators' port over TLS, with a self-signed certificate. TAP.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
