--- a/net/mesh.c
+++ b/net/mesh.c
@@ -262,7 +262,7 @@
   Peer *peer = sock->owner;
   size_t size;
 
-  peer->base.heard = loop_now (peer->base.mesh->loop);
+  peer->base.received_at = loop_now (peer->base.mesh->loop);
   while (!sock->ended)
     {
       const uint8_t *data = sock_peek (sock, &size);
@@ -290,7 +290,7 @@
 {
   Peer *peer = sock->owner;
 
-  peer->base.heard = loop_now (peer->base.mesh->loop);
+  peer->base.received_at = loop_now (peer->base.mesh->loop);
   send_hello (peer);
 }
 
@@ -310,7 +310,7 @@
 
   peer->base.mesh = mesh;
   peer->base.dialled = dialled;
-  peer->base.heard = peer->dialled_at = loop_now (mesh->loop);
+  peer->base.received_at = peer->dialled_at = loop_now (mesh->loop);
   return peer;
 }
 
@@ -382,7 +382,7 @@
 
   cds_list_for_each_entry_safe (peer, next, &mesh->peers, link)
   {
-    if (now - peer->base.heard > silence_max (peer))
+    if (now - peer->base.received_at > silence_max (peer))
       close_peer (peer);
     else if (peer->up && peer->base.dialled)
       send_hello_or_alive (peer);
--- a/net/mesh.h
+++ b/net/mesh.h
@@ -16,11 +16,11 @@
   uint64_t lifetime; /* random number of its process; 0: no hello received yet */
   MeshRole role;
   char domain[64];
-  bool leaving;      /* the peer shuts down */
-  bool dialled;      /* this instance opened the connection */
-  uint64_t document; /* version of the catalogue in force at the peer */
-  int64_t heard;     /* when data was last received */
-  int64_t sent_at;   /* when a message was last sent */
+  bool leaving;        /* the peer shuts down */
+  bool dialled;        /* this instance opened the connection */
+  uint64_t document;   /* version of the catalogue in force at the peer */
+  int64_t received_at; /* when data was last received */
+  int64_t sent_at;     /* when a message was last sent */
   void *user;
 } MeshPeer;
 
--- a/node/control.c
+++ b/node/control.c
@@ -82,7 +82,7 @@
   else
     jlog (JLOG_WARN, "link-down", NULL, JL_INT ("peer", peer->ip),
           JL_INT ("dialled", peer->dialled),
-          JL_MS ("silent_ms", loop_now (control->loop) - peer->heard));
+          JL_MS ("silent_ms", loop_now (control->loop) - peer->received_at));
 }
 
 static void
--- a/node/ends.c
+++ b/node/ends.c
@@ -45,7 +45,7 @@
   CheckState state;
   unsigned probes;
   int64_t crashed_at;
-  bool probing, dropped; /* dropped: to be freed when the pending probe detector */
+  bool probing, dropped; /* dropped: freed once the pending probe has ended */
   GArray *runs;          /* CrashRun, not reported yet */
 } ServerCheck;
 
--- a/node/entry.c
+++ b/node/entry.c
@@ -40,7 +40,7 @@
   EntryVersions *versions;
   Reader *reader;
   Requests *requests;
-  CrashReporter *witness;
+  CrashReporter *crash_reporter;
   RtCat *cat;
   GBytes *text; /* the text of cat, to which deltas are applied */
   LoopTimer tick;
@@ -242,7 +242,7 @@
   else if (entry->newest_from == peer)
     entry->newest_version = 0;
   if (view->proved || entry->newest_version == 0)
-    crashrep_set_voter (entry->witness, view->proved ? peer : NULL);
+    crashrep_set_voter (entry->crash_reporter, view->proved ? peer : NULL);
   if (view->proved && view->entries > 0)
     {
       entry->entries = view->entries;
@@ -309,7 +309,7 @@
       versions_update (entry->versions, &msg->MeshMsg_u.rollouts);
       break;
     default:
-      if (!crashrep_message (entry->witness, peer, msg))
+      if (!crashrep_message (entry->crash_reporter, peer, msg))
         place_message (entry->place, peer, msg);
       break;
     }
@@ -321,10 +321,10 @@
   Entry *entry = host;
 
   jlog (JLOG_WARN, "link-down", NULL, JL_INT ("peer", peer->ip), JL_TEXT ("domain", peer->domain),
-        JL_MS ("silent_ms", loop_now (entry->loop) - peer->heard));
+        JL_MS ("silent_ms", loop_now (entry->loop) - peer->received_at));
   if (entry->newest_from == peer)
     entry->newest_version = 0;
-  crashrep_peer_down (entry->witness, peer);
+  crashrep_peer_down (entry->crash_reporter, peer);
   place_link_down (entry->place, peer);
 }
 
@@ -463,7 +463,7 @@
           JL_MS ("list_age_ms", now - servers_asked_at (entry->servers)));
   entry->was_ready = ready;
   read_list_if_old (entry, now);
-  crashrep_tick (entry->witness);
+  crashrep_tick (entry->crash_reporter);
   mesh_for_each_peer (entry->mesh, send_keep_alive, entry);
   close_idle_when_leaving (entry, now);
   if (entry->leaving_since && may_stop (entry, now))
@@ -538,7 +538,7 @@
       place_scheduler_name (entry->place),
       (double) (loop_now (entry->loop) - servers_asked_at (entry->servers)) / 1e6);
   describe_memory (entry, out);
-  crashrep_describe (entry->witness, out);
+  crashrep_describe (entry->crash_reporter, out);
   mesh_append_metrics (entry->mesh, out);
   g_string_append (out, "# servers as this entry sees them\n");
   g_string_append (out, servers);
@@ -557,7 +557,7 @@
   mesh_free (entry->mesh);
   reader_free (entry->reader);
   requests_free (entry->requests);
-  crashrep_free (entry->witness);
+  crashrep_free (entry->crash_reporter);
   versions_free (entry->versions);
   place_free (entry->place);
   hcli_free (entry->cli);
@@ -580,10 +580,12 @@
     return FT_IO;
   entry->place = place_new (entry->loop, entry->mesh, s->ip, &place_ops, entry);
   instance_configure_broker (s, place_own_broker (entry->place), false);
-  entry->witness = crashrep_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
+  entry->crash_reporter
+      = crashrep_new (entry->loop, entry->mesh, entry->cli, on_verdicts_changed, entry);
   entry->versions = versions_new (place_own_broker (entry->place));
-  RequestsConf conf = { entry->loop,   entry->adapter_ops, entry->cli,     entry->place,
-                        entry->budget, entry->servers,     entry->witness, entry->versions };
+  RequestsConf conf
+      = { entry->loop,    entry->adapter_ops,    entry->cli,     entry->place, entry->budget,
+          entry->servers, entry->crash_reporter, entry->versions };
   entry->requests = requests_new (&conf);
   entry->callers = hsrv_new (entry->loop, s->callers, &callers_ops, entry);
   if (entry->callers == NULL)
--- a/node/place.c
+++ b/node/place.c
@@ -150,7 +150,7 @@
 {
   if (broker_handover_enabled (place->own)
       && (req->scheduler == NULL ? is_deputy (place)
-                                 : req->scheduler->heard - req->asked_at > CHARGED_AFTER))
+                                 : req->scheduler->received_at - req->asked_at > CHARGED_AFTER))
     req->charged = true;
 }
 
@@ -211,7 +211,7 @@
   bool again = skip->at && now - skip->at < BACKOFF_RESET;
   skip->backoff = again ? MIN (skip->backoff * 2, BACKOFF_MAX) : BACKOFF_MIN;
   skip->at = now;
-  skip->heard = peer->heard;
+  skip->heard = peer->received_at;
   skip->until = now + skip->backoff;
 }
 
@@ -220,13 +220,13 @@
 {
   const SkippedPeer *skip = g_hash_table_lookup (place->skipped, peer);
 
-  return skip && (peer->heard <= skip->heard || loop_now (place->loop) < skip->until);
+  return skip && (peer->received_at <= skip->heard || loop_now (place->loop) < skip->until);
 }
 
 static bool
 is_usable (Place *place, const MeshPeer *peer)
 {
-  return !peer->leaving && loop_now (place->loop) - peer->heard < HEARD_WITHIN
+  return !peer->leaving && loop_now (place->loop) - peer->received_at < HEARD_WITHIN
          && !is_skipped (place, peer);
 }
 
@@ -359,7 +359,7 @@
   int64_t now = loop_now (place->loop);
   MeshPeer *current = place->current;
 
-  if (current && place->waiting > 0 && now - current->heard > SILENCE_MAX
+  if (current && place->waiting > 0 && now - current->received_at > SILENCE_MAX
       && anyone_waits_at (place, current, now - SILENCE_MAX))
     skip_peer (place, current);
   choose_scheduler (place, "time");
--- a/node/reqask.c
+++ b/node/reqask.c
@@ -105,7 +105,7 @@
 void
 req_ask (Req *req)
 {
-  QuarVerdict verdict = crashrep_check (req->requests->conf.witness, req->content);
+  QuarVerdict verdict = crashrep_check (req->requests->conf.crash_reporter, req->content);
 
   if (verdict.state == QUAR_BLOCKED)
     end_as_quarantined (req, &verdict);
@@ -124,7 +124,7 @@
 static bool
 is_quarantined (const Req *req)
 {
-  return crashrep_check (req->requests->conf.witness, req->content).state >= QUAR_RECHECK;
+  return crashrep_check (req->requests->conf.crash_reporter, req->content).state >= QUAR_RECHECK;
 }
 
 /* Withdraws the open ask, with the place if one was granted, and asks again. */
--- a/node/reqend.c
+++ b/node/reqend.c
@@ -74,7 +74,7 @@
   req->xfer = NULL;
   if (xfer)
     {
-      crashrep_abandoned (req->requests->conf.witness, req->server, req->content, req->id);
+      crashrep_abandoned (req->requests->conf.crash_reporter, req->server, req->content, req->id);
       hxfer_cancel (xfer);
     }
   if (req->number == 0)
--- a/node/requests.c
+++ b/node/requests.c
@@ -58,16 +58,17 @@
 req_after_try (Req *req, RetryEvent event)
 {
   Requests *requests = req->requests;
-  RetryFacts facts = { .kind = req->route->kind,
-                       .resumable = req->route->resumable,
-                       .begun = req->begun,
-                       .may_have_run = req->may_have_run,
-                       .sends = req->sends,
-                       .most_sends = req->route->attempts,
-                       .unreached = req->unreached,
-                       .left_us = req->deadline - req_now (req),
-                       .suspect = crashrep_check (requests->conf.witness, req->content).ends > 0,
-                       .budget = true };
+  RetryFacts facts
+      = { .kind = req->route->kind,
+          .resumable = req->route->resumable,
+          .begun = req->begun,
+          .may_have_run = req->may_have_run,
+          .sends = req->sends,
+          .most_sends = req->route->attempts,
+          .unreached = req->unreached,
+          .left_us = req->deadline - req_now (req),
+          .suspect = crashrep_check (requests->conf.crash_reporter, req->content).ends > 0,
+          .budget = true };
   RetryStep step = retry_next (event, &facts);
 
   if (retry_uses_budget (event, step) && !budget_take (requests->conf.budget, req->service))
--- a/node/requests.h
+++ b/node/requests.h
@@ -21,7 +21,7 @@
   Place *place;
   RetryBudget *budget;
   const Servers *servers;
-  CrashReporter *witness;
+  CrashReporter *crash_reporter;
   const EntryVersions *versions;
 } RequestsConf;
 
--- a/node/rollctl.c
+++ b/node/rollctl.c
@@ -225,7 +225,7 @@
       return;
     }
   rollouts_for_each (rollouts, control_or_drop);
-  bcast_send_all (rollouts->tell);
+  bcast_send_all (rollouts->broadcast);
 }
 
 void
--- a/node/rollouts.c
+++ b/node/rollouts.c
@@ -11,8 +11,8 @@
  *   completed     no request runs on other versions, then it is committed, then operators see it;
  *   rolled back   requests to the target stop here at once, then it is committed and published.
  *
- * Failure: a scheduler dies, and its successor does not know how many requests the target had, so
- * a bad version gets its full share again from each successor. The target therefore gets no more
+ * A scheduler that takes over does not know how many requests the target had, so a bad version
+ * would get its full share again from each successor. The target therefore gets no more
  * requests than the log has reserved for it, and a new voter in charge counts the whole
  * reservation as used.
  */
@@ -204,9 +204,9 @@
     return;
   rollouts->published_digest = digest;
   rollouts_for_each (rollouts, rollouts_apply_phase);
-  bcast_changed (rollouts->tell);
+  bcast_changed (rollouts->broadcast);
   if (rollouts_in_charge (rollouts))
-    bcast_send_all (rollouts->tell);
+    bcast_send_all (rollouts->broadcast);
 }
 
 /* ---- Links ---- */
@@ -214,13 +214,13 @@
 void
 rollouts_up (Rollouts *rollouts, MeshPeer *peer)
 {
-  bcast_link_up (rollouts->tell, peer, roll_index (rollouts->table) > 0);
+  bcast_link_up (rollouts->broadcast, peer, roll_index (rollouts->table) > 0);
 }
 
 void
 rollouts_down (Rollouts *rollouts, const MeshPeer *peer)
 {
-  bcast_link_down (rollouts->tell, peer);
+  bcast_link_down (rollouts->broadcast, peer);
 }
 
 /* ---- Operators ---- */
@@ -322,7 +322,7 @@
   rollouts->table = roll_new ();
   rollouts->progress = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   rollouts->active = g_ptr_array_new_with_free_func (rollctl_active_free);
-  rollouts->tell = bcast_new (pack_for_entries, rollouts);
+  rollouts->broadcast = bcast_new (pack_for_entries, rollouts);
   broker_set_judged_callback (broker, rollctl_on_answer, rollouts);
   return rollouts;
 }
@@ -332,7 +332,7 @@
 {
   if (rollouts == NULL)
     return;
-  bcast_free (rollouts->tell);
+  bcast_free (rollouts->broadcast);
   g_ptr_array_unref (rollouts->active);
   g_hash_table_unref (rollouts->progress);
   roll_free (rollouts->table);
--- a/node/rollpriv.h
+++ b/node/rollpriv.h
@@ -41,7 +41,7 @@
   GHashTable *progress;  /* service name -> Progress */
   GPtrArray *active;     /* ActiveRollout */
   unsigned lost_entries; /* entries lost recently */
-  Broadcast *tell;
+  Broadcast *broadcast;
   uint64_t published_digest; /* digest of the phases that schedulers and entries were last told */
 };
 
--- a/node/suspects.c
+++ b/node/suspects.c
@@ -37,7 +37,7 @@
   Loop *loop;
   Voter *voter;
   CrashTable *table; /* the committed crash table */
-  Broadcast *tell;
+  Broadcast *broadcast;
   GPtrArray *proposals;
   GBytes *packed; /* the published message, with index 0 */
 };
@@ -104,7 +104,7 @@
 
   if (changed)
     {
-      bcast_changed (suspects->tell);
+      bcast_changed (suspects->broadcast);
       suspects->packed = packed;
       packed = before;
     }
@@ -124,7 +124,7 @@
 publish (Suspects *suspects)
 {
   if (is_in_charge (suspects))
-    bcast_send_all (suspects->tell);
+    bcast_send_all (suspects->broadcast);
 }
 
 /* ---- Committed changes ---- */
@@ -212,7 +212,7 @@
   MeshMsg msg = { .kind = MESH_CRASH_ACK };
 
   msg.MeshMsg_u.known.number = number;
-  MeshPeer *peer = bcast_find (suspects->tell, reporter);
+  MeshPeer *peer = bcast_find (suspects->broadcast, reporter);
   if (peer)
     mesh_send (peer, &msg);
 }
@@ -360,13 +360,13 @@
 void
 suspects_up (Suspects *suspects, MeshPeer *peer)
 {
-  bcast_link_up (suspects->tell, peer, crashes_index (suspects->table) > 0);
+  bcast_link_up (suspects->broadcast, peer, crashes_index (suspects->table) > 0);
 }
 
 void
 suspects_down (Suspects *suspects, const MeshPeer *peer)
 {
-  bcast_link_down (suspects->tell, peer);
+  bcast_link_down (suspects->broadcast, peer);
 }
 
 void
@@ -421,7 +421,7 @@
   suspects->loop = loop;
   suspects->voter = voter;
   suspects->table = crashes_new ();
-  suspects->tell = bcast_new (pack_for_entries, suspects);
+  suspects->broadcast = bcast_new (pack_for_entries, suspects);
   suspects->proposals = g_ptr_array_new_with_free_func (proposal_free);
   update_packed (suspects);
   return suspects;
@@ -432,7 +432,7 @@
 {
   if (suspects == NULL)
     return;
-  bcast_free (suspects->tell);
+  bcast_free (suspects->broadcast);
   g_ptr_array_unref (suspects->proposals);
   g_bytes_unref (suspects->packed);
   crashes_free (suspects->table);
--- a/node/try.c
+++ b/node/try.c
@@ -249,13 +249,13 @@
   return !req->close_delimited && req->status < 500 && (!req->is_stream || req->events > 0);
 }
 
-/* The server may have ended; the witness finds out whether it did and what it ran. */
+/* The server may have ended; the crash reporter finds out whether it did and what it ran. */
 static void
 report_break (const Req *req)
 {
   if (!req->rejected)
-    crashrep_connection_lost (req->requests->conf.witness, req->server, req->addr, req->content,
-                              req->id);
+    crashrep_connection_lost (req->requests->conf.crash_reporter, req->server, req->addr,
+                              req->content, req->id);
 }
 
 static void
@@ -273,7 +273,7 @@
   if (req->close_delimited)
     report_break (req);
   else if (proves_survival (req))
-    crashrep_answered (req->requests->conf.witness, req->server, req->content, req->sent_at);
+    crashrep_answered (req->requests->conf.crash_reporter, req->server, req->content, req->sent_at);
   if (req->is_stream && events_has_partial (req->stream))
     req_after_try (req, RETRY_STREAM_CUT);
   else if (req->is_stream)
@@ -303,7 +303,7 @@
       req->may_have_run = req->may_have_run_before;
       count_inc (COUNT_UNREACHED);
       if (fault == HXFER_REFUSED)
-        crashrep_refused (req->requests->conf.witness, req->server);
+        crashrep_refused (req->requests->conf.crash_reporter, req->server);
       req_after_try (req, RETRY_NOT_CONNECTED);
       return;
     }
--- a/node/voter.c
+++ b/node/voter.c
@@ -261,7 +261,7 @@
 static void
 store_crashes (Voter *voter)
 {
-  const CrashTable *crashes = state_blame (voter->state);
+  const CrashTable *crashes = state_crashes (voter->state);
   MsgCrashTable captured = { 0 };
 
   if (crashes_index (crashes) == voter->crashes.index)
--- a/src/admit.c
+++ b/src/admit.c
@@ -28,7 +28,7 @@
 #define RESERVED_SHARE_MAX 0.9
 
 static void
-refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t reserved_at, RetAdvice word,
+refuse (Sched *sched, Job *job, FtReason reason, double wait, int64_t reserved_at, RetAdvice advice,
         int64_t now)
 {
   SchedRefusal refusal = { .reason = reason };
@@ -37,7 +37,7 @@
 
   refusal.retry_after_us = MIN ((int64_t) MIN (wait, 1e9), left / RET_WAIT_DIVISOR);
   refusal.retry_after_us = MAX (refusal.retry_after_us, RETRY_AFTER_MIN);
-  if (word == RET_RESERVED)
+  if (advice == RET_RESERVED)
     refusal.retry_after_us = reserved_at - now;
   if (job->reserved)
     ret_count_outcome (sched->returns, false);
@@ -45,7 +45,7 @@
             "tier %u: %u waiting, start in %.0f ms, useful for %.0f ms", job->ask.tier,
             wait_tier (job->service, job->ask.tier)->count, MIN (wait, 1e9) / 1e3,
             (double) (job->ask.limit_at - now) / 1e3);
-  ret_explain (word, refusal.retry_after_us, refusal.rule, sizeof refusal.rule);
+  ret_explain (advice, refusal.retry_after_us, refusal.rule, sizeof refusal.rule);
   sched_remove_job (sched, job, now);
   sched->ops->refuse (sched->host, key.owner, key.request, &refusal);
 }
@@ -66,12 +66,12 @@
 
 /* Reserves nothing where higher tiers take all places: the caller would come back in vain. */
 static bool
-reserve (Sched *sched, const Job *job, RetDemand *offer, int64_t now, int64_t *at)
+reserve (Sched *sched, const Job *job, RetDemand *demand, int64_t now, int64_t *at)
 {
-  offer->rate = est_places_left (sched, job->service, job->ask.tier, false, now);
+  demand->rate = est_places_left (sched, job->service, job->ask.tier, false, now);
   *at = INT64_MAX;
   return est_share_above (sched, job->service, job->ask.tier, now) < 1
-         && ret_reserve (sched->returns, offer, at);
+         && ret_reserve (sched->returns, demand, at);
 }
 
 /* Refuses a job for lack of places, with a reservation if one can be made. No time is reserved that
@@ -81,26 +81,27 @@
 static void
 refuse_for_shortage (Sched *sched, Job *job, double wait, int64_t now)
 {
-  RetDemand offer = { .resource = resource_of (job),
-                      .content = job->ask.content,
-                      .cost = job->work_us,
-                      .not_before = now + RETRY_AFTER_MIN,
-                      .useful_until = job->ask.aim_at
-                                      - (int64_t) (FIRST_EVENT_FACTOR
-                                                   * est_first_us (sched, job->service, &job->ask)),
-                      .end_at = job->ask.end_at };
-  RetAdvice word = RET_NO_RESERVATION;
+  RetDemand demand
+      = { .resource = resource_of (job),
+          .content = job->ask.content,
+          .cost = job->work_us,
+          .not_before = now + RETRY_AFTER_MIN,
+          .useful_until
+          = job->ask.aim_at
+            - (int64_t) (FIRST_EVENT_FACTOR * est_first_us (sched, job->service, &job->ask)),
+          .end_at = job->ask.end_at };
+  RetAdvice advice = RET_NO_RESERVATION;
   int64_t at = INT64_MAX;
 
-  if (sched->returns && ret_share (sched->returns) > 0 && offer.content)
+  if (sched->returns && ret_share (sched->returns) > 0 && demand.content)
     {
-      word = reserve (sched, job, &offer, now, &at) ? RET_RESERVED : RET_TOO_LATE;
+      advice = reserve (sched, job, &demand, now, &at) ? RET_RESERVED : RET_TOO_LATE;
       if (at < INT64_MAX)
         wait = MAX (wait, (double) (at - now));
     }
-  if (word == RET_TOO_LATE)
-    ret_record_wait (sched->returns, &offer, (int64_t) CLAMP (wait, RETRY_AFTER_MIN, 1e9));
-  refuse (sched, job, FT_REASON_SHORTAGE, wait, at, word, now);
+  if (advice == RET_TOO_LATE)
+    ret_record_wait (sched->returns, &demand, (int64_t) CLAMP (wait, RETRY_AFTER_MIN, 1e9));
+  refuse (sched, job, FT_REASON_SHORTAGE, wait, at, advice, now);
 }
 
 static RetState
@@ -160,9 +161,9 @@
 
   if (sched->returns == NULL)
     return wait;
-  double part = MIN (ret_share (sched->returns), RESERVED_SHARE_MAX);
+  double share = MIN (ret_share (sched->returns), RESERVED_SHARE_MAX);
   double reserved = (double) (ret_reserved_until (sched->returns, resource_of (job)) - now);
-  return wait + part * CLAMP (reserved, 0, wait / (1 - part));
+  return wait + share * CLAMP (reserved, 0, wait / (1 - share));
 }
 
 /* ---- Decisions ---- */
--- a/src/budget.c
+++ b/src/budget.c
@@ -1,7 +1,7 @@
 /* budget.c - a retry budget from a ratio of the instance's own traffic and its share of the slack.
  *
- * Failure: every instance retries the requests that a failing service loses. Symptom: the retries
- * keep the service down. The budgets of all instances together stay within the limit without any
+ * If every instance retried all requests that a failing service loses, the retries would keep the
+ * service down. The budgets of all instances together stay within the limit without any
  * communication, since each counts only requests that callers sent to it.
  */
 #include "budget.h"
--- a/src/crashes.c
+++ b/src/crashes.c
@@ -1,7 +1,7 @@
 /* crashes.c - counts server crashes per request content, to find requests that crash servers.
  *
- * Failure: a request crashes every server that starts to run it, and its caller resends it under
- * another id to another instance. Server after server goes down together with the requests of
+ * A caller may resend a request that crashes every server that starts to run it, under another id
+ * and to another instance. Server after server then goes down together with the requests of
  * other callers, and no single instance sees more than one or two of the crashes. Crashes are
  * therefore counted per content in the replicated log: any instance that sees one adds it, all
  * instances know the sum, and it survives the loss of any instance.
--- a/src/handover.c
+++ b/src/handover.c
@@ -1,8 +1,8 @@
 /* handover.c - a scheduler that takes over grants a share that grows with the reports it gets.
  *
- * Failure: a scheduler takes over at full load and counts places as free that run requests granted
- * by its predecessor. Symptom: within a second, engines get a third more requests than they have
- * places for. Until all owners that may hold something have reported, only the share of those that
+ * A scheduler that takes over at full load would count places as free that run requests granted by
+ * its predecessor: within a second, engines would get a third more requests than they have places
+ * for. Until all owners that may hold something have reported, only the share of those that
  * have is granted.
  *
  * An owner that never reports delays the end by the longest wait at most. An owner that sends
@@ -108,9 +108,9 @@
     end_handover (hand, "all have reported");
 }
 
-/* Failure: some owners on a lossy path alternate between schedulers. Symptom: the few that send
- * requests here are repeatedly mistaken for the first ones of a takeover, and places are held back
- * for owners that stay with their scheduler. */
+/* When some owners on a lossy path alternate between schedulers, the few that send requests here
+ * would repeatedly be mistaken for the first ones of a takeover, and places would be held back for
+ * owners that stay with their scheduler. */
 static bool
 few_reported_lately (const Hand *hand)
 {
--- a/src/judge.c
+++ b/src/judge.c
@@ -1,10 +1,10 @@
 /* judge.c - decides whether the target version of a roll-out is bad: whether more of its answers
  * are bad than those of the previous version at the same time.
  *
- * Failure: a version fails some of its requests, answers them several times more slowly, does so
- * only after a while, or only on one route. If all requests move to it because its servers are up,
- * every caller is affected. The answers of both versions are therefore compared, over all routes
- * and for each route.
+ * A bad version may fail some of its requests or answer them several times more slowly, perhaps
+ * only after a while or only on one route. If all requests moved to it because its servers are up,
+ * every caller would be affected. The answers of both versions are therefore compared, over all
+ * routes and for each route.
  *
  * There are two methods. JUDGE_CUSUM adds up, answer by answer, the log-likelihood ratio of
  * two hypotheses: that the target version makes a part ASSUMED_INCREASE of the otherwise good
--- a/src/lead.c
+++ b/src/lead.c
@@ -214,9 +214,9 @@
   out->live.live_len = out->has_live ? lead->live->len : 0;
   out->live.live_val = (u_int *) (void *) lead->live->data;
   MsgCrashTable blame = { 0 };
-  if (hello->blame_index != crashes_index (state_blame (node->state)))
+  if (hello->blame_index != crashes_index (state_crashes (node->state)))
     {
-      crashes_capture (state_blame (node->state), CRASHES_PUBLISH_MIN, &blame);
+      crashes_capture (state_crashes (node->state), CRASHES_PUBLISH_MIN, &blame);
       out->blame.blame_len = 1;
       out->blame.blame_val = &blame;
     }
@@ -522,7 +522,7 @@
 static FtStatus
 answer_suspects (Leader *lead, const char *id, GString *out)
 {
-  crashes_append_json (state_blame (lead->node->state), g_ascii_strtoll (id, NULL, 10), out);
+  crashes_append_json (state_crashes (lead->node->state), g_ascii_strtoll (id, NULL, 10), out);
   return FT_OK;
 }
 
--- a/src/patience.c
+++ b/src/patience.c
@@ -1,8 +1,8 @@
 /* patience.c - a caller that returns after a refusal has less time left than others.
  *
- * Failure: at the highest load every other request was refused before. Symptom: such a request
- * takes the place of a new one that could be answered on time, although its caller has waited for
- * longer than the target already. Callers of the same kind wait for about the same time. So the
+ * At the highest load every other request was refused before. Such a request would take the place
+ * of a new one that could be answered on time, although its caller has waited for longer than the
+ * target already. Callers of the same kind wait for about the same time. So the
  * longest wait that was recently seen on a route is that of new requests, and a caller with a
  * clearly shorter one has used up the difference.
  */
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -5,8 +5,8 @@
  * Evidence counts here at once, so an instance without a reachable voter still stops sending such
  * a content.
  *
- * Failure: a failure domain loses power while a content that half of all callers request is
- * running on each of its servers, so that an innocent content reaches the limit at once. Unlike a
+ * When a failure domain loses power while a content that half of all callers request is running on
+ * each of its servers, this innocent content reaches the limit at once. Unlike a
  * content that crashes servers, it was answered completely elsewhere moments ago. Each instance
  * therefore remembers its recent complete answers and tells the voters when one contradicts the
  * table. Requests of the content wait RECHECK_DELAY for such a report before they are refused.
--- a/src/quota.c
+++ b/src/quota.c
@@ -1,12 +1,12 @@
 /* quota.c - a token bucket per organisation.
  *
- * Failure: a scheduler dies and another takes over without knowing what was used. Symptom: the
- * organisation gets its burst twice in one window or, if the new bucket starts empty, is refused
- * below its limit until the bucket has filled. Each decision therefore reports to the instance that
- * asked how full the bucket is, and an instance that turns to another scheduler passes on its
- * newest report. A scheduler that has not decided for the organisation recently continues from that
- * level. Without a report, as after a restart of all instances, a bucket starts with a part of the
- * margin for accounting errors.
+ * If a scheduler dies and its successor does not know what was used, the organisation gets its
+ * burst twice in one window or, if the new bucket starts empty, is refused below its limit until
+ * the bucket has filled. Each decision therefore reports to the instance that asked how full the
+ * bucket is, and an instance that turns to another scheduler passes on its newest report. A
+ * scheduler that has not decided for the organisation recently continues from that level. Without a
+ * report, as after a restart of all instances, a bucket starts with a part of the margin for
+ * accounting errors.
  *
  * A scheduler may hold only a share of each limit; tokens that it grants are charged to its share.
  * If the share grows, the added part is as full as the report says of the bucket elsewhere.
@@ -109,9 +109,9 @@
   return quota->overage * (bucket->rate * quota->window_s + bucket->burst) + quota->slack;
 }
 
-/* Failure: half of the entries lose power, and their shares of the limits stay unused because they
- * may only be cut off from the network. Symptom: organisations are refused far below their limits.
- * The margin replaces a part of the unused shares. */
+/* The shares of entries that are down stay unused, because these may only be cut off from the
+ * network. When half of the entries lose power, organisations would be refused far below their
+ * limits, so the margin replaces a part of the unused shares. */
 static double
 share_of (const Quota *quota, const Bucket *bucket)
 {
@@ -179,10 +179,10 @@
   bucket->spent = MIN (bucket->spent, capacity (bucket));
 }
 
-/* Failure: a scheduler takes over a bucket, and the first instance that asks has no report of it or
- * an old one, so the bucket starts from a guess. Symptom: the organisation is refused within its
- * limit or gets its burst twice, although the next instance brings a newer report. A newer report
- * from before the start therefore replaces the guess; what was granted here since stays charged. */
+/* If the first instance that asks after a takeover has no report of the bucket or an old one, the
+ * bucket starts from a guess, and the organisation may be refused within its limit or get its burst
+ * twice. A newer report from before the start therefore replaces the guess; what was granted here
+ * since stays charged. */
 static void
 apply_late_report (const Quota *quota, Bucket *bucket)
 {
@@ -316,10 +316,10 @@
   if (now - bucket->reported_at < REPORT_VALID_FOR && (idle || since < bucket->active_since))
     return;
   refill (quota, bucket);
-  /* Failure: an organisation sends many times its limit, and entries on a lossy path alternate
-   * between two schedulers. Symptom: tokens that one granted are charged to a bucket of the other
-   * that is already empty and are not counted, so the organisation exceeds its limit. The bucket
-   * therefore goes into debt, by no more than it refills in the time of a burst. */
+  /* When entries on a lossy path alternate between two schedulers and an organisation sends many
+   * times its limit, tokens that one granted are charged to a bucket of the other that is already
+   * empty. The bucket goes into debt, by no more than it refills in the time of a burst: otherwise
+   * these tokens would not be counted and the organisation would exceed its limit. */
   bucket->spent
       = MIN (bucket->spent + cost, MAX (bucket->spent, (1 + DEBT_MAX) * capacity (bucket)));
 }
--- a/src/retry.c
+++ b/src/retry.c
@@ -30,9 +30,8 @@
   return facts->may_have_run ? RETRY_ANSWER_UNKNOWN : RETRY_ANSWER_NOT_RUN;
 }
 
-/* Failure: a request ends the servers that run it. Symptom: each time a caller sends it, it ends as
- * many servers as its route allows tries. A request whose content ended a server before is
- * therefore not sent again. */
+/* A request that crashes servers would crash as many as its route allows tries, each time a caller
+ * sends it. A request whose content crashed a server before is therefore not sent again. */
 static RetryStep
 after_break (const RetryFacts *facts)
 {
@@ -41,9 +40,9 @@
   return facts->begun ? RETRY_RESUME : RETRY_AGAIN;
 }
 
-/* Failure: the connection breaks during a long answer of which the caller has the first part.
- * Symptom: the answer is requested again as if it were a stream, but there is no position to resume
- * from, and the process ends. Only streams can be resumed. */
+/* Only streams can be resumed. When the connection breaks during any other long answer of which the
+ * caller has the first part, there is no position to resume from; requesting it again as if it were
+ * a stream made the process end. */
 static RetryStep
 after_partial_answer (RetryEvent event)
 {
--- a/src/returns.c
+++ b/src/returns.c
@@ -1,8 +1,8 @@
 /* returns.c - reserves capacity for refused callers that return at the time they were told.
  *
- * Failure: many callers are refused at the same moment and are all given the same retry time, at
- * which most cannot be served. Symptom: they return together and are refused again, so each served
- * caller costs several refusals. Each refused caller is therefore given a return time of its own.
+ * If many callers that are refused at the same moment were given the same retry time, they would
+ * return together and most would be refused again, so each served caller would cost several
+ * refusals. Each refused caller is therefore given a return time of its own.
  * A reservation fills over an interval during which a share of the capacity that becomes free is
  * set aside for it; the interval of the next reservation begins where it ends. So reservations
  * never take more than that share and newcomers keep the rest: an answer on time is worth more to a
@@ -12,8 +12,8 @@
  * service's places. An interval ends RET_EARLY_US before the return time, so that all the capacity
  * is there for a caller whose timer runs early.
  *
- * Failure: a caller repeats its request immediately and continually. Symptom: it is the first to
- * ask whenever capacity becomes free, and callers that wait as told get nothing. Return times are
+ * A caller that repeats its request immediately and continually would be the first to ask whenever
+ * capacity becomes free, and callers that wait as told would get nothing. Return times are
  * therefore remembered, also where nothing was reserved, and a caller that returns early gets only
  * capacity that is not scarce.
  */
--- a/src/rollout.c
+++ b/src/rollout.c
@@ -98,10 +98,10 @@
   *field = strdup (text);
 }
 
-/* Failure: one voter proposes an order, its answer is lost, and the next voter in charge proposes
- * the order again; both proposals are committed, and an active or even completed roll-out would
- * start again. Therefore each proposal names the roll-out that its proposer saw last, and takes
- * effect only if that is still the latest one. */
+/* If the answer to a proposed order is lost, the next voter in charge proposes the order again;
+ * both proposals are committed, and an active or even completed roll-out would start again.
+ * Therefore each proposal names the roll-out that its proposer saw last, and takes effect only if
+ * that is still the latest one. */
 bool
 roll_apply_start (RolloutTable *table, uint64_t index, const MsgRolloutStart *start)
 {
--- a/src/rollplan.c
+++ b/src/rollplan.c
@@ -106,8 +106,8 @@
   return input->servers > 0 && input->places >= CAPACITY_MIN * input->places_before;
 }
 
-/* Failure: the servers of the previous version fail some requests because of a fault of their own.
- * The failures of a bad target then look normal, and it would get all requests. While many answers
+/* If the servers of the previous version fail some requests because of a fault of their own, the
+ * failures of a bad target look normal, and it would get all requests. While many answers
  * of either version are bad, no comparison is possible, and nothing moves. */
 static bool
 appears_sound (const PlanInput *input)
--- a/src/state.c
+++ b/src/state.c
@@ -39,7 +39,7 @@
   GHashTable *refusals_by_id;      /* refusal id -> MsgRefusalRecord * */
   MsgVoters voters;
   MsgDocument document;
-  CrashTable *blame;
+  CrashTable *crashes;
   RolloutTable *rollouts;
 };
 
@@ -71,7 +71,7 @@
   memset (&state->voters, 0, sizeof state->voters);
   codec_clear (CODEC (MsgDocument), &state->document);
   memset (&state->document, 0, sizeof state->document);
-  crashes_restore (state->blame, &(MsgCrashTable){ 0 });
+  crashes_restore (state->crashes, &(MsgCrashTable){ 0 });
   roll_restore (state->rollouts, &(MsgRollouts){ 0 });
 }
 
@@ -87,7 +87,7 @@
   state->refusals_by_id = g_hash_table_new (g_str_hash, g_str_equal);
   g_queue_init (&state->ended_claims);
   g_queue_init (&state->refusals);
-  state->blame = crashes_new ();
+  state->crashes = crashes_new ();
   state->rollouts = roll_new ();
   return state;
 }
@@ -103,7 +103,7 @@
   g_hash_table_unref (state->leases);
   g_hash_table_unref (state->claims);
   g_hash_table_unref (state->refusals_by_id);
-  crashes_free (state->blame);
+  crashes_free (state->crashes);
   roll_free (state->rollouts);
   g_free (state);
 }
@@ -413,13 +413,13 @@
         store_refusal (state, &op->MsgOp_u.refusals.records.records_val[i]);
       break;
     case MSG_OP_CRASH:
-      crashes_add (state->blame, index, &op->MsgOp_u.ended);
+      crashes_add (state->crashes, index, &op->MsgOp_u.ended);
       break;
     case MSG_OP_CRASH_RETRACTED:
-      crashes_retract (state->blame, index, &op->MsgOp_u.survived);
+      crashes_retract (state->crashes, index, &op->MsgOp_u.survived);
       break;
     case MSG_OP_CLEARED:
-      crashes_clear (state->blame, index, &op->MsgOp_u.cleared);
+      crashes_clear (state->crashes, index, &op->MsgOp_u.cleared);
       break;
     case MSG_OP_ROLLOUT_START:
       roll_apply_start (state->rollouts, index, &op->MsgOp_u.rollout_start);
@@ -470,7 +470,7 @@
   out.voters.voters_len = state->voters.voters.voters_len;
   out.voters.voters_val = state->voters.voters.voters_val;
   out.document = state->document;
-  crashes_capture (state->blame, 0, &out.blame);
+  crashes_capture (state->crashes, 0, &out.blame);
   roll_capture (state->rollouts, &out.rollouts);
   GByteArray *bytes = codec_pack (CODEC (MsgState), &out);
   g_free (out.blame.suspects.suspects_val);
@@ -515,7 +515,7 @@
   state->voters.voters.voters_len = in->voters.voters_len;
   state->voters.voters.voters_val = in->voters.voters_val;
   state->document = in->document;
-  crashes_restore (state->blame, &in->blame);
+  crashes_restore (state->crashes, &in->blame);
   roll_restore (state->rollouts, &in->rollouts);
 }
 
@@ -629,9 +629,9 @@
 }
 
 const CrashTable *
-state_blame (const State *state)
+state_crashes (const State *state)
 {
-  return state->blame;
+  return state->crashes;
 }
 
 const RolloutTable *
--- a/src/state.h
+++ b/src/state.h
@@ -40,7 +40,7 @@
 /* The document with the highest number, borrowed; NULL: none yet. */
 const MsgDocument *state_document (const State *state);
 /* The contents that were running on servers that ended; borrowed. */
-const CrashTable *state_blame (const State *state);
+const CrashTable *state_crashes (const State *state);
 /* The ordered versions of servers; borrowed. */
 const RolloutTable *state_rollouts (const State *state);
 const MsgVoters *state_voters (const State *state);
--- a/src/susp.c
+++ b/src/susp.c
@@ -35,23 +35,23 @@
 }
 
 void
-susp_update_table (FtNode *node, const MsgCrashTable *blame)
+susp_update_table (FtNode *node, const MsgCrashTable *crashes)
 {
-  unsigned count = blame->suspects.suspects_len;
+  unsigned count = crashes->suspects.suspects_len;
   QuarRecord *records = g_new0 (QuarRecord, MAX (count, 1));
   uint32_t *servers = g_new0 (uint32_t, MAX (count, 1) * FT_SUSPECT_CRASHES_MAX);
 
   for (unsigned i = 0; i < count; i++)
     {
-      const MsgSuspect *from = &blame->suspects.suspects_val[i];
+      const MsgSuspect *from = &crashes->suspects.suspects_val[i];
       uint32_t *digests = servers + (size_t) i * FT_SUSPECT_CRASHES_MAX;
       for (unsigned j = 0; j < from->latest.latest_len; j++)
         digests[j] = quar_server_digest (from->latest.latest_val[j].server);
       records[i] = (QuarRecord){ from->content, from->ends, digests, from->latest.latest_len };
     }
-  if (quar_update_table (node->quar, blame->index, records, count))
+  if (quar_update_table (node->quar, crashes->index, records, count))
     {
-      node->blame_index = blame->index;
+      node->blame_index = crashes->index;
       propose_recently_answered (node);
     }
   g_free (servers);
--- a/test/blame.c
+++ b/test/blame.c
@@ -161,8 +161,8 @@
   state_apply (later, 2, &op, &verdict);
   GByteArray *one = state_capture (state), *other = state_capture (later);
   g_assert_cmpmem (one->data, one->len, other->data, other->len);
-  g_assert_cmpuint (ends_of (state_blame (later), INNOCENT), ==, 2);
-  g_assert_cmpuint (crashes_index (state_blame (later)), ==, 2);
+  g_assert_cmpuint (ends_of (state_crashes (later), INNOCENT), ==, 2);
+  g_assert_cmpuint (crashes_index (state_crashes (later)), ==, 2);
   g_byte_array_unref (one);
   g_byte_array_unref (other);
   g_byte_array_unref (bytes);
@@ -188,7 +188,7 @@
   g_byte_array_set_size (bytes, bytes->len - 24); /* what the older program did not write */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_OK);
   g_assert_cmpuint (state_document (later)->number, ==, 3);
-  g_assert_cmpuint (crashes_count (state_blame (later), &held), ==, 0);
+  g_assert_cmpuint (crashes_count (state_crashes (later), &held), ==, 0);
   g_byte_array_set_size (bytes, bytes->len - 8); /* cut in the middle of the document */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_CORRUPT);
   g_byte_array_unref (bytes);
--- a/test/handover.c
+++ b/test/handover.c
@@ -396,7 +396,7 @@
 {
   const Inst *inst = &insts[end->near];
 
-  end->peer.heard = loop.clock.now;
+  end->peer.received_at = loop.clock.now;
   if (inst->place == NULL)
     {
       broker_message (inst->broker, &end->peer, msg);
@@ -467,7 +467,7 @@
 {
   end->down = end->other->down = false;
   broker_link_up (insts[end->near].broker, &end->peer);
-  end->other->peer.heard = loop.clock.now;
+  end->other->peer.received_at = loop.clock.now;
   send_view (end->near, end, end->near == proved);
 }
 
@@ -542,7 +542,7 @@
                            .lifetime = to + 1,
                            .role = to < entries ? MESH_ENTRY : MESH_VOTER,
                            .dialled = true,
-                           .heard = loop.clock.now };
+                           .received_at = loop.clock.now };
   far->peer = (MeshPeer){ .ip = from + 1, .lifetime = from + 1, .role = MESH_ENTRY };
   g_ptr_array_add (insts[from].links, near);
   g_ptr_array_add (insts[to].links, far);
--- a/test/peer.h
+++ b/test/peer.h
@@ -71,7 +71,7 @@
   out.far = pair[1];
   out.got = g_byte_array_new ();
   out.peer.sock = sock_accepted (loop, pair[0], (SockAddr){ 0 }, &ops, NULL);
-  out.peer.heard = loop_now (loop);
+  out.peer.received_at = loop_now (loop);
   return out;
 }
 
--- a/test/place.c
+++ b/test/place.c
@@ -149,7 +149,7 @@
 {
   MeshView view = { .term = term, .leader = one->peer.ip, .proved = true, .entries = 1 };
 
-  one->peer.heard = loop_now (loop);
+  one->peer.received_at = loop_now (loop);
   place_apply_view (place, &one->peer, &view);
 }
 
--- a/test/rollout.c
+++ b/test/rollout.c
@@ -124,7 +124,7 @@
   GByteArray *bytes = state_capture (state);
   g_byte_array_set_size (bytes, bytes->len - 12); /* what the older program did not write */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_OK);
-  g_assert_nonnull (crashes_find (state_blame (later), content));
+  g_assert_nonnull (crashes_find (state_crashes (later), content));
   g_assert_cmpuint (roll_index (state_rollouts (later)), ==, 0);
   g_byte_array_set_size (bytes, bytes->len - 4); /* cut in the middle of what it did write */
   g_assert_cmpint (state_restore (later, bytes->data, bytes->len), ==, FT_CORRUPT);
