--- a/test/handover.c
+++ b/test/handover.c
@@ -402,7 +402,7 @@
 {
   const Instance *inst = &instances[end->near];
 
-  end->peer.heard = loop.clock.now;
+  end->peer.received_at = loop.clock.now;
   if (inst->place == NULL)
     {
       broker_message (inst->broker, &end->peer, msg);
@@ -473,7 +473,7 @@
 {
   end->down = end->other->down = false;
   broker_link_up (instances[end->near].broker, &end->peer);
-  end->other->peer.heard = loop.clock.now;
+  end->other->peer.received_at = loop.clock.now;
   send_view (end->near, end, end->near == leader);
 }
 
@@ -548,7 +548,7 @@
                            .lifetime = to + 1,
                            .role = to < entries ? MESH_ENTRY : MESH_VOTER,
                            .dialled = true,
-                           .heard = loop.clock.now };
+                           .received_at = loop.clock.now };
   far->peer = (MeshPeer){ .ip = from + 1, .lifetime = from + 1, .role = MESH_ENTRY };
   g_ptr_array_add (instances[from].links, near);
   g_ptr_array_add (instances[to].links, far);
--- a/test/peer.h
+++ b/test/peer.h
@@ -73,7 +73,7 @@
   out.remote_fd = pair[1];
   out.received = g_byte_array_new ();
   out.peer.sock = sock_accepted (loop, pair[0], (SockAddr){ 0 }, &ops, NULL);
-  out.peer.heard = loop_now (loop);
+  out.peer.received_at = loop_now (loop);
   return out;
 }
 
