--- a/src/pool.c
+++ b/src/pool.c
@@ -1,43 +1,49 @@
 /* pool.c - the scheduler of one pool: which request runs next and where, and which is refused.
  *
- * Tiers: waiting requests of a higher tier are granted before those of a lower one. A request is
- * refused for shortage only if it cannot start in time even after all running streams of lower
- * tiers were paused for it, one by one. (Their engines resume them later at the same offset, as
- * part of the same dispatch.) So at each refusal of tier t for shortage, no stream below t runs on
- * a usable server. Lower requests may go on waiting: they occupy nothing that tier t could use, and
- * are granted only when no request above them waits. docs/DESIGN.md has measurements of refusing
- * them too. If the queue is limited, its places go to higher tiers first. The scheduler never
- * aborts a request that has started: a paused stream ends late, but complete.
+ * A grant tells the entry of a request to dispatch it to a given server.
  *
- * Within a tier, organisations share by start-time fair queueing (Goyal, Vin, Cheng 1996). The unit
- * is expected work in milliseconds of one stream's place, corrected to the actual work at the end.
+ * Tiers: tier 1 is the highest. Waiting requests of a higher tier are granted before those of a
+ * lower one. A request is refused for shortage only if it cannot start in time even with every
+ * running stream of the lower tiers paused; streams are paused one at a time, as needed. (The
+ * engine resumes a paused stream at the same offset; it is not dispatched again.) So whenever a
+ * request of tier t is refused for shortage, no stream of a lower tier runs on a usable server.
+ * Requests of lower tiers may keep waiting: they use no capacity, and are granted only when no
+ * request of a higher tier waits. docs/DESIGN.md has measurements of the alternative, refusing
+ * these as well. If the queue length is limited, higher tiers take precedence in the queue. The
+ * scheduler never aborts a request that has started: a paused stream ends later, but complete.
+ *
+ * Within a tier, organisations share by start-time fair queueing (Goyal, Vin, Cheng 1996). Work
+ * is measured in milliseconds of one stream slot. An organisation is charged the expected work of a
+ * request at its grant; the charge is corrected to the actual work when the request ends.
  *
  * Early refusal: when a request arrives, its wait is estimated from the work queued ahead of it and
- * the places of usable servers. If it cannot start in time, it is refused at once, with the time
- * after which the queue should be short enough as Retry-After.
+ * the stream slots of usable servers. If it cannot start in time, it is refused at once, and
+ * Retry-After gives the time after which the queue should be short enough.
  */
 #include "org.h"
 #include "srv.h"
 
 #include <string.h>
 
-/* cost of prefill per ms, since it delays every stream of its server */
-#define PREFILL_WEIGHT 4.0
-/* for messages, the connect and one engine step */
+/* work charged per ms of prefill: above 1, because prefill delays every stream of the server */
+#define PREFILL_COST_FACTOR 4.0
+/* time allowed for messages, the connect and one engine step */
 #define START_MARGIN (150 * FT_MS)
 /* an earlier retry would meet the same queue */
 #define RETRY_MIN_MS 1000
 #define RETRY_MAX_MS 60000
-/* of the expected time on an idle server; the deadline must allow at least this */
-#define WORK_SHARE_MIN 0.5
-/* prefill that occupies a server for half the target of the first token */
+/* a request is refused if its deadline allows less than this fraction of its expected time on an
+ * idle server */
+#define DEADLINE_FRACTION_MIN 0.5
+/* a prompt with a longer prefill is long; half of a typical first-token target */
 #define LONG_PROMPT_MS 1000.0
-/* of usable servers, kept free of long prompts; 0.1 helps half as much, 0.33 costs goodput */
-#define SPARE_SHARE 0.2
-/* how long servers are kept free after the last request of a higher tier */
-#define SPARE_DURATION (5 * FT_SECOND)
-/* shorter gaps reflect the batching of messages, not the engine */
-#define SAMPLE_MIN (40 * FT_MS)
+/* fraction of the usable servers that is kept free of long prompts; 0.1 has half the effect, 0.33
+ * reduces goodput */
+#define SPARE_SERVERS_FRACTION 0.2
+/* how long they are kept free after the latest arrival of a request of a higher tier */
+#define SPARE_AFTER_ARRIVAL (5 * FT_SECOND)
+/* shorter intervals between progress messages measure their batching, not the engine */
+#define GAP_SAMPLE_MIN (40 * FT_MS)
 
 typedef enum
 {
@@ -62,11 +68,12 @@
   unsigned tier;
   Org *org;
   char *class_name;
-  unsigned prompt, tokens;
-  double expected;   /* length of the answer, tokens */
-  double charged;    /* work charged to the organisation, ms */
-  double prefill;    /* prompt tokens to compute; 0 after the first token */
-  double work_ahead; /* prompt tokens to compute on the server at the grant, its own included */
+  unsigned prompt_tokens;
+  unsigned answer_tokens; /* produced so far */
+  double expected_tokens; /* expected length of the answer */
+  double charged_work;    /* work charged to the organisation, ms */
+  double prefill_tokens;  /* prompt tokens to compute; 0 after the first token */
+  double queued_prefill;  /* prompt tokens to compute on the server at the grant, with this job's */
   int64_t arrived_at, first_token_due, deadline, granted_at, last_progress, latest_start;
   Srv *srv;
   unsigned block_count;
@@ -75,11 +82,13 @@
 
 typedef struct
 {
-  FtHeap active; /* OrgQueues with waiting requests, by finish */
-  double virtual_time, work, weight;
+  FtHeap active; /* OrgQueues with waiting requests, by virtual start time of the next one */
+  double virtual_time;
+  double work;   /* of the waiting requests, ms */
+  double weight; /* sum over the organisations with waiting requests */
   unsigned waiting, running, paused;
   int64_t last_arrival;          /* arrival of the last request of this tier */
-  struct cds_list_head run_list; /* Job.tier_link, newest first */
+  struct cds_list_head run_list; /* Job.tier_link, most recently started or resumed first */
 } Tier;
 
 struct FtPool
@@ -93,8 +102,9 @@
   GHashTable *orgs; /* name -> Org */
   FtHeap expiry;
   Tier tiers[FT_TIERS + 1];
-  bool held; /* nothing is granted, paused or expired */
-  uint64_t decisions, violations;
+  /* while a new scheduler collects running requests: nothing is granted, paused or expired */
+  bool held;
+  uint64_t decisions, tier_violations;
 };
 
 static guint
@@ -178,8 +188,8 @@
       ft_heap_push (&tier->active, &queue->heap, queue->finish);
       tier->weight += job->org->weight;
     }
-  queue->work += job->charged;
-  tier->work += job->charged;
+  queue->work += job->charged_work;
+  tier->work += job->charged_work;
   tier->waiting++;
   ft_heap_push (&pool->expiry, &job->expiry, (double) job->latest_start);
 }
@@ -191,8 +201,8 @@
   OrgQueue *queue = &job->org->queue[job->tier];
 
   cds_list_del (&job->link);
-  queue->work -= job->charged;
-  tier->work -= job->charged;
+  queue->work -= job->charged_work;
+  tier->work -= job->charged_work;
   tier->waiting--;
   if (--queue->count == 0)
     {
@@ -220,7 +230,7 @@
   OrgQueue *queue = &job->org->queue[job->tier];
 
   tier->virtual_time = MAX (tier->virtual_time, queue->finish);
-  queue->finish += job->charged / job->org->weight;
+  queue->finish += job->charged_work / job->org->weight;
   if (queue->count == 0)
     return;
   ft_heap_remove (&tier->active, &queue->heap);
@@ -245,9 +255,9 @@
   job->state = JOB_RUNNING;
   job->srv = srv;
   job->granted_at = job->last_progress = now;
-  job->prefill = MAX (0, job->prompt - cached);
-  job->work_ahead = srv->backlog + job->prefill;
-  srv_stream_started (&pool->servers, srv, job->prefill, now);
+  job->prefill_tokens = MAX (0, job->prompt_tokens - cached);
+  job->queued_prefill = srv->backlog + job->prefill_tokens;
+  srv_stream_started (&pool->servers, srv, job->prefill_tokens, now);
   if (pool->servers.prefix && job->block_count)
     ft_prefix_add (pool->servers.prefix, srv->index, job->blocks, job->block_count);
   cds_list_add (&job->tier_link, &tier->run_list);
@@ -257,19 +267,19 @@
 static void
 stop_running (FtPool *pool, Job *job)
 {
-  srv_stream_ended (&pool->servers, job->srv, job->prefill);
+  srv_stream_ended (&pool->servers, job->srv, job->prefill_tokens);
   cds_list_del (&job->tier_link);
   pool->tiers[job->tier].running--;
 }
 
-/* The two tier rules, checked on every decision from counts that the decision itself does not use.
- * The benchmark and an alarm for operators use the result. */
+/* Checks the two tier rules at the top of this file on every grant and every refusal for shortage.
+ * Violations are counted for the benchmark and for an operator alarm. */
 static void
 audit_grant (FtPool *pool, unsigned tier)
 {
   for (unsigned t = 1; t < tier; t++)
     if (pool->tiers[t].waiting)
-      pool->violations++;
+      pool->tier_violations++;
 }
 
 static void
@@ -283,7 +293,7 @@
       cds_list_for_each_entry (job, &pool->tiers[t].run_list,
                                tier_link) if (srv_is_usable (job->srv))
       {
-        pool->violations++;
+        pool->tier_violations++;
         break;
       }
     }
@@ -331,13 +341,13 @@
 
   unlink_paused (pool, job);
   /* The engine's prefix cache usually still has the prompt, so no prefill is counted. */
-  start_running (pool, job, job->srv, job->prompt, now);
+  start_running (pool, job, job->srv, job->prompt_tokens, now);
   pool->decisions++;
   pool->ops->resume (pool->host, &out);
 }
 
 static Job *
-first_paused (Srv *srv, unsigned tier)
+first_paused_at_or_above (Srv *srv, unsigned tier)
 {
   Job *job;
 
@@ -355,7 +365,7 @@
       Srv *srv = pool->servers.all->pdata[i];
       /* A leaving or unresponsive server may still finish its paused streams. */
       bool room = srv->in_heap || (!srv_is_usable (srv) && srv->running < srv->window);
-      Job *job = srv->paused_count && room ? first_paused (srv, tier) : NULL;
+      Job *job = srv->paused_count && room ? first_paused_at_or_above (srv, tier) : NULL;
       if (job)
         {
           resume_job (pool, job, now);
@@ -365,24 +375,27 @@
   return false;
 }
 
-/* If long prompts of lower tiers occupied all servers at once, a short request of the first tier
- * would wait for seconds behind one, or a stream would be paused needlessly. So a long prompt waits
- * while only a fifth of the servers has room, but no longer than until its latest start. */
+/* If long prompts of lower tiers occupied all servers, a short request of a higher tier would wait
+ * seconds for a prefill to end, or a stream would have to be paused. So a long prompt waits while
+ * at most SPARE_SERVERS_FRACTION of the usable servers have room, until its latest start at most.
+ */
 static bool
-must_keep_spare (const FtPool *pool, const Job *job, int64_t now)
+must_defer_long_prompt (const FtPool *pool, const Job *job, int64_t now)
 {
-  bool expected = false; /* a higher tier is active, for which servers are kept free */
+  bool higher_tier_active = false; /* a request of a higher tier arrived recently */
 
   for (unsigned t = 1; t < job->tier; t++)
-    expected |= pool->tiers[t].last_arrival && now - pool->tiers[t].last_arrival < SPARE_DURATION;
-  if (pool->conf.service || !expected)
+    higher_tier_active
+        |= pool->tiers[t].last_arrival && now - pool->tiers[t].last_arrival < SPARE_AFTER_ARRIVAL;
+  if (pool->conf.service || !higher_tier_active)
     return false;
-  double ms = job->prompt / srv_mean_rate (&pool->servers);
+  double ms = job->prompt_tokens / srv_mean_rate (&pool->servers);
   return ms > LONG_PROMPT_MS && pool->servers.available_count > 0
-         && pool->servers.available_count <= pool->servers.usable * SPARE_SHARE;
+         && pool->servers.available_count <= pool->servers.usable * SPARE_SERVERS_FRACTION;
 }
 
-/* Grants and resumes until no server has room or no request waits. */
+/* Grants waiting requests and resumes paused streams, highest tier first, until no server has room,
+ * nothing is left, or the next request must wait. */
 static void
 grant_waiting (FtPool *pool, int64_t now)
 {
@@ -400,13 +413,13 @@
               continue;
             break;
           }
-        if (must_keep_spare (pool, job, now))
+        if (must_defer_long_prompt (pool, job, now))
           return;
-        Srv *srv = srv_choose (&pool->servers, job->prompt, job->expected, job->blocks,
-                               job->block_count, &cached);
+        Srv *srv = srv_choose (&pool->servers, job->prompt_tokens, job->expected_tokens,
+                               job->blocks, job->block_count, &cached);
         if (srv == NULL)
           return; /* a lower tier must not overtake a waiting higher one */
-        Job *paused = srv->paused_count ? first_paused (srv, t) : NULL;
+        Job *paused = srv->paused_count ? first_paused_at_or_above (srv, t) : NULL;
         if (paused)
           resume_job (pool, paused, now);
         else
@@ -428,8 +441,10 @@
     return G_MAXINT64;
   for (unsigned t = 1; t < job->tier; t++)
     ahead += pool->tiers[t].work;
+  /* the work that the tier does under fair queueing until the queue of this organisation is empty
+   */
   double fair = queue->work * (tier->weight / job->org->weight);
-  ahead += MIN (tier->work, fair) - job->charged;
+  ahead += MIN (tier->work, fair) - job->charged_work;
   return (int64_t) (MAX (0, ahead) / slots * FT_MS);
 }
 
@@ -447,7 +462,7 @@
   int64_t wait = estimate_wait (pool, job), slack = MAX (0, job->latest_start - now);
 
   if (wait == G_MAXINT64)
-    return 5 * RETRY_MIN_MS;
+    return 5 * RETRY_MIN_MS; /* no server is usable, so there is no estimate */
   return CLAMP ((wait - slack) / FT_MS, RETRY_MIN_MS, RETRY_MAX_MS);
 }
 
@@ -465,7 +480,8 @@
 static void
 refuse_waiting (FtPool *pool, Job *job, FtReason reason, int64_t retry_ms, const char *rule)
 {
-  /* The analyzer does not see that dequeue removes the job from the list that callers iterate. */
+  /* A false positive: the analyzer does not see that dequeue removes the job from the list that
+   * the caller iterates. */
   JobKey key = job->key; // NOLINT(clang-analyzer-unix.Malloc)
   unsigned tier = job->tier;
 
@@ -473,13 +489,14 @@
   if (ft_reason_info (reason)->shortage)
     audit_shortage (pool, tier);
   if (job->org->limits.tokens_per_minute) /* it did not run: refund the charge */
-    org_charge_tokens (job->org, -(job->prompt + job->expected));
+    org_charge_tokens (job->org, -(job->prompt_tokens + job->expected_tokens));
   remove_job (pool, job);
   send_refusal (pool, &key, tier, reason, retry_ms, rule);
 }
 
-/* The running stream to pause for a request of tier: on a usable server, in the lowest tier below,
- * the newest with a first token, else the newest. */
+/* Chooses the running stream to pause for a request of this tier. Only streams of lower tiers on
+ * usable servers qualify. Takes the lowest such tier, and in it the most recently started stream
+ * that has produced a token, else the most recently started one. */
 static Job *
 find_victim (FtPool *pool, unsigned tier)
 {
@@ -487,18 +504,18 @@
     return NULL;
   for (unsigned t = FT_TIERS; t > tier; t--)
     {
-      Job *job, *fresh = NULL;
+      Job *job, *newest_without_token = NULL;
       cds_list_for_each_entry (job, &pool->tiers[t].run_list, tier_link)
       {
         if (!srv_is_usable (job->srv))
           continue;
-        if (job->tokens > 0)
+        if (job->answer_tokens > 0)
           return job;
-        if (fresh == NULL)
-          fresh = job;
+        if (newest_without_token == NULL)
+          newest_without_token = job;
       }
-      if (fresh)
-        return fresh;
+      if (newest_without_token)
+        return newest_without_token;
     }
   return NULL;
 }
@@ -512,12 +529,14 @@
   return NULL;
 }
 
-/* A place for a request that cannot wait for a server with little queued prefill: any free place,
- * else one freed by pausing a stream below tier. NULL if there is none. */
+/* Finds a free slot for a request that must start now, even on a server with much queued prefill.
+ * If there is none, pauses a stream of a tier lower than tier. NULL if neither is possible. */
 static Srv *
-find_place (FtPool *pool, unsigned tier, const Job *job)
+find_slot (FtPool *pool, unsigned tier, const Job *job)
 {
-  Srv *srv = pool->held ? NULL : srv_choose_urgent (&pool->servers, job->prompt, job->expected);
+  Srv *srv = pool->held
+                 ? NULL
+                 : srv_choose_urgent (&pool->servers, job->prompt_tokens, job->expected_tokens);
   Job *victim = srv ? NULL : find_victim (pool, tier);
 
   if (victim == NULL)
@@ -527,10 +546,11 @@
   return srv;
 }
 
-/* Handles a waiting request that cannot start in time: pauses streams of lower tiers for waiting
- * requests, highest tier first, and refuses the request only if that is not enough. */
+/* Handles a waiting request that cannot start in time: pauses streams of lower tiers and
+ * grants waiting requests, those of the highest tier first, until this one is granted or would
+ * start in time. Refuses it if that is not enough. */
 static void
-handle_shortage (FtPool *pool, Job *job, FtReason reason, bool expired, int64_t now)
+handle_shortage (FtPool *pool, Job *job, FtReason reason, bool start_overdue, int64_t now)
 {
   char rule[128];
   unsigned tier = job->tier;
@@ -538,7 +558,7 @@
   for (;;)
     {
       Job *head = first_waiting (pool);
-      Srv *srv = find_place (pool, tier, head);
+      Srv *srv = find_slot (pool, tier, head);
       double cached = 0;
 
       if (srv == NULL)
@@ -547,14 +567,14 @@
         cached = ft_prefix_match (pool->servers.prefix, srv->index, head->blocks, head->block_count)
                  * FT_BLOCK_TOKENS;
       grant (pool, head, srv, cached, now);
-      if (head == job || (!expired && starts_in_time (pool, job, now)))
+      if (head == job || (!start_overdue && starts_in_time (pool, job, now)))
         return;
     }
   if (pool->servers.usable == 0)
     g_snprintf (rule, sizeof rule, "none of %u backend servers is usable", pool->servers.all->len);
   else
-    g_snprintf (rule, sizeof rule, "tier %u: %u waiting, %.0f places, estimated wait %.1f s", tier,
-                pool->tiers[tier].waiting, pool->servers.slots,
+    g_snprintf (rule, sizeof rule, "tier %u: %u waiting, %.0f stream slots, estimated wait %.1f s",
+                tier, pool->tiers[tier].waiting, pool->servers.slots,
                 (double) estimate_wait (pool, job) / FT_SECOND);
   if (pool->servers.usable == 0)
     reason = FT_REASON_NO_SERVER;
@@ -600,43 +620,43 @@
   job->tier = CLAMP (req->tier, 1, FT_TIERS);
   job->org = org;
   job->class_name = g_strdup (req->class_name);
-  job->prompt = req->prompt_tokens;
-  job->expected = pool->conf.service ? 1 : org_expected_tokens (org, req->class_name);
+  job->prompt_tokens = req->prompt_tokens;
+  job->expected_tokens = pool->conf.service ? 1 : org_expected_tokens (org, req->class_name);
   if (req->most_tokens)
-    job->expected = MIN (job->expected, req->most_tokens);
+    job->expected_tokens = MIN (job->expected_tokens, req->most_tokens);
   job->arrived_at = now;
   job->first_token_due = now + req->first_token_in_us;
   job->deadline = now + req->deadline_in_us;
   job->block_count = blocks;
   if (blocks)
     memcpy (job->blocks, req->blocks, blocks * sizeof (uint64_t));
-  double prefill_ms = job->prompt / srv_mean_rate (&pool->servers);
-  double answer_ms = job->expected * srv_mean_gap_ms (&pool->servers);
-  job->charged = pool->conf.service ? 1 : answer_ms + PREFILL_WEIGHT * prefill_ms;
+  double prefill_ms = job->prompt_tokens / srv_mean_rate (&pool->servers);
+  double answer_ms = job->expected_tokens * srv_mean_gap_ms (&pool->servers);
+  job->charged_work = pool->conf.service ? 1 : answer_ms + PREFILL_COST_FACTOR * prefill_ms;
   if (pool->conf.service)
     prefill_ms = answer_ms = 0;
-  int64_t to_first = (int64_t) (prefill_ms * FT_MS) + START_MARGIN;
-  int64_t to_end = (int64_t) ((prefill_ms + answer_ms) * FT_MS) + START_MARGIN;
-  job->latest_start = MIN (job->first_token_due - to_first, job->deadline - to_end);
-  /* The prefill of a long prompt may exceed the first-token target by itself, and the request would
-   * be refused for shortage on an idle pool. Then only the deadline of the complete answer counts.
-   */
+  int64_t time_to_first_token = (int64_t) (prefill_ms * FT_MS) + START_MARGIN;
+  int64_t time_to_end = (int64_t) ((prefill_ms + answer_ms) * FT_MS) + START_MARGIN;
+  job->latest_start = MIN (job->first_token_due - time_to_first_token, job->deadline - time_to_end);
+  /* The prefill of a long prompt alone may take longer than the first-token target allows. Such a
+   * request would be refused even by an idle pool, so the target is ignored: it must start within
+   * START_MARGIN and meet the deadline of the complete answer. */
   if (job->latest_start < now)
-    job->latest_start = MIN (now + START_MARGIN, job->deadline - to_end);
+    job->latest_start = MIN (now + START_MARGIN, job->deadline - time_to_end);
   return job;
 }
 
-/* True if it would miss its deadline by far even alone on a server: the caller's deadline is too
- * short. */
+/* True if even on an idle server the request would need far longer than its deadline allows. */
 static bool
 cannot_meet_deadline (const FtPool *pool, const Job *job, int64_t now)
 {
   if (pool->conf.service)
     return false;
-  double prefill_ms = job->prompt / srv_mean_rate (&pool->servers);
-  double answer_ms = job->expected * srv_mean_gap_ms (&pool->servers) * WORK_SHARE_MIN;
+  double prefill_ms = job->prompt_tokens / srv_mean_rate (&pool->servers);
+  double answer_ms
+      = job->expected_tokens * srv_mean_gap_ms (&pool->servers) * DEADLINE_FRACTION_MIN;
 
-  return now + (int64_t) ((prefill_ms * WORK_SHARE_MIN + answer_ms) * FT_MS) > job->deadline;
+  return now + (int64_t) ((prefill_ms * DEADLINE_FRACTION_MIN + answer_ms) * FT_MS) > job->deadline;
 }
 
 static void
@@ -659,8 +679,9 @@
   return sum;
 }
 
-/* While the queue exceeds its limit, pauses a lower running stream to grant the first waiting
- * request, or else refuses the last request of the lowest tier. */
+/* While the queue is too long, pauses a running stream of a tier lower than all waiting ones and
+ * grants the first waiting request. Without such a stream, refuses the last request of the lowest
+ * waiting tier. */
 static void
 enforce_queue_limit (FtPool *pool, const JobKey *newest, int64_t now)
 {
@@ -678,10 +699,9 @@
           continue;
         }
       last = cds_list_entry (last->org->queue[t].waiting.prev, Job, link);
-      bool own = job_equal (&last->key, newest);
-      refuse_waiting (pool, last, own ? FT_REASON_QUEUE_FULL : FT_REASON_SHED_FOR_HIGHER_TIER,
-                      retry_after_ms (pool, last, now),
-                      "the catalogue's limit of waiting requests");
+      bool is_newest = job_equal (&last->key, newest);
+      refuse_waiting (pool, last, is_newest ? FT_REASON_QUEUE_FULL : FT_REASON_SHED_FOR_HIGHER_TIER,
+                      retry_after_ms (pool, last, now), "the pool's limit of waiting requests");
     }
 }
 
@@ -693,18 +713,20 @@
   char rule[128] = "";
 
   if (g_hash_table_contains (pool->jobs, &key))
-    return FT_CONFLICT; /* sent again after a lost message: the first submission stands */
+    return FT_CONFLICT; /* sent again after a lost message: the first submission is kept */
   Org *org = find_org (pool, req, now);
   Job *job = make_job (pool, req, org, now);
   if (cannot_meet_deadline (pool, job, now))
     {
-      g_snprintf (rule, sizeof rule,
-                  "%u prompt tokens and about %.0f answer tokens do not fit before the deadline",
-                  job->prompt, job->expected);
+      g_snprintf (
+          rule, sizeof rule,
+          "%u prompt tokens and about %.0f answer tokens cannot be processed before the deadline",
+          job->prompt_tokens, job->expected_tokens);
       refuse_new (pool, job, FT_REASON_DEADLINE_TOO_SHORT, 0, rule);
       return FT_OK;
     }
-  FtReason reason = org_admit (org, job->prompt + job->expected, now, &wait_ms, rule, sizeof rule);
+  FtReason reason = org_admit (org, job->prompt_tokens + job->expected_tokens, now, &wait_ms, rule,
+                               sizeof rule);
   if (reason != FT_REASON_NONE)
     {
       refuse_new (pool, job, reason, wait_ms, rule);
@@ -746,8 +768,8 @@
   Job *job = make_job (pool, req, org, now);
   g_hash_table_insert (pool->jobs, &job->key, job);
   org->active++;
-  start_running (pool, job, srv, tokens ? job->prompt : 0, now);
-  job->tokens = tokens;
+  start_running (pool, job, srv, tokens ? job->prompt_tokens : 0, now);
+  job->answer_tokens = tokens;
   if (paused)
     {
       stop_running (pool, job);
@@ -768,48 +790,50 @@
   JobKey key = { entry, request };
   Job *job = g_hash_table_lookup (pool->jobs, &key);
 
-  if (job == NULL || job->state != JOB_RUNNING || tokens <= job->tokens)
+  if (job == NULL || job->state != JOB_RUNNING || tokens <= job->answer_tokens)
     return;
-  if (job->tokens == 0)
+  if (job->answer_tokens == 0)
     {
-      srv_first_token (&pool->servers, job->srv, job->prefill, job->work_ahead,
+      srv_first_token (&pool->servers, job->srv, job->prefill_tokens, job->queued_prefill,
                        (double) (now - job->granted_at) / FT_MS, now);
-      job->prefill = 0;
-      job->tokens = tokens;
+      job->prefill_tokens = 0;
+      job->answer_tokens = tokens;
       job->last_progress = now;
     }
-  else if (now - job->last_progress >= SAMPLE_MIN)
+  else if (now - job->last_progress >= GAP_SAMPLE_MIN)
     {
       srv_gap_sample (&pool->servers, job->srv, (double) (now - job->last_progress) / FT_MS,
-                      tokens - job->tokens, now);
-      job->tokens = tokens;
+                      tokens - job->answer_tokens, now);
+      job->answer_tokens = tokens;
       job->last_progress = now;
     }
   grant_waiting (pool, now);
 }
 
 static void
-correct_charge (FtPool *pool, Job *job, FtOutcome how, unsigned tokens)
+correct_charge (FtPool *pool, Job *job, FtOutcome outcome, unsigned tokens)
 {
   OrgQueue *queue = &job->org->queue[job->tier];
 
-  org_charge_tokens (job->org, (double) tokens - job->expected);
+  org_charge_tokens (job->org, (double) tokens - job->expected_tokens);
   if (pool->conf.service)
     return;
-  double true_work = job->charged + (tokens - job->expected) * srv_mean_gap_ms (&pool->servers);
-  queue->finish += (MAX (0, true_work) - job->charged) / job->org->weight;
+  double true_work
+      = job->charged_work + (tokens - job->expected_tokens) * srv_mean_gap_ms (&pool->servers);
+  queue->finish += (MAX (0, true_work) - job->charged_work) / job->org->weight;
   if (queue->count)
     {
       Tier *tier = &pool->tiers[job->tier];
       ft_heap_remove (&tier->active, &queue->heap);
       ft_heap_push (&tier->active, &queue->heap, queue->finish);
     }
-  if (how == FT_OUTCOME_COMPLETE)
+  if (outcome == FT_OUTCOME_COMPLETE)
     org_record_answer (job->org, job->class_name, tokens);
 }
 
 void
-ft_pool_end_request (FtPool *pool, uint32_t entry, uint64_t request, FtOutcome how, unsigned tokens)
+ft_pool_end_request (FtPool *pool, uint32_t entry, uint64_t request, FtOutcome outcome,
+                     unsigned tokens)
 {
   int64_t now = ft_clock_now (pool->clock);
   JobKey key = { entry, request };
@@ -824,8 +848,8 @@
   else
     {
       stop_running (pool, job);
-      correct_charge (pool, job, how, tokens);
-      if (how == FT_OUTCOME_NOT_CONNECTED)
+      correct_charge (pool, job, outcome, tokens);
+      if (outcome == FT_OUTCOME_NOT_CONNECTED)
         {
           job->srv->unresponsive = true;
           job->srv->probe_at = now + job->srv->probe_wait;
@@ -841,15 +865,16 @@
 {
   GHashTableIter iter;
   void *data;
-  GArray *gone = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  GArray *requests = g_array_new (FALSE, FALSE, sizeof (uint64_t));
 
   g_hash_table_iter_init (&iter, pool->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &data))
     if (((Job *) data)->key.entry == entry)
-      g_array_append_val (gone, ((Job *) data)->key.request);
-  for (unsigned i = 0; i < gone->len; i++)
-    ft_pool_end_request (pool, entry, g_array_index (gone, uint64_t, i), FT_OUTCOME_CANCELLED, 0);
-  g_array_unref (gone);
+      g_array_append_val (requests, ((Job *) data)->key.request);
+  for (unsigned i = 0; i < requests->len; i++)
+    ft_pool_end_request (pool, entry, g_array_index (requests, uint64_t, i), FT_OUTCOME_CANCELLED,
+                         0);
+  g_array_unref (requests);
 }
 
 /* ---- Servers and time ---- */
@@ -870,9 +895,9 @@
 {
   Srv *srv = srv_find (&pool->servers, name);
 
-  /* Reports are too old to decide whether a server has room. They are used for one case only: an
-   * unresponsive server that reports nothing running or waiting has lost our streams and may be
-   * probed at once. */
+  /* Load reports arrive too late to decide whether a server has room. They are used only for an
+   * unresponsive server: if it reports nothing running or waiting, it no longer runs our streams,
+   * and its next probe is moved forward. */
   if (srv && srv->unresponsive && running == 0 && waiting == 0 && age < 3 * FT_SECOND)
     srv->probe_at = MIN (srv->probe_at, ft_clock_now (pool->clock) + age);
 }
@@ -910,7 +935,7 @@
       {
         Job *newest = cds_list_entry (org->queue[t].waiting.prev, Job, link);
         refuse_waiting (pool, newest, FT_REASON_LIMIT_CONCURRENT, RETRY_MIN_MS,
-                        "the catalogue's limit of concurrent requests was lowered");
+                        "the organisation's limit of concurrent requests was lowered");
       }
 }
 
@@ -946,7 +971,7 @@
   stats->usable = pool->servers.usable;
   stats->window = pool->servers.slots;
   stats->decisions = pool->decisions;
-  stats->tier_violations = pool->violations;
+  stats->tier_violations = pool->tier_violations;
   stats->bytes = sizeof *pool + g_hash_table_size (pool->jobs) * (sizeof (Job) + 48)
                  + g_hash_table_size (pool->orgs) * (sizeof (Org) + 160)
                  + pool->servers.all->len * (sizeof (Srv) + 64);
--- a/src/rlog.c
+++ b/src/rlog.c
@@ -63,11 +63,11 @@
 }
 
 void
-rlog_truncate (Rlog *log, uint64_t from)
+rlog_truncate (Rlog *log, uint64_t first)
 {
-  if (from <= rlog_last (log))
-    g_ptr_array_set_size (log->entries, (int) (from - log->base - 1));
-  while (log->configs->len > 1 && rlog_config (log)->index >= from)
+  if (first <= rlog_last (log))
+    g_ptr_array_set_size (log->entries, (int) (first - log->base - 1));
+  while (log->configs->len > 1 && rlog_config (log)->index >= first)
     g_array_set_size (log->configs, log->configs->len - 1);
 }
 
--- a/src/rlog.h
+++ b/src/rlog.h
@@ -1,4 +1,4 @@
-/* rlog.h - the log's entries in memory and the voter sets that they name; private to raft*.c. */
+/* rlog.h - Raft log entries in memory and the voter sets that they contain; private to raft*.c. */
 #ifndef RLOG_H
 #define RLOG_H
 
@@ -7,14 +7,14 @@
 typedef struct
 {
   GPtrArray *entries;       /* MsgEntry *, from index base + 1 on */
-  uint64_t base, base_term; /* index and term of the last entry before them */
-  GArray *configs;          /* RlogConfig, by index; the first is the voter set at base */
+  uint64_t base, base_term; /* index and term of the last entry covered by the snapshot */
+  GArray *configs; /* RlogConfig, in order of log index; the first is the voter set as of base */
 } Rlog;
 
 /* A voter set (Raft calls it a configuration). */
 typedef struct
 {
-  uint64_t index; /* of the entry that names it */
+  uint64_t index; /* log index of the entry that contains this voter set */
   unsigned count;
   MsgVoter voters[FT_VOTERS_MAX];
 } RlogConfig;
@@ -25,9 +25,9 @@
 void rlog_reset (Rlog *log, uint64_t base, uint64_t base_term, const MsgVoters *voters);
 /* Takes ownership of entry. */
 void rlog_append (Rlog *log, MsgEntry *entry);
-/* Removes the entries at index from and after it. */
-void rlog_truncate (Rlog *log, uint64_t from);
-/* Removes the entries up to index. */
+/* Removes the entry at index first and all later ones. */
+void rlog_truncate (Rlog *log, uint64_t first);
+/* Removes the entries up to and including index, which a snapshot now covers. */
 void rlog_drop_prefix (Rlog *log, uint64_t index);
 /* Index of the last entry. */
 uint64_t rlog_last (const Rlog *log);
@@ -36,11 +36,12 @@
 uint64_t rlog_term (const Rlog *log, uint64_t index);
 /* NULL: the log does not hold it. */
 MsgEntry *rlog_entry (const Rlog *log, uint64_t index);
-/* The newest voter set, committed or not. Never NULL; count 0: none yet. */
+/* The newest voter set, committed or not. Never NULL; its count is 0 before the first
+ * voter set is known. */
 const RlogConfig *rlog_config (const Rlog *log);
-/* Does config name id with this incarnation? */
+/* True if config contains voter id with this incarnation. */
 bool rlog_config_has (const RlogConfig *config, uint32_t id, uint64_t incarnation);
-/* The incarnation that config names for id; 0: none. */
+/* The incarnation of voter id in config; 0 if config does not contain it. */
 uint64_t rlog_config_incarnation (const RlogConfig *config, uint32_t id);
 
 #endif
