--- a/src/lead.c
+++ b/src/lead.c
@@ -1,10 +1,12 @@
-/* lead.c - duties of the voter that leads: freshness, leases, verdicts on proposals, queries.
+/* lead.c - tasks of the leading voter: it confirms that instances are up to date, assigns leases,
+ * and answers proposals and queries.
  *
- * Each instance sends a hello twice a second. The answer proves that the instance's catalogue was
- * in force, and its leases valid, when the hello was sent. None of this is in the replicated log,
- * so a new leader first waits as long as a proof given by its predecessor may last:
- * LEASE_TAKEOVER_DELAY before it moves a lease, INSTANCE_TIMEOUT before it calls a change in force
- * without having heard from an instance.
+ * Each instance sends a hello twice a second. The reply confirms that, as of the time the
+ * hello was sent, the instance has the current catalogue and its leases are valid. These
+ * confirmations are not in the replicated log, so a new leader does not know which ones still hold.
+ * It waits until all of them must have expired: LEASE_TAKEOVER_DELAY before it moves a lease, and
+ * INSTANCE_TIMEOUT before it ignores an instance that has sent it no hello when it reports whether
+ * a change is in force on all instances.
  */
 #include "node.h"
 
@@ -15,8 +17,9 @@
 typedef struct
 {
   uint32_t id;
-  uint64_t incarnation, revision;
-  int64_t heard_at;
+  uint64_t incarnation;
+  uint64_t revision; /* of its catalogue */
+  int64_t last_hello_at;
   bool leaving;
   char *region;
 } Instance;
@@ -24,7 +27,7 @@
 typedef struct
 {
   uint32_t from;         /* instance that proposed it */
-  uint64_t number, term; /* number: the proposer's own */
+  uint64_t number, term; /* number: chosen by the proposer, returned in the verdict */
 } PendingProposal;
 
 struct Leader
@@ -32,13 +35,13 @@
   FtNode *node;
   GHashTable *instances; /* id -> Instance */
   GHashTable *pending;   /* &log index -> PendingProposal */
-  uint64_t term;         /* to which the tables above belong */
+  uint64_t term;         /* during which the tables above were filled */
   GArray *live;          /* ids of live instances, uint32_t, sorted, as of live_updated_at */
   uint64_t live_version; /* unique across leaders: starts at the term times 2^32 */
   int64_t live_updated_at;
-  uint64_t lease_index;   /* log index of the lease proposed last */
-  uint32_t former_holder; /* holder before that lease, 0: none */
-  int64_t next_claims_check;
+  uint64_t lease_log_index; /* log index of the lease proposed last */
+  uint32_t previous_holder; /* previous holder of the pool of that lease, 0: none */
+  int64_t next_claims_check_at;
 };
 
 static void
@@ -73,7 +76,8 @@
   g_free (lead);
 }
 
-/* Returns whether this voter leads. Clears the tables if they are of an earlier term. */
+/* Returns true if this voter leads. On the first call in a new term, discards what it recorded in
+ * earlier terms. */
 static bool
 check_leading (Leader *lead)
 {
@@ -84,7 +88,7 @@
   if (lead->term != raft_term (node->raft))
     {
       lead->term = raft_term (node->raft);
-      lead->lease_index = 0;
+      lead->lease_log_index = 0;
       lead->live_version = lead->term << 32;
       lead->live_updated_at = 0;
       g_hash_table_remove_all (lead->instances);
@@ -96,7 +100,7 @@
 static bool
 is_live (const Instance *instance, int64_t now)
 {
-  return now - instance->heard_at < LEASE_TAKEOVER_DELAY;
+  return now - instance->last_hello_at < LEASE_TAKEOVER_DELAY;
 }
 
 static void
@@ -130,7 +134,7 @@
     }
   instance->incarnation = hello->incarnation;
   instance->revision = hello->revision;
-  instance->heard_at = now;
+  instance->last_hello_at = now;
   instance->leaving = hello->leaving;
   g_free (instance->region);
   instance->region = g_strdup (hello->region);
@@ -145,8 +149,9 @@
   return (x > y) - (x < y);
 }
 
-/* Updates the list of live instances. It changes a few hundred times a day, while each instance
- * says hello twice a second, so an answer has the list only if the asker knows another version. */
+/* Updates the list of live instances and its version. The list changes a few hundred times a day,
+ * while each instance says hello twice a second, so a reply includes it only if the version in the
+ * hello differs. */
 static void
 update_live (Leader *lead, int64_t now)
 {
@@ -186,14 +191,14 @@
       return;
     }
   update_instance (lead, from, hello, now);
-  /* A holder that was taken for dead may say hello while the log entry that moves its lease is not
-   * yet committed. An answer would prove the old lease for two more seconds, and two instances
-   * would schedule one pool. So it gets none until the move is committed; the next answer reports
-   * it. */
-  if (from == lead->former_holder && raft_commit (node->raft) < lead->lease_index)
+  /* A lease holder that was presumed dead may send a hello before the log entry that moves its
+   * lease is committed. A reply would extend the old lease by LEASE_PROOF_MAX_AGE, and two
+   * instances would schedule the same pool. So the holder gets no reply until the entry is
+   * committed; the first reply after that reports the new holder. */
+  if (from == lead->previous_holder && raft_commit (node->raft) < lead->lease_log_index)
     return;
   GPtrArray *leases = state_leases (node->state);
-  GArray *packed = g_array_new (FALSE, FALSE, sizeof (MsgLease));
+  GArray *lease_array = g_array_new (FALSE, FALSE, sizeof (MsgLease));
 
   out->number = hello->number;
   out->revision = state_revision (node->state);
@@ -202,13 +207,14 @@
   out->catalogue = (char *) (out->has_catalogue ? state_catalogue (node->state) : "");
   out->has_leases = hello->lease_epoch < out->lease_epoch || out->has_catalogue;
   for (unsigned i = 0; out->has_leases && i < leases->len; i++)
-    g_array_append_vals (packed, leases->pdata[i], 1);
-  out->leases.leases_len = packed->len;
-  out->leases.leases_val = (MsgLease *) (void *) packed->data;
+    g_array_append_vals (lease_array, leases->pdata[i], 1);
+  out->leases.leases_len = lease_array->len;
+  out->leases.leases_val = (MsgLease *) (void *) lease_array->data;
   update_live (lead, now);
   out->live_version = lead->live_version;
-  /* A new leader has heard from some instances only. If it sent their list, schedulers would drop
-   * the requests of all others, so it sends none until every live instance must have said hello. */
+  /* A new leader has heard from some instances only. If it sent that incomplete list,
+   * schedulers would drop the requests of the other instances. So it sends no list until every live
+   * instance has had time to send a hello. */
   out->has_live = hello->live_version != lead->live_version
                   && now - raft_leading_since (node->raft) > LEASE_TAKEOVER_DELAY;
   out->live.live_len = out->has_live ? lead->live->len : 0;
@@ -223,7 +229,7 @@
   node_send (node, from, &msg);
   g_free (blame.suspects.suspects_val);
   g_ptr_array_unref (leases);
-  g_array_unref (packed);
+  g_array_unref (lease_array);
 }
 
 /* ---- Proposals ---- */
@@ -277,7 +283,7 @@
 /* ---- Leases ---- */
 
 static bool
-can_hold (const Instance *instance, const FtPoolEntry *pool, int64_t now)
+can_hold_lease (const Instance *instance, const FtPoolEntry *pool, int64_t now)
 {
   return is_live (instance, now) && !instance->leaving
          && (*pool->region == '\0' || *instance->region == '\0'
@@ -296,8 +302,9 @@
   return count;
 }
 
-/* Returns the instance with the fewest leases. Ties are broken by the highest hash of pool and
- * instance, so that few leases move when instances come and go. Returns 0 if there is none. */
+/* Returns the eligible instance with the fewest leases, 0 if none is eligible. Ties are broken by
+ * rendezvous hashing (highest hash of pool and instance), so that the choice for a pool changes
+ * little when instances come and go. */
 static uint32_t
 choose_holder (Leader *lead, const FtPoolEntry *pool, int64_t now)
 {
@@ -311,7 +318,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &data))
     {
       const Instance *instance = data;
-      if (!can_hold (instance, pool, now))
+      if (!can_hold_lease (instance, pool, now))
         continue;
       unsigned count = count_leases (lead, instance->id);
       uint64_t hash = XXH3_64bits_withSeed (pool->name, strlen (pool->name), instance->id);
@@ -339,13 +346,13 @@
 }
 
 static void
-assign_lease (Leader *lead, int64_t now)
+assign_next_lease (Leader *lead, int64_t now)
 {
   FtNode *node = lead->node;
   FtCat *cat = state_parsed_catalogue (node->state);
 
-  if (cat == NULL || raft_commit (node->raft) < lead->lease_index)
-    return; /* one lease at a time, so that the counts of leases are up to date */
+  if (cat == NULL || raft_commit (node->raft) < lead->lease_log_index)
+    return; /* count_leases must include the previous assignment, which is not committed yet */
   for (unsigned i = 0; i < ft_cat_pool_count (cat); i++)
     {
       const FtPoolEntry *pool = ft_cat_pool_at (cat, i);
@@ -358,36 +365,38 @@
       op.MsgOp_u.lease.pool = pool->name;
       op.MsgOp_u.lease.holder = holder;
       const MsgLease *old = state_lease (node->state, pool->name);
-      lead->former_holder = old ? old->holder : 0;
-      raft_propose (node->raft, &op, &lead->lease_index);
+      lead->previous_holder = old ? old->holder : 0;
+      raft_propose (node->raft, &op, &lead->lease_log_index);
       return;
     }
 }
 
-/* Ends the claims of an earlier process of an instance with an unknown outcome: it cannot end them
- * itself, and until then they are reported as running. */
+/* Ends the claims that an earlier process of an instance left behind, with the outcome unknown.
+ * That process can no longer end them, and they would be reported as running forever. Handles the
+ * claims of one process a call. */
 static void
-end_dead_claims (Leader *lead, int64_t now)
+end_orphaned_claims (Leader *lead, int64_t now)
 {
   FtNode *node = lead->node;
   GHashTableIter iter;
   void *data;
 
-  if (now < lead->next_claims_check || state_claim_count (node->state) == 0)
+  if (now < lead->next_claims_check_at || state_claim_count (node->state) == 0)
     return;
-  lead->next_claims_check = now + FT_SECOND;
+  lead->next_claims_check_at = now + FT_SECOND;
   g_hash_table_iter_init (&iter, lead->instances);
   while (g_hash_table_iter_next (&iter, NULL, &data))
     {
       const Instance *instance = data;
-      uint64_t older, index;
-      if (!state_claim_of_other (node->state, instance->id, instance->incarnation, &older))
+      uint64_t other_incarnation, index;
+      if (!state_claim_of_other (node->state, instance->id, instance->incarnation,
+                                 &other_incarnation))
         continue;
       MsgOp op = { .kind = MSG_OP_CLAIM_END };
       MsgClaimDone *done = &op.MsgOp_u.claim_done;
-      done->key = done->request_id = (char *) "";
+      done->key = done->request_id = (char *) ""; /* empty key: all claims of this incarnation */
       done->entry = instance->id;
-      done->incarnation = older;
+      done->incarnation = other_incarnation;
       done->end = MSG_CLAIM_UNKNOWN;
       raft_propose (node->raft, &op, &index);
       return;
@@ -399,8 +408,8 @@
 {
   if (!check_leading (lead))
     return;
-  assign_lease (lead, now);
-  end_dead_claims (lead, now);
+  assign_next_lease (lead, now);
+  end_orphaned_claims (lead, now);
 }
 
 /* ---- Queries ---- */
@@ -427,8 +436,8 @@
   FtNode *node = lead->node;
   int64_t now = ft_clock_now (node->clock);
   uint64_t revision = g_ascii_strtoull (id, NULL, 10);
-  bool grace_over = now - raft_leading_since (node->raft) > INSTANCE_TIMEOUT;
-  unsigned missing = 0;
+  bool silent_is_dead = now - raft_leading_since (node->raft) > INSTANCE_TIMEOUT;
+  unsigned missing_count = 0;
 
   g_string_append_printf (out, "{\"revision\":%" G_GUINT64_FORMAT ",\"missing\":[", revision);
   for (unsigned i = 0; i < node->instances->len; i++)
@@ -436,13 +445,14 @@
       uint32_t instance_id = g_array_index (node->instances, uint32_t, i);
       const Instance *instance
           = g_hash_table_lookup (lead->instances, GUINT_TO_POINTER (instance_id));
-      bool timed_out = instance ? now - instance->heard_at > INSTANCE_TIMEOUT : grace_over;
+      bool timed_out = instance ? now - instance->last_hello_at > INSTANCE_TIMEOUT : silent_is_dead;
       if (timed_out || (instance && instance->revision >= revision))
         continue;
-      g_string_append_printf (out, "%s%u", missing++ ? "," : "", instance_id);
+      g_string_append_printf (out, "%s%u", missing_count++ ? "," : "", instance_id);
     }
-  bool known = state_revision (node->state) >= revision;
-  g_string_append_printf (out, "],\"in_force\":%s}", known && missing == 0 ? "true" : "false");
+  bool revision_exists = state_revision (node->state) >= revision;
+  g_string_append_printf (out, "],\"in_force\":%s}",
+                          revision_exists && missing_count == 0 ? "true" : "false");
   return FT_OK;
 }
 
--- a/src/pace.c
+++ b/src/pace.c
@@ -1,22 +1,24 @@
 /* pace.c - rate limits that servers announce.
  *
- * A limit covers all instances together, so it is enforced where requests are placed: one token
- * bucket a server, and each grant takes a token. A scheduler that shares the servers with others
- * fills its bucket with its part of the rate only. A new bucket is empty, since the server has just
- * received requests without a limit.
+ * A limit applies to the total rate from all instances, so the scheduler enforces it, with one
+ * token bucket per server. Each grant takes a token. A scheduler that shares the servers with
+ * others refills its buckets at its share of the rate. A new bucket starts empty, because the
+ * server has just received requests without a limit; if the notice is some time old, it starts with
+ * the tokens accrued since then.
  *
- * Notices of a rate arrive from several instances and may be reordered. A lower rate is applied at
- * once. A higher rate, or an answer without one, is applied only if its request was granted after
- * the latest notice: only then is it known to be newer.
+ * Rate notices arrive through several instances and may be out of order. A lower rate is applied at
+ * once. A higher rate, or the end of the limit (an answer that announces no rate), is applied only
+ * if the answered request was granted after the last notice was applied; otherwise the answer may
+ * be older than that notice.
  */
 #include "schedint.h"
 
-#define BURST_S 0.1 /* bucket capacity, in seconds of the rate */
+#define BURST_SECONDS 0.1 /* bucket capacity: the requests of this time, but at least one */
 
 static double
 capacity (const Pace *pace)
 {
-  return MAX (1, pace->rate * BURST_S);
+  return MAX (1, pace->rate * BURST_SECONDS);
 }
 
 static double
@@ -55,33 +57,33 @@
   double rate = server->pace.rate * sched->rate_share;
 
   if (server->pace.rate <= 0 || server->service->mean_us <= 0)
-    return places; /* no slot time is known before the first request */
+    return places; /* unlimited, or no request has been measured yet */
   return MIN (places, rate * server->service->mean_us / 1e6);
 }
 
 static void
-open_bucket (const Sched *sched, Pace *pace, double rate, double first, int64_t now)
+set_bucket_rate (const Sched *sched, Pace *pace, double rate, double initial_tokens, int64_t now)
 {
   if (pace->rate > 0)
     refill (sched, pace, now);
   else
-    pace->tokens = first;
+    pace->tokens = initial_tokens;
   pace->rate = rate;
   pace->filled_at = now;
   pace->tokens = MIN (pace->tokens, capacity (pace));
 }
 
 static void
-report_change (const Sched *sched, const Server *server, double before)
+on_rate_changed (const Sched *sched, const Server *server, double before)
 {
   if (server->pace.rate != before)
-    server->service->summary.until = 0;
+    server->service->summary.until = 0; /* the summary must be computed again */
   if (sched->ops->rate_changed && server->pace.rate != before)
     sched->ops->rate_changed (sched->host, server->id, before, server->pace.rate);
 }
 
 static bool
-is_newer (const Server *server, const Job *job)
+granted_after_last_notice (const Server *server, const Job *job)
 {
   return job && job->server == server && !job->adopted
          && job->granted_at > server->pace.announced_at;
@@ -95,43 +97,44 @@
 
   if (rate <= 0 && before <= 0)
     return;
-  if (before > 0 && (rate <= 0 || rate > before) && !is_newer (server, job))
+  if (before > 0 && (rate <= 0 || rate > before) && !granted_after_last_notice (server, job))
     return;
   if (rate > 0)
-    open_bucket (sched, pace, rate, 0, now);
+    set_bucket_rate (sched, pace, rate, 0, now);
   else
     pace->rate = 0;
   pace->announced_at = now;
-  report_change (sched, server, before);
+  on_rate_changed (sched, server, before);
 }
 
 void
 pace_apply_older_notice (const Sched *sched, Server *server, double rate, int64_t age, int64_t now)
 {
   Pace *pace = &server->pace;
-  double most = (double) age / 1e6 * rate;
+  /* a bucket that was empty when the notice was received holds at most this much now */
+  double max_tokens = (double) age / 1e6 * rate;
 
   if (rate <= 0)
     return;
   if (pace->rate > 0)
     {
       refill (sched, pace, now);
-      pace->tokens = MIN (pace->tokens, most);
+      pace->tokens = MIN (pace->tokens, max_tokens);
       return;
     }
-  open_bucket (sched, pace, rate, most, now);
+  set_bucket_rate (sched, pace, rate, max_tokens, now);
   pace->announced_at = now;
-  report_change (sched, server, 0);
+  on_rate_changed (sched, server, 0);
 }
 
 void
-sched_set_rate_share (Sched *sched, double part)
+sched_set_rate_share (Sched *sched, double share)
 {
   GHashTableIter iter;
   gpointer value;
   int64_t now = ft_clock_now (sched->clock);
 
-  if (part == sched->rate_share)
+  if (share == sched->rate_share)
     return;
   g_hash_table_iter_init (&iter, sched->servers);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -142,8 +145,8 @@
         continue;
       server->service->summary.until = 0;
       refill (sched, pace, now);
-      if (part <= 0)
-        pace->tokens = 0; /* only other schedulers use the rate from now on */
+      if (share <= 0)
+        pace->tokens = 0; /* the whole rate belongs to other schedulers from now on */
     }
-  sched->rate_share = part;
+  sched->rate_share = share;
 }
--- a/test/mutants.sh
+++ b/test/mutants.sh
@@ -31,7 +31,7 @@
 try "messages leave before the sync" src/raft.c 's/check_disk \(raft, wal_sync \(raft->wal\)\);//' &
 try "a voter counts under any incarnation" "src/raft.c src/raftvote.c" 's/peer->granted && peer->incarnation == config->voters\[i\].incarnation/peer->granted/; s/peer && peer->incarnation == voter->incarnation/peer != NULL/' &
 try "an old log may lead" src/raftvote.c 's/^  return vote->last_term > last_term/  return true || vote->last_term > last_term/' &
-try "a lease moves at once" src/lead.c 's/bool grace_over = .*LEASE_TAKEOVER_DELAY;/bool grace_over = true;/; s/now - instance->heard_at < LEASE_TAKEOVER_DELAY/now - instance->heard_at < LEASE_TAKEOVER_DELAY \/ 4/' &
+try "a lease moves at once" src/lead.c 's/bool grace_over = .*LEASE_TAKEOVER_DELAY;/bool grace_over = true;/; s/now - instance->last_hello_at < LEASE_TAKEOVER_DELAY/now - instance->last_hello_at < LEASE_TAKEOVER_DELAY \/ 4/' &
 try "freshness counts from the answer" src/node.c 's/node->fresh_at = MAX \(node->fresh_at, node->hello_sent_at\[reply->number % kept\]\);/node->fresh_at = node->answered_at;/' &
 try "a resent change is judged again" src/state.c 's/^  if \(known\)$/  if (known \&\& known->revision == 0)/' &
 try "the first claim does not win" src/state.c 's/same_owner \(&known->claim, claim\) \? FT_OK : FT_CONFLICT/FT_OK/' &
@@ -43,10 +43,10 @@
 try "found: an old log may lead" src/raftvote.c 's/^  return vote->last_term > last_term/  return true || vote->last_term > last_term/' test-found &
 # What servers say of themselves.
 try "a grant takes no token" src/pace.c 's/pace.tokens -= 1/pace.tokens -= 0/' test-pace &
-try "a bucket opens full" src/pace.c 's/open_bucket \(sched, pace, rate, 0, now\)/open_bucket (sched, pace, rate, 10, now)/' test-pace &
-try "an overtaken word counts" src/pace.c 's/ \&\& !is_newer \(server, job\)//' test-pace &
+try "a bucket opens full" src/pace.c 's/set_bucket_rate \(sched, pace, rate, 0, now\)/set_bucket_rate (sched, pace, rate, 10, now)/' test-pace &
+try "an overtaken word counts" src/pace.c 's/ \&\& !granted_after_last_notice \(server, job\)//' test-pace &
 try "each scheduler has the whole rate" src/pace.c 's/pace->rate \* sched->rate_share/pace->rate/' test-pace &
-try "a successor starts with a token" src/pace.c 's/open_bucket \(sched, pace, rate, most, now\)/open_bucket (sched, pace, rate, 1, now)/' test-pace &
+try "a successor starts with a token" src/pace.c 's/set_bucket_rate \(sched, pace, rate, max_tokens, now\)/set_bucket_rate (sched, pace, rate, 1, now)/' test-pace &
 try "a limited server counts with all places" src/pace.c 's/^  return MIN \(places, rate.*$/  return places + 0 * rate;/' test-pace &
 try "nobody is kept away" src/backoff.c 's/backoff_end \(server, owner\) <= now/true/' test-backoff &
 try "one kept away waits to its end" src/backoff.c 's/if \(service->backoff_until <= now\)/if (true)/' test-backoff &
