--- a/net/hcli.c
+++ b/net/hcli.c
@@ -1,8 +1,9 @@
-/* hcli.c - HTTP/1.1 client with a pool of idle connections for each key, most recently used first.
+/* hcli.c - HTTP/1.1 client with a pool of idle connections for each key (server incarnation).
  *
  * The HTTP library's client is not used because it resends a request when a persistent connection
- * closes before the first byte of the response, which cannot be disabled. A request that must run
- * at most once could run twice. Here only start_sending writes a request, once for each transfer.
+ * closes before the first byte of the response, and this cannot be disabled. A request that must
+ * run at most once could run twice. Here only start_sending writes a request, once for each
+ * transfer.
  */
 #include "hcli.h"
 
@@ -11,10 +12,13 @@
 #include <sys/socket.h>
 #include <urcu/list.h>
 
-#define IDLE_DEFAULT_US   (300 * FT_MS) /* servers without Keep-Alive may close within a second */
-#define IDLE_MARGIN_US    (400 * FT_MS) /* for a request to arrive before the server's time-out */
+/* used if the response has no Keep-Alive field; some servers then close within a second */
+#define IDLE_DEFAULT_US (300 * FT_MS)
+/* subtracted from the server's timeout, so that a request arrives before it expires */
+#define IDLE_MARGIN_US    (400 * FT_MS)
 #define SWEEP_INTERVAL_US (1 * FT_SECOND)
-#define IDLE_CONNS_MAX    64 /* for each key; more than the slots of any server seen so far */
+/* for each key; more slots than any server has had so far */
+#define IDLE_CONNS_MAX 64
 
 typedef struct Conn Conn;
 
@@ -23,32 +27,36 @@
   char *key;
   struct cds_list_head idle; /* most recently used first */
   unsigned count;
-} Pool;
+} ConnPool;
 
 struct HCli
 {
   Loop *loop;
-  GHashTable *pools; /* key: Pool */
+  GHashTable *pools; /* key -> ConnPool */
   LoopTimer sweep;
   struct cds_list_head conns;
   uint64_t opened;
-  size_t unsent; /* bytes of requests in the sockets' buffers */
+  size_t unsent_total; /* request bytes not yet passed to the kernel, over all connections */
 };
 
 struct Conn
 {
   struct cds_list_head link, idle_link;
   HCli *cli;
-  Pool *pool; /* while idle */
+  ConnPool *pool; /* while idle */
   char *key;
   Sock *sock;
-  HReader *read;
+  HReader *reader;
   HXfer *xfer;              /* NULL while idle */
   HCliProbeFunc probe_func; /* callback of a probe in progress, else NULL */
   void *probe_user;
   LoopTimer timer;
-  int64_t idle_since, idle_until, idle_limit_us;
-  bool message_complete, skipping, not_reusable, feeding, closed;
+  int64_t idle_since, idle_until, keep_alive_us;
+  bool message_complete;
+  bool skipping; /* the response belongs to an earlier request */
+  bool not_reusable;
+  bool feeding; /* hread_feed runs, so the reader must not be freed */
+  bool closed;  /* close_conn has run; the memory is freed at the end of the iteration */
 };
 
 struct HXfer
@@ -58,7 +66,7 @@
   void *user;
   GString *request;
   bool sent, no_body;
-  int64_t idle_us;
+  int64_t conn_idle_us; /* of the reused connection before this request; 0: a new connection */
 };
 
 static void
@@ -87,7 +95,7 @@
   sock_close (conn->sock, reset);
   conn->closed = true;
   if (!conn->feeding) /* otherwise on_data frees the reader when hread_feed returns */
-    hread_free (conn->read);
+    hread_free (conn->reader);
   cds_list_del (&conn->link);
   g_free (conn->key);
   if (conn->xfer)
@@ -107,13 +115,13 @@
 }
 
 static void
-fail (Conn *conn, HXferFault fault)
+fail_conn (Conn *conn, HXferFault fault)
 {
   HXfer *xfer = conn->xfer;
 
   conn->xfer = NULL;
   close_conn (conn, true);
-  end_probe (conn, false, fault); /* conn is freed after this iteration's events */
+  end_probe (conn, false, fault); /* conn is still valid: loop_free_later frees it */
   if (xfer == NULL)
     return;
   xfer->ops->failed (xfer->user, fault);
@@ -123,7 +131,7 @@
 /* ---- Reading responses ---- */
 
 static int64_t
-idle_limit (const HMsg *msg)
+keep_alive_limit (const HMsg *msg)
 {
   const char *value = hmsg_field (msg, "Keep-Alive");
   const char *timeout = value ? strstr (value, "timeout=") : NULL;
@@ -139,12 +147,12 @@
 {
   Conn *conn = user;
 
-  conn->idle_limit_us = idle_limit (msg);
+  conn->keep_alive_us = keep_alive_limit (msg);
   if (!hmsg_keep_alive (msg))
     conn->not_reusable = true;
   conn->skipping = conn->xfer == NULL || !conn->xfer->ops->head (conn->xfer->user, msg);
   if (conn->skipping)
-    conn->not_reusable = true; /* its next response may belong to another request */
+    conn->not_reusable = true; /* responses and requests are out of step on this connection */
 }
 
 static void
@@ -166,14 +174,14 @@
 
 static const HReadOps read_ops = { on_head, on_body, on_end };
 
-static Pool *
+static ConnPool *
 get_pool (HCli *cli, const char *key)
 {
-  Pool *pool = g_hash_table_lookup (cli->pools, key);
+  ConnPool *pool = g_hash_table_lookup (cli->pools, key);
 
   if (pool == NULL)
     {
-      pool = g_new0 (Pool, 1);
+      pool = g_new0 (ConnPool, 1);
       pool->key = g_strdup (key);
       CDS_INIT_LIST_HEAD (&pool->idle);
       g_hash_table_insert (cli->pools, pool->key, pool);
@@ -185,7 +193,7 @@
 add_to_pool (Conn *conn)
 {
   int64_t now = loop_now (conn->cli->loop);
-  Pool *pool = get_pool (conn->cli, conn->key);
+  ConnPool *pool = get_pool (conn->cli, conn->key);
 
   if (pool->count >= IDLE_CONNS_MAX)
     {
@@ -193,7 +201,7 @@
       return;
     }
   conn->idle_since = now;
-  conn->idle_until = now + conn->idle_limit_us;
+  conn->idle_until = now + conn->keep_alive_us;
   conn->pool = pool;
   cds_list_add (&conn->idle_link, &pool->idle);
   pool->count++;
@@ -227,7 +235,7 @@
 
   if (conn->xfer == NULL)
     {
-      close_conn (conn, true); /* data without a request */
+      close_conn (conn, true); /* unsolicited data */
       return;
     }
   for (;;)
@@ -237,17 +245,17 @@
         return;
       conn->message_complete = false;
       conn->feeding = true;
-      size_t used = hread_feed (conn->read, data, size, &fault);
+      size_t used = hread_feed (conn->reader, data, size, &fault);
       conn->feeding = false;
       if (conn->closed)
         {
-          hread_free (conn->read);
+          hread_free (conn->reader);
           return;
         }
       sock_consume (sock, used);
       if (fault)
         {
-          fail (conn, HXFER_BAD_RESPONSE);
+          fail_conn (conn, HXFER_BAD_RESPONSE);
           return;
         }
       if (!conn->message_complete)
@@ -261,7 +269,7 @@
 }
 
 static HXferFault
-end_fault (SockEnd reason)
+fault_from_sock_end (SockEnd reason)
 {
   switch (reason)
     {
@@ -279,6 +287,7 @@
 const char *
 hxfer_fault_name (HXferFault fault)
 {
+  /* "lost": the kernel's timeout for the connection expired; "garbled": not valid HTTP */
   static const char *const names[] = { "unreached", "refused", "broken", "lost", "garbled" };
 
   return names[fault];
@@ -294,14 +303,14 @@
       close_conn (conn, false);
       return;
     }
-  if (conn->xfer && reason == SOCK_END_EOF && !conn->skipping && hread_finish (conn->read)
+  if (conn->xfer && reason == SOCK_END_EOF && !conn->skipping && hread_finish (conn->reader)
       && conn->message_complete)
     {
       conn->not_reusable = true;
       complete_transfer (conn);
       return;
     }
-  fail (conn, end_fault (reason));
+  fail_conn (conn, fault_from_sock_end (reason));
 }
 
 /* ---- Sending ---- */
@@ -313,7 +322,7 @@
 
   loop_timer_stop (conn->cli->loop, &conn->timer);
   xfer->sent = true;
-  hread_set_no_body (conn->read, xfer->no_body);
+  hread_set_no_body (conn->reader, xfer->no_body);
   sock_write (conn->sock, xfer->request->str, xfer->request->len);
   g_string_free (xfer->request, TRUE);
   xfer->request = NULL;
@@ -330,7 +339,7 @@
       return;
     }
   loop_timer_stop (conn->cli->loop, &conn->timer);
-  conn->idle_limit_us = IDLE_DEFAULT_US;
+  conn->keep_alive_us = IDLE_DEFAULT_US;
   add_to_pool (conn);
   end_probe (conn, true, HXFER_NOT_CONNECTED);
 }
@@ -338,42 +347,42 @@
 static const SockOps sock_ops = { on_connected, on_data, NULL, on_ended };
 
 static void
-on_connect_timer (LoopTimer *timer)
+on_connect_timeout (LoopTimer *timer)
 {
-  fail ((Conn *) ((char *) timer - offsetof (Conn, timer)), HXFER_NOT_CONNECTED);
+  fail_conn ((Conn *) ((char *) timer - offsetof (Conn, timer)), HXFER_NOT_CONNECTED);
 }
 
 typedef enum
 {
-  PEEK_ENDED, /* the server has closed or reset the connection */
-  PEEK_DATA,
-  PEEK_NOTHING
-} Peek;
+  CONN_ENDED, /* the server has closed or reset the connection */
+  CONN_HAS_DATA,
+  CONN_QUIET
+} ConnState;
 
 /* Checks for input or a close that the loop has not reported yet. */
-static Peek
-peek (const Conn *conn)
+static ConnState
+conn_state (const Conn *conn)
 {
   char byte;
   ssize_t got = recv (conn->sock->fd.fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 
   if (got > 0)
-    return PEEK_DATA;
-  return got < 0 && errno == EAGAIN ? PEEK_NOTHING : PEEK_ENDED;
+    return CONN_HAS_DATA;
+  return got < 0 && errno == EAGAIN ? CONN_QUIET : CONN_ENDED;
 }
 
 static Conn *
-take_idle (HCli *cli, const HCliTarget *target)
+take_idle_conn (HCli *cli, const HCliTarget *target)
 {
-  Pool *pool = g_hash_table_lookup (cli->pools, target->key);
+  ConnPool *pool = g_hash_table_lookup (cli->pools, target->key);
   int64_t now = loop_now (cli->loop);
 
   while (pool && !cds_list_empty (&pool->idle))
     {
       Conn *conn = cds_list_first_entry (&pool->idle, Conn, idle_link);
       if (now - conn->idle_since > target->max_idle_us)
-        return NULL; /* the others have been idle for longer */
-      if (now < conn->idle_until && peek (conn) == PEEK_NOTHING)
+        return NULL; /* sorted by last use: the others have been idle for longer */
+      if (now < conn->idle_until && conn_state (conn) == CONN_QUIET)
         {
           remove_from_pool (conn);
           return conn;
@@ -395,10 +404,10 @@
       g_free (conn);
       return NULL;
     }
-  sock_set_unsent_total (conn->sock, &cli->unsent);
+  sock_set_unsent_total (conn->sock, &cli->unsent_total);
   conn->key = g_strdup (target->key);
-  conn->read = hread_new (false, &read_ops, conn);
-  conn->timer.fire = on_connect_timer;
+  conn->reader = hread_new (false, &read_ops, conn);
+  conn->timer.fire = on_connect_timeout;
   cds_list_add_tail (&conn->link, &cli->conns);
   loop_timer_set (cli->loop, &conn->timer, loop_now (cli->loop) + target->connect_us);
   cli->opened++;
@@ -424,7 +433,7 @@
 
   cds_list_for_each_entry (conn, &cli->conns, link)
   {
-    if (!conn->sock->connecting && strcmp (conn->key, key) == 0 && peek (conn) != PEEK_ENDED)
+    if (!conn->sock->connecting && strcmp (conn->key, key) == 0 && conn_state (conn) != CONN_ENDED)
       return true;
   }
   return false;
@@ -434,7 +443,7 @@
 hcli_send (HCli *cli, const HCliTarget *target, const GString *request, const HXferOps *ops,
            void *user)
 {
-  Conn *conn = take_idle (cli, target);
+  Conn *conn = take_idle_conn (cli, target);
   bool reused = conn != NULL;
 
   if (conn == NULL)
@@ -447,7 +456,7 @@
                    .user = user,
                    .request = g_string_new_len (request->str, (gssize) request->len),
                    .no_body = target->no_body,
-                   .idle_us = reused ? MAX (1, loop_now (cli->loop) - conn->idle_since) : 0 };
+                   .conn_idle_us = reused ? MAX (1, loop_now (cli->loop) - conn->idle_since) : 0 };
   conn->xfer = xfer;
   conn->skipping = conn->not_reusable = conn->message_complete = false;
   if (reused)
@@ -464,7 +473,7 @@
 int64_t
 hxfer_conn_idle_us (const HXfer *xfer)
 {
-  return xfer->idle_us;
+  return xfer->conn_idle_us;
 }
 
 unsigned
@@ -478,7 +487,7 @@
   g_hash_table_iter_init (&iter, cli->pools);
   while (count < max && g_hash_table_iter_next (&iter, NULL, &value))
     {
-      Pool *pool = value;
+      ConnPool *pool = value;
       if (!cds_list_empty (&pool->idle)
           && now < cds_list_first_entry (&pool->idle, Conn, idle_link)->idle_until)
         keys[count++] = pool->key;
@@ -495,7 +504,7 @@
 /* ---- The client ---- */
 
 static void
-close_pool (Pool *pool)
+close_idle_conns (ConnPool *pool)
 {
   Conn *conn, *next;
 
@@ -505,18 +514,18 @@
 static void
 pool_free (void *data)
 {
-  Pool *pool = data;
+  ConnPool *pool = data;
 
-  close_pool (pool);
+  close_idle_conns (pool);
   g_free (pool->key);
   g_free (pool);
 }
 
 static gboolean
-sweep_pool (gpointer key, gpointer value, gpointer data)
+drop_expired_conns (gpointer key, gpointer value, gpointer data)
 {
   int64_t now = loop_now (data);
-  Pool *pool = value;
+  ConnPool *pool = value;
   Conn *conn, *next;
 
   (void) key;
@@ -533,7 +542,7 @@
 {
   HCli *cli = (HCli *) ((char *) timer - offsetof (HCli, sweep));
 
-  g_hash_table_foreach_remove (cli->pools, sweep_pool, cli->loop);
+  g_hash_table_foreach_remove (cli->pools, drop_expired_conns, cli->loop);
   loop_timer_set (cli->loop, timer, loop_now (cli->loop) + SWEEP_INTERVAL_US);
 }
 
@@ -570,7 +579,7 @@
 size_t
 hcli_unsent (const HCli *cli)
 {
-  return cli->unsent;
+  return cli->unsent_total;
 }
 
 uint64_t
--- a/src/notice.c
+++ b/src/notice.c
@@ -1,10 +1,12 @@
-/* notice.c - parses the values of a server's notices. */
+/* notice.c - parses the response fields in which a backend server announces a rate limit or a
+ * backoff. */
 #include "notice.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Accepts digits with at most one decimal point: no sign, exponent, "inf" or "nan". */
+/* Parses an unsigned decimal number such as 12 or 0.5. Rejects signs, exponents, "inf" and "nan",
+ * which strtod would accept. */
 static bool
 parse_number (const char *text, double *out)
 {
