--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# check.sh - runs all tests through prove, but for those that KNOWN-RED.txt lists; these are run
-# first, and what they do is printed.
+# check.sh - runs all tests with prove. Cases listed in KNOWN-RED.txt are left out there; they run
+# first, and their results are only printed.
 set -u
 BUILD=${BUILD:-build}
 export BUILD
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,13 +1,13 @@
-# cluster.sh - functions for scripts that run instances and stand-ins on loopback; sourced.
+# cluster.sh - functions to run instances and stand-ins on the loopback interface; to be sourced.
 #
-# cluster_start DIR INSTANCES VOTERS starts stand-ins and instances whose files are under DIR;
-# cluster_stop ends what was started, by process number. Ports are PORT_BASE and on, or those of a
-# free block when it is not set.
+# cluster_start DIR INSTANCES VOTERS starts stand-ins and instances, which keep their files in DIR;
+# cluster_stop ends every process that was started, by its PID. Ports start at PORT_BASE, or at a
+# free block if PORT_BASE is not set.
 
 BUILD=${BUILD:-build}
 CLUSTER_PIDS=()
-SCHEME=${SCHEME:-http}     # of the instances' two HTTP ports
-EXTRA_SETTINGS=            # further fields, each with its comma
+SCHEME=${SCHEME:-http}     # of the caller and operator ports
+EXTRA_SETTINGS=            # further fields of the settings, each followed by a comma
 
 cluster_wait_http () { # URL SECONDS
   local until=$((SECONDS + $2))
@@ -26,11 +26,11 @@
   done
 }
 
-PORTS_FIRST=18000 # below the range from which the kernel takes ports for outgoing connections
+PORTS_FIRST=18000 # to PORTS_LAST: below the kernel's usual range of ephemeral ports
 PORTS_LAST=31800
 PORTS_BLOCK=300
 
-cluster_block_unused () { # FIRST: does nobody listen in that block?
+cluster_block_unused () { # FIRST: succeeds if no process listens in that block
   local port
   while read -r port; do
     port=$((16#$port))
@@ -38,7 +38,7 @@
   done < <(awk '$4 == "0A" { sub(".*:", "", $2); print $2 }' /proc/net/tcp /proc/net/tcp6 2>/dev/null)
 }
 
-# Takes a block for as long as the script runs: a lock keeps others that start meanwhile off it.
+# Reserves a block of ports for as long as the script runs, with a lock against other scripts.
 cluster_take_ports () {
   local first
   for first in $(seq $PORTS_FIRST $PORTS_BLOCK $PORTS_LAST); do
@@ -79,7 +79,7 @@
   SPAWNED=$!
 }
 
-cluster_instance () { # ID: starts it, its process number goes to INSTANCE_PID[ID]
+cluster_instance () { # ID: starts the instance and sets INSTANCE_PID[ID]
   cluster_spawn "$DIR/instance$1.log" "$BUILD/foxtailgraded" "$DIR/settings$1.json"
   INSTANCE_PID[$1]=$SPAWNED
 }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# demo.sh - the main job: three instances, two unlike engines and a service on loopback, a load of
-# every tier, a table. Exits non-zero if an answer was lost, doubled or cut.
+# demo.sh - starts three instances, a fast and a slow engine and two services on loopback, sends
+# requests of every tier and prints the results as a table. Exits non-zero if an answer was lost,
+# duplicated or incomplete.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
@@ -8,7 +9,7 @@
 trap "cluster_stop; [ -n \"\${KEEP:-}\" ] || rm -rf \"$dir\"" EXIT
 trap 'exit 1' TERM INT
 
-echo "starting three instances, two engines, one service"
+echo "starting three instances, two engines, two services"
 cluster_start "$dir" 3 3 || exit 1
 cluster_cli 1 check etc/catalogue.json || exit 1
 for _ in $(seq 1 50); do
--- a/scripts/deps.sh
+++ b/scripts/deps.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# deps.sh - installs the Debian packages that building, testing and linting need, if one is missing.
+# deps.sh - installs those Debian packages for building, testing and linting that are missing.
 set -eu
 packages="gcc make cmake pkg-config curl openssl perl clang-format clang-tidy cppcheck libc6-dev
   libulfius-dev libtirpc-dev libargtable2-dev libjson-c-dev liblog4c-dev libglib2.0-dev liburcu-dev
--- a/scripts/latency.sh
+++ b/scripts/latency.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# latency.sh - what one instance adds to a call of a plain service, and its requests a second on two
-# processors (taskset); the client and the stand-in use the others.
+# latency.sh - measures the latency that one instance adds to a call of a plain service, and its
+# throughput in requests per second. The instance is bound to processors 0 and 1; the client and the
+# stand-in may run on any.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/cluster.sh
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
 # regression.sh [--write] LOG... - compares scores with those of docs/worth.csv, site by site.
 #
-# LOG: what `fleetbench score SITE` printed. For each site: its days, the worth then and now, the mean of the days with
-# trouble (quiet days and those drawn just now left out), and whether that has fallen by more than 0.03. Exit status 1 if one
-# has. --write puts the figures into docs/worth.csv, for the next commit to compare with.
+# LOG: the output of `fleetbench score SITE`. Prints, for each site, the score of each day as recorded and now, and their
+# mean without the quiet days; days drawn at random for that run are ignored. Exit status 1 if the mean of a site fell by more than 0.03; a site with a day that has no
+# recorded score is not compared. --write records the new scores in docs/worth.csv.
 set -u
 cd "$(dirname "$0")/.." || exit 2
 known=docs/worth.csv
@@ -12,15 +12,15 @@
   write=yes
   shift
 fi
-[ $# -gt 0 ] || { echo "regression.sh: no log is named" >&2; exit 2; }
+[ $# -gt 0 ] || { echo "regression.sh: no log file given" >&2; exit 2; }
 now=$(mktemp) || exit 2
 trap 'rm -f "$now"' EXIT
 for log in "$@"; do
-  [ -r "$log" ] || { echo "regression.sh: $log cannot be read" >&2; exit 2; }
+  [ -r "$log" ] || { echo "regression.sh: cannot read $log" >&2; exit 2; }
   awk '/^score on the standard days of/ { site = $7 }
        /^(quiet|trouble|scale)-[0-9]+ / && $2 ~ /\// { print site "," $1 "," $4 }' "$log" | sed 's/:,/,/'
 done >"$now"
-[ -s "$now" ] || { echo "regression.sh: no scores in these logs" >&2; exit 2; }
+[ -s "$now" ] || { echo "regression.sh: the logs contain no scores" >&2; exit 2; }
 awk -F, -v known="$known" '
   BEGIN { while ((getline line < known) > 0) { split (line, f, ","); before[f[1] "," f[2]] = f[3] } }
   {
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# soak.sh [SECONDS] [SEEDS] [JOBS] - runs the fault soak: the seeds that ever failed, then fresh ones.
+# soak.sh [SECONDS] [SEEDS] [JOBS] - runs the fault injection soak test with the seeds that failed
+# before, recorded in test/soak-seeds.txt, and then with SEEDS random ones.
 set -u
 BUILD=${BUILD:-build}
 seconds=${1:-8}
