--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -2,8 +2,9 @@
 # regression.sh [--write] LOG... - compares scores with those of docs/worth.csv, site by site.
 #
 # LOG: the output of `fleetbench score SITE`. Prints, for each site, the score of each day as recorded and now, and their
-# mean without the quiet days; days drawn at random for that run are ignored. Exit status 1 if the mean of a site fell by more than 0.03; a site with a day that has no
-# recorded score is not compared. --write records the new scores in docs/worth.csv.
+# mean without the quiet days; days drawn at random for that run are ignored. Exit status 1 if the mean of a site fell by
+# more than 0.03; a site with a day that has no recorded score is not compared. --write records the new scores in
+# docs/worth.csv.
 set -u
 cd "$(dirname "$0")/.." || exit 2
 known=docs/worth.csv
--- a/standin/service.c
+++ b/standin/service.c
@@ -1,7 +1,8 @@
-/* service.c - a plain service whose calls may not be repeated, and the platform's list.
+/* service.c - plays a plain service whose calls must not be repeated, or the platform's server
+ * list.
  *
- * Any path answers {"call":N,"id":"..."}; GET /stats counts calls and calls whose X-Request-Id or
- * Idempotency-Key came before.
+ * The service answers any path with {"call":N,"id":"..."}. GET /stats returns the number of calls
+ * and of duplicates, that is calls with an X-Request-Id that came before.
  */
 #include "standin.h"
 
@@ -12,7 +13,7 @@
   int delay_ms;
   GMutex lock;
   GHashTable *seen;
-  unsigned calls, doubled;
+  unsigned calls, duplicates;
 } service;
 
 static int
@@ -26,7 +27,7 @@
   g_mutex_lock (&service.lock);
   unsigned number = ++service.calls;
   if (id && !g_hash_table_add (service.seen, g_strdup (id)))
-    service.doubled++;
+    service.duplicates++;
   g_mutex_unlock (&service.lock);
   g_snprintf (text, sizeof text, "{\"call\":%u,\"id\":\"%s\"}", number, id ? id : "");
   http_json (response, 200, text);
@@ -42,7 +43,7 @@
   (void) user;
   g_mutex_lock (&service.lock);
   g_snprintf (text, sizeof text, "{\"dispatches\":%u,\"doubled\":%u,\"finished\":%u}",
-              service.calls, service.doubled, service.calls);
+              service.calls, service.duplicates, service.calls);
   g_mutex_unlock (&service.lock);
   http_json (response, 200, text);
   return U_CALLBACK_COMPLETE;
@@ -59,7 +60,7 @@
 }
 
 static int
-on_list (const struct _u_request *request, struct _u_response *response, void *user)
+on_instances (const struct _u_request *request, struct _u_response *response, void *user)
 {
   char *text = NULL;
 
@@ -77,6 +78,7 @@
 {
   if (conf->file == NULL)
     return false;
-  ulfius_add_endpoint_by_val (http, "GET", "/instances", NULL, 0, on_list, g_strdup (conf->file));
+  ulfius_add_endpoint_by_val (http, "GET", "/instances", NULL, 0, on_instances,
+                              g_strdup (conf->file));
   return true;
 }
